--- a/desk/prog/logs.go
+++ b/desk/prog/logs.go
@@ -50,11 +50,11 @@
 		return d.timeline(request, logs)
 	}
 	entries, err := trail.Read(logs...)
-	fmt.Fprint(d.stdout, loss.Count(entries, lossesEvery))
+	fmt.Fprint(d.stdout, loss.Classify(entries, lossesEvery))
 	return err
 }
 
-func (d *desk) timeline(request string, logs []trail.Log) error {
+func (d *desk) timeline(request string, logs []trail.Source) error {
 	found, err := trail.Find(request, logs...)
 	for _, e := range found {
 		fmt.Fprintln(d.stdout, e)
@@ -66,21 +66,21 @@
 }
 
 // open opens the files. The returned function closes them.
-func (d *desk) open() ([]trail.Log, func(), error) {
+func (d *desk) open() ([]trail.Source, func(), error) {
 	var files []*os.File
 	end := func() {
 		for _, f := range files {
 			_ = f.Close()
 		}
 	}
-	var logs []trail.Log
+	var logs []trail.Source
 	for _, name := range strings.Split(d.logs, ",") {
 		f, err := os.Open(name)
 		if err != nil {
 			return nil, end, fmt.Errorf("-logs: %w", err)
 		}
 		files = append(files, f)
-		logs = append(logs, trail.Log{Name: name, From: f})
+		logs = append(logs, trail.Source{Name: name, From: f})
 	}
 	return logs, end, nil
 }
--- a/desk/prog/prog.go
+++ b/desk/prog/prog.go
@@ -17,7 +17,7 @@
 // Main runs the program and returns its exit status: 0 only if every line was
 // answered with done.
 func Main(ctx context.Context, args []string, stdin io.Reader, stdout, stderr io.Writer) int {
-	if boot.TellVersion("fsdesk", args, stdout) {
+	if boot.PrintVersion("fsdesk", args, stdout) {
 		return 0
 	}
 	s := &settings{}
@@ -33,7 +33,7 @@
 	}
 	if err != nil {
 		fmt.Fprintln(stderr, err)
-		return boot.ExitSettings
+		return boot.ExitUsage
 	}
 	d := &desk{settings: s, stdout: stdout}
 	if s.logs != "" {
--- a/entry/belief/belief.go
+++ b/entry/belief/belief.go
@@ -41,15 +41,15 @@
 	SuspectFor = 2 * time.Second
 )
 
-// State is the belief of one entry host. Set the exported fields before use.
-type State struct {
+// Local is the belief of one entry host. Set the exported fields before use.
+type Local struct {
 	Decoder Decoder
 	Log     *slog.Logger
-	// Home is the failure domain of the entry host.
-	Home domain.Name
-	// Lapsed is called with the address of each server whose entry expired, to check
+	// LocalDomain is the failure domain of the entry host.
+	LocalDomain domain.Name
+	// ProbeExpired is called with the address of each server whose entry expired, to check
 	// the server: some left for good during the outage.
-	Lapsed func(address string)
+	ProbeExpired func(address string)
 	// Config and Servers are the mirrors that the state is built from.
 	Config, Servers *mirror.Mirror
 
@@ -68,9 +68,9 @@
 	// suspects holds until when a server is avoided.
 	suspects map[string]time.Time
 	// slows holds the servers that say that they are slow.
-	slows map[string]Slow
+	slows map[string]SlowServer
 	// orders holds the orders to servers whose entries do not show them yet.
-	orders map[string]Order
+	orders map[string]Assignment
 	// cuts holds until when which failure domains do not reach which others.
 	cuts map[[2]domain.Name]time.Time
 	// back is when the object API answered again after an outage.
@@ -93,12 +93,12 @@
 }
 
 // Table returns the configuration in force, or nil before the first.
-func (s *State) Table() *route.Table {
+func (s *Local) Table() *route.Table {
 	return s.table.Load()
 }
 
 // View returns the backend servers.
-func (s *State) View() *fleet.View {
+func (s *Local) View() *fleet.View {
 	if v := s.view.Load(); v != nil {
 		return v
 	}
@@ -106,7 +106,7 @@
 }
 
 // Changed returns a channel that is closed at the next change of the view.
-func (s *State) Changed() <-chan struct{} {
+func (s *Local) Changed() <-chan struct{} {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	if s.changed == nil {
@@ -115,30 +115,30 @@
 	return s.changed
 }
 
-// Returned notes that the object API answers again after an outage.
-func (s *State) Returned(now time.Time) {
+// StoreRecovered notes that the object API answers again after an outage.
+func (s *Local) StoreRecovered(now time.Time) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	s.back = now
 }
 
-// Asking reports whether servers whose entries lapsed are being asked whether
+// Probing reports whether servers whose entries lapsed are being asked whether
 // they live. Those that do not answer are suspected by its end.
-func (s *State) Asking(now time.Time) bool {
+func (s *Local) Probing(now time.Time) bool {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	return now.Before(s.asked.Add(askFor))
 }
 
-// Lapsing reports whether servers are kept whose entries lapsed.
-func (s *State) Lapsing() bool {
+// KeepsExpired reports whether servers are kept whose entries lapsed.
+func (s *Local) KeepsExpired() bool {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	return len(s.lapsed) > 0
 }
 
 // ReadConfig takes the configuration from its mirror.
-func (s *State) ReadConfig(name string) {
+func (s *Local) ReadConfig(name string) {
 	for _, item := range s.Config.Items() {
 		if item.Name != name {
 			continue
@@ -152,7 +152,7 @@
 	}
 }
 
-func (s *State) takeTable(t *route.Table, revision uint64) {
+func (s *Local) takeTable(t *route.Table, revision uint64) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	old := s.table.Load()
@@ -165,7 +165,7 @@
 }
 
 // ReadServers takes the changes of the servers from their mirror.
-func (s *State) ReadServers(now time.Time) {
+func (s *Local) ReadServers(now time.Time) {
 	s.mu.Lock()
 	changes, whole := s.Servers.Since(s.read)
 	s.read = changes.Cursor
@@ -177,13 +177,13 @@
 	s.show(changes.Items, now)
 	s.mu.Unlock()
 	for _, address := range lapsed {
-		s.Lapsed(address)
+		s.ProbeExpired(address)
 	}
 }
 
 // decode reads the entries that changed. It returns the IDs of those that are
 // gone.
-func (s *State) decode(items []mirror.Item) (gone []string) {
+func (s *Local) decode(items []mirror.Object) (gone []string) {
 	if s.decoded == nil {
 		s.decoded = map[string]known{}
 		s.lapsed = map[string]keep{}
@@ -207,7 +207,7 @@
 			gone = append(gone, item.Name)
 			continue
 		}
-		if seen && server.Born.After(old.server.Born) {
+		if seen && server.StartedAt.After(old.server.StartedAt) {
 			// A new run under an old ID holds nothing, and nothing that was
 			// said of the old one holds for it.
 			delete(s.orders, item.Name)
@@ -224,7 +224,7 @@
 
 // missing returns the IDs of servers that a complete list does not show as they
 // were last decoded.
-func (s *State) missing(list []mirror.Item) (gone []string) {
+func (s *Local) missing(list []mirror.Object) (gone []string) {
 	listed := make(map[string]uint64, len(list))
 	for _, item := range list {
 		listed[item.Name] = item.Revision
@@ -239,7 +239,7 @@
 
 // drop forgets servers whose entries are gone, and keeps lapsed ones. It returns
 // the addresses of those that have just lapsed.
-func (s *State) drop(gone []string, now time.Time) (lapsed []string) {
+func (s *Local) drop(gone []string, now time.Time) (lapsed []string) {
 	gone = slices.DeleteFunc(gone, func(id string) bool {
 		_, seen := s.decoded[id]
 		return !seen
@@ -260,10 +260,10 @@
 	return lapsed
 }
 
-func (s *State) tell(old, now fleet.Server, seen bool, revision uint64) {
+func (s *Local) tell(old, now fleet.Server, seen bool, revision uint64) {
 	if !seen {
 		s.Log.Info("servers: new", "server", now.ID, "service", now.Service, "address", now.Address,
-			"domain", now.Domain, "card", now.Card, "revision", revision)
+			"domain", now.Domain, "card", now.Accelerator, "revision", revision)
 	}
 	if now.Leaving && !old.Leaving {
 		s.Log.Info("servers: leaving", "server", now.ID, "address", now.Address, "revision", revision)
--- a/entry/belief/doubt.go
+++ b/entry/belief/doubt.go
@@ -11,10 +11,10 @@
 
 // away suspects all servers of other failure domains of which several are
 // suspected. It returns the list, in which it replaces them.
-func (s *State) away(list []*fleet.Server) []*fleet.Server {
+func (s *Local) away(list []*fleet.Server) []*fleet.Server {
 	bad := map[domain.Name]int{}
 	for _, server := range list {
-		if server.Suspect && server.Domain != s.Home {
+		if server.Suspected && server.Domain != s.LocalDomain {
 			bad[server.Domain]++
 		}
 	}
@@ -38,9 +38,9 @@
 
 func suspectAll(list []*fleet.Server, d domain.Name) {
 	for i, server := range list {
-		if server.Domain == d && !server.Suspect {
+		if server.Domain == d && !server.Suspected {
 			suspect := *server
-			suspect.Suspect = true
+			suspect.Suspected = true
 			list[i] = &suspect
 		}
 	}
@@ -48,7 +48,7 @@
 
 // Suspect avoids a server until the given time. It reports whether that is
 // news.
-func (s *State) Suspect(id string, until, now time.Time) bool {
+func (s *Local) Suspect(id string, until, now time.Time) bool {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	if s.suspects == nil {
@@ -66,8 +66,8 @@
 	return false
 }
 
-// Clear ends the suspicion against a server that has just served.
-func (s *State) Clear(id string, now time.Time) {
+// ClearSuspicion ends the suspicion against a server that has just served.
+func (s *Local) ClearSuspicion(id string, now time.Time) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	if _, suspected := s.suspects[id]; suspected {
@@ -77,7 +77,7 @@
 }
 
 // Suspects returns until when which servers are avoided.
-func (s *State) Suspects() map[string]time.Time {
+func (s *Local) Suspects() map[string]time.Time {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	list := make(map[string]time.Time, len(s.suspects))
@@ -91,9 +91,9 @@
 // timed out on a healthy server of the other.
 const cutFor = 3 * time.Second
 
-// CutOff notes that servers of one failure domain do not reach those of
+// MarkUnreachable notes that servers of one failure domain do not reach those of
 // another.
-func (s *State) CutOff(from, to domain.Name, now time.Time) {
+func (s *Local) MarkUnreachable(from, to domain.Name, now time.Time) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	if s.cuts == nil {
@@ -106,9 +106,9 @@
 	s.cuts[[2]domain.Name{to, from}] = now.Add(cutFor)
 }
 
-// Cut reports whether servers of one failure domain are taken not to reach
+// Unreachable reports whether servers of one failure domain are taken not to reach
 // those of another.
-func (s *State) Cut(from, to domain.Name) bool {
+func (s *Local) Unreachable(from, to domain.Name) bool {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	until, known := s.cuts[[2]domain.Name{from, to}]
@@ -131,20 +131,20 @@
 	transitTime = 300 * time.Millisecond
 )
 
-// Slow is a server whose work takes longer than usual.
-type Slow struct {
+// SlowServer is a server whose work takes longer than usual.
+type SlowServer struct {
 	ID string
-	// Times is how many times as long as usual its work takes.
-	Times float64
+	// Factor is how many times as long as usual its work takes.
+	Factor float64
 	// Until is when that is forgotten.
 	Until time.Time
 }
 
-// Paced notes how many times as long as usual a server's work takes, as it says
+// RecordSlowness notes how many times as long as usual a server's work takes, as it says
 // itself. It reports whether the server was not known to be that slow.
-func (s *State) Paced(id string, times float64, now time.Time) (news bool) {
+func (s *Local) RecordSlowness(id string, times float64, now time.Time) (news bool) {
 	if times >= slowFrom {
-		return s.Slowed(Slow{ID: id, Times: times, Until: now.Add(slowFor)}, now)
+		return s.MergeSlow(SlowServer{ID: id, Factor: times, Until: now.Add(slowFor)}, now)
 	}
 	s.mu.Lock()
 	defer s.mu.Unlock()
@@ -156,9 +156,9 @@
 	return false
 }
 
-// Slowed notes that a server is slow. It reports whether it was not known to be
+// MergeSlow notes that a server is slow. It reports whether it was not known to be
 // that slow.
-func (s *State) Slowed(slow Slow, now time.Time) (news bool) {
+func (s *Local) MergeSlow(slow SlowServer, now time.Time) (news bool) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	old, known := s.slows[slow.ID]
@@ -166,19 +166,19 @@
 		return false
 	}
 	if s.slows == nil {
-		s.slows = map[string]Slow{}
+		s.slows = map[string]SlowServer{}
 	}
 	s.slows[slow.ID] = slow
-	if known && old.Times == slow.Times {
+	if known && old.Factor == slow.Factor {
 		return false
 	}
-	s.Log.Info("servers: slow", "server", slow.ID, "times", slow.Times)
+	s.Log.Info("servers: slow", "server", slow.ID, "times", slow.Factor)
 	s.refresh([]string{slow.ID}, false, now)
 	return true
 }
 
-// Slows returns the servers that are slow.
-func (s *State) Slows() []Slow {
+// SlowServers returns the servers that are slow.
+func (s *Local) SlowServers() []SlowServer {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	return slices.Collect(maps.Values(s.slows))
--- a/entry/belief/order.go
+++ b/entry/belief/order.go
@@ -6,8 +6,8 @@
 	"fuchsiashelf.dev/parts/fleet"
 )
 
-// Order is the range of layers that a server was ordered to hold.
-type Order struct {
+// Assignment is the range of layers that a server was ordered to hold.
+type Assignment struct {
 	ID         string
 	First, End int
 	// Until is when the order is forgotten, for want of an entry that shows it
@@ -19,15 +19,15 @@
 }
 
 // adjusted applies what is known beyond a server's own entry, to a copy.
-func (s *State) adjusted(id string, server fleet.Server, now time.Time) *fleet.Server {
+func (s *Local) adjusted(id string, server fleet.Server, now time.Time) *fleet.Server {
 	if until, suspected := s.suspects[id]; suspected {
-		server.Suspect = now.Before(until)
-		if !server.Suspect {
+		server.Suspected = now.Before(until)
+		if !server.Suspected {
 			delete(s.suspects, id)
 		}
 	}
-	server.Slowness = s.slows[id].Times
-	server.Takes = server.Holds()
+	server.SlowdownFactor = s.slows[id].Factor
+	server.MemoryLayers = server.LayerCount()
 	o, ordered := s.orders[id]
 	switch {
 	case !ordered:
@@ -35,12 +35,12 @@
 		delete(s.orders, id)
 	case o.Done:
 		server.First, server.End = o.First, o.End
-		server.Takes = server.Holds()
+		server.MemoryLayers = server.LayerCount()
 	default:
 		// Layers being given up accept no new requests, and layers being loaded take
 		// memory already.
-		server.Takes = max(server.Takes, o.End-o.First)
-		server.Moves = o.First < server.First || o.End > server.End
+		server.MemoryLayers = max(server.MemoryLayers, o.End-o.First)
+		server.AwaitsReload = o.First < server.First || o.End > server.End
 		server.First, server.End = max(server.First, o.First), min(server.End, o.End)
 		if server.First >= server.End {
 			server.First, server.End = 0, 0
@@ -49,13 +49,13 @@
 	return &server
 }
 
-// Ordered records an order, so that no request is sent for layers that the server
+// Assign records an order, so that no request is sent for layers that the server
 // gives up. It reports whether the order was unknown.
-func (s *State) Ordered(o Order, now time.Time) bool {
+func (s *Local) Assign(o Assignment, now time.Time) bool {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	if s.orders == nil {
-		s.orders = map[string]Order{}
+		s.orders = map[string]Assignment{}
 	}
 	old, known := s.orders[o.ID]
 	if known && !(o.Done && !old.Done) && (old.First == o.First && old.End == o.End || o.Until.Before(old.Until)) {
@@ -69,11 +69,11 @@
 	return true
 }
 
-// Orders returns the orders that are not shown as carried out yet.
-func (s *State) Orders() []Order {
+// Assignments returns the orders that are not shown as carried out yet.
+func (s *Local) Assignments() []Assignment {
 	s.mu.Lock()
 	defer s.mu.Unlock()
-	list := make([]Order, 0, len(s.orders))
+	list := make([]Assignment, 0, len(s.orders))
 	for _, o := range s.orders {
 		list = append(list, o)
 	}
--- a/entry/belief/publish.go
+++ b/entry/belief/publish.go
@@ -9,7 +9,7 @@
 )
 
 // show publishes changed entries, and drops what has expired meanwhile.
-func (s *State) show(items []mirror.Item, now time.Time) {
+func (s *Local) show(items []mirror.Object, now time.Time) {
 	ids, rebuild := s.expired(now)
 	v := s.View()
 	for _, item := range items {
@@ -20,23 +20,23 @@
 }
 
 // indexed reports whether the index of a view fits the entry of a server.
-func (s *State) indexed(v *fleet.View, id string) bool {
+func (s *Local) indexed(v *fleet.View, id string) bool {
 	shown := v.ByID(id)
 	k, known := s.decoded[id]
-	return shown != nil && known && k.server.Address == shown.Address && k.server.Service == shown.Service && k.server.Born.Equal(shown.Born)
+	return shown != nil && known && k.server.Address == shown.Address && k.server.Service == shown.Service && k.server.StartedAt.Equal(shown.StartedAt)
 }
 
 // refresh publishes the view after some servers changed; rebuild says that servers
 // were added or removed. Rebuilding the view for each order, suspicion and pace of
 // thousands of servers takes seconds of processor time.
-func (s *State) refresh(ids []string, rebuild bool, now time.Time) {
+func (s *Local) refresh(ids []string, rebuild bool, now time.Time) {
 	if rebuild {
 		s.publish(now)
 		return
 	}
 	v := s.View()
 	for _, id := range ids {
-		at, shown := v.Position(id)
+		at, shown := v.Index(id)
 		server, known := s.entry(id)
 		if !shown || !known {
 			s.expire(id, now)
@@ -48,7 +48,7 @@
 }
 
 // expire drops an expired suspicion or order of a server that does not exist.
-func (s *State) expire(id string, now time.Time) {
+func (s *Local) expire(id string, now time.Time) {
 	if until, known := s.suspects[id]; known && !now.Before(until) {
 		delete(s.suspects, id)
 	}
@@ -58,7 +58,7 @@
 }
 
 // publish makes the view from the decoded entries, suspicions and orders.
-func (s *State) publish(now time.Time) {
+func (s *Local) publish(now time.Time) {
 	list := make([]*fleet.Server, 0, len(s.decoded)+len(s.lapsed))
 	for id, k := range s.decoded {
 		list = append(list, s.adjusted(id, k.server, now))
@@ -76,7 +76,7 @@
 }
 
 // entry returns a server as its own entry shows it.
-func (s *State) entry(id string) (fleet.Server, bool) {
+func (s *Local) entry(id string) (fleet.Server, bool) {
 	if k, known := s.decoded[id]; known {
 		return k.server, true
 	}
@@ -85,9 +85,9 @@
 }
 
 // store publishes the adjusted servers. The view is one of the same servers.
-func (s *State) store(of *fleet.View) {
+func (s *Local) store(of *fleet.View) {
 	list := s.away(slices.Clone(s.adjustedServers))
-	s.view.Store(of.With(list))
+	s.view.Store(of.WithStates(list))
 	if s.changed != nil {
 		close(s.changed)
 		s.changed = nil
@@ -103,7 +103,7 @@
 )
 
 // Sweep drops suspicions, paces, orders and lapsed entries that have expired.
-func (s *State) Sweep(now time.Time) {
+func (s *Local) Sweep(now time.Time) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	if ids, lapsed := s.expired(now); lapsed || len(ids) > 0 {
@@ -113,7 +113,7 @@
 
 // expired returns the servers with an expired suspicion, pace or order, and whether
 // a server whose entry lapsed is to be removed.
-func (s *State) expired(now time.Time) (ids []string, lapsed bool) {
+func (s *Local) expired(now time.Time) (ids []string, lapsed bool) {
 	for id, until := range s.suspects {
 		if !now.Before(until) {
 			ids = append(ids, id)
--- a/entry/belief/scale_test.go
+++ b/entry/belief/scale_test.go
@@ -13,9 +13,9 @@
 )
 
 // many returns a belief of so many servers.
-func many(n int) *belief.State {
-	s := state()
-	var items []mirror.Item
+func many(n int) *belief.Local {
+	s := newLocal()
+	var items []mirror.Object
 	for i := range n {
 		items = append(items, item(name(i), 1, 1))
 	}
@@ -45,13 +45,13 @@
 	s := many(3000)
 	at, revision := start, uint64(1)
 	changes := map[string]func(){
-		"order":   func() { s.Ordered(belief.Order{ID: name(7), First: 0, End: 5, Until: at}, at) },
+		"order":   func() { s.Assign(belief.Assignment{ID: name(7), First: 0, End: 5, Until: at}, at) },
 		"suspect": func() { s.Suspect(name(8), at, at) },
-		"clear":   func() { s.Clear(name(8), at) },
-		"slow":    func() { s.Paced(name(9), float64(at.Unix()), at) },
+		"clear":   func() { s.ClearSuspicion(name(8), at) },
+		"slow":    func() { s.RecordSlowness(name(9), float64(at.Unix()), at) },
 		"entry": func() {
 			revision++
-			s.Servers.Merge(mirror.Batch{After: revision - 1, Cursor: revision, Items: []mirror.Item{item(name(10), revision, 1)}})
+			s.Servers.Merge(mirror.Batch{After: revision - 1, Cursor: revision, Items: []mirror.Object{item(name(10), revision, 1)}})
 			s.ReadServers(at)
 		},
 		"expiry": func() { s.Sweep(at) },
@@ -68,24 +68,24 @@
 // published.
 func TestChangesArePublishedOneByOne(t *testing.T) {
 	s := many(4)
-	s.Ordered(belief.Order{ID: name(0), First: 0, End: 4, Until: start.Add(time.Second)}, start)
+	s.Assign(belief.Assignment{ID: name(0), First: 0, End: 4, Until: start.Add(time.Second)}, start)
 	s.Suspect(name(1), start.Add(time.Second), start)
-	s.Paced(name(2), 12, start)
+	s.RecordSlowness(name(2), 12, start)
 	v := s.View()
 	qt.Check(t, v.ByID(name(0)).End, qt.Equals, 4)
-	qt.Check(t, v.ByID(name(1)).Suspect, qt.IsTrue)
-	qt.Check(t, v.ByID(name(2)).Slowness, qt.Equals, 12.0)
+	qt.Check(t, v.ByID(name(1)).Suspected, qt.IsTrue)
+	qt.Check(t, v.ByID(name(2)).SlowdownFactor, qt.Equals, 12.0)
 	s.Sweep(start.Add(time.Minute))
 	for _, server := range s.View().Servers {
 		qt.Check(t, server.End, qt.Equals, 10, qt.Commentf("%s", server.ID))
-		qt.Check(t, server.Suspect, qt.IsFalse, qt.Commentf("%s", server.ID))
-		qt.Check(t, server.Slowness, qt.Equals, 0.0, qt.Commentf("%s", server.ID))
+		qt.Check(t, server.Suspected, qt.IsFalse, qt.Commentf("%s", server.ID))
+		qt.Check(t, server.SlowdownFactor, qt.Equals, 0.0, qt.Commentf("%s", server.ID))
 	}
-	s.Servers.Merge(mirror.Batch{After: 1, Cursor: 3, Items: []mirror.Item{item("new", 2, 1), {Name: name(3), Revision: 3, Deleted: true}}})
+	s.Servers.Merge(mirror.Batch{After: 1, Cursor: 3, Items: []mirror.Object{item("new", 2, 1), {Name: name(3), Revision: 3, Deleted: true}}})
 	s.ReadServers(start.Add(time.Minute))
 	qt.Check(t, ids(s), qt.DeepEquals, []string{name(0), name(1), name(2), "new"})
 	qt.Check(t, v.ByID(name(3)), qt.IsNotNil)
-	s.Servers.Replace([]mirror.Item{item(name(1), 1, 1), item("new", 2, 1)}, 9)
+	s.Servers.Replace([]mirror.Object{item(name(1), 1, 1), item("new", 2, 1)}, 9)
 	s.ReadServers(start.Add(time.Minute))
 	qt.Check(t, ids(s), qt.DeepEquals, []string{name(1), "new"})
 }
@@ -96,12 +96,12 @@
 	// The deletion takes the revision of the answer that told of it.
 	for _, deletion := range []uint64{2, 3} {
 		s := many(2)
-		s.Servers.Merge(mirror.Batch{After: 1, Cursor: 3, Items: []mirror.Item{
+		s.Servers.Merge(mirror.Batch{After: 1, Cursor: 3, Items: []mirror.Object{
 			{Name: name(0), Revision: deletion, Deleted: true}, item(name(0), 3, anew),
 		}})
 		s.ReadServers(start)
 		qt.Assert(t, s.View().ByID(name(0)), qt.IsNotNil, qt.Commentf("deletion at %d", deletion))
-		qt.Assert(t, s.View().ByID(name(0)).Holds(), qt.Equals, 0)
+		qt.Assert(t, s.View().ByID(name(0)).LayerCount(), qt.Equals, 0)
 	}
 }
 
@@ -110,19 +110,19 @@
 func TestSlownessEndsDespiteTransitTimes(t *testing.T) {
 	one, other := many(1), many(1)
 	now := start
-	one.Paced(name(0), 12, now)
+	one.RecordSlowness(name(0), 12, now)
 	for range 60 {
-		for _, pair := range [][2]*belief.State{{one, other}, {other, one}} {
-			list := pair[0].Slows()
+		for _, pair := range [][2]*belief.Local{{one, other}, {other, one}} {
+			list := pair[0].SlowServers()
 			sent := now
 			now = now.Add(60 * time.Millisecond)
 			for _, slow := range list {
-				pair[1].Slowed(belief.Slow{ID: slow.ID, Times: slow.Times, Until: now.Add(slow.Until.Sub(sent))}, now)
+				pair[1].MergeSlow(belief.SlowServer{ID: slow.ID, Factor: slow.Factor, Until: now.Add(slow.Until.Sub(sent))}, now)
 			}
 		}
 		one.Sweep(now)
 		other.Sweep(now)
 	}
-	qt.Check(t, one.Slows(), qt.HasLen, 0)
-	qt.Check(t, other.Slows(), qt.HasLen, 0)
+	qt.Check(t, one.SlowServers(), qt.HasLen, 0)
+	qt.Check(t, other.SlowServers(), qt.HasLen, 0)
 }
--- a/entry/call/call.go
+++ b/entry/call/call.go
@@ -1,7 +1,7 @@
 // Package call holds what the parts of the request path hand to each other:
 // a caller's request, what is sent to a backend server, and its answer.
 //
-// The forms on the wire are the business of a [Codec] and of an [Engine].
+// The forms on the wire are the business of a [Codec] and of an [EngineClient].
 // Each outside system that the entry host runs in front of brings its own.
 package call
 
@@ -17,8 +17,8 @@
 	"fuchsiashelf.dev/parts/route"
 )
 
-// Ask is a caller's request.
-type Ask struct {
+// Request is a caller's request.
+type Request struct {
 	// ID names this attempt of the caller.
 	ID string
 	// Method, Host, Path and Target are those of the request line; Target is
@@ -29,36 +29,36 @@
 	Body   []byte
 	// Key is what the caller proves its team with; empty if it sent none.
 	Key string
-	// Patience is how long the caller waits; zero if it did not say.
-	Patience time.Duration
-	// Prompt is the number of prompt tokens, Most the highest number of tokens
-	// of the answer, and Hint the caller's guess of it; zero if not told.
-	Prompt, Most, Hint int
+	// Timeout is how long the caller waits; zero if it did not say.
+	Timeout time.Duration
+	// PromptTokens is the number of prompt tokens, MaxTokens the highest number of tokens
+	// of the answer, and TokensHint the caller's guess of it; zero if not told.
+	PromptTokens, MaxTokens, TokensHint int
 	// LastEvent is the last event that the caller has of a resumed stream.
 	LastEvent string
 	// Arrived is when the request had been read.
 	Arrived time.Time
 }
 
-// Answer returns the number of tokens that the answer is expected to have.
-func (a *Ask) Answer(e *route.Engine) int {
-	expected := a.Hint
+// ExpectedTokens returns the number of tokens that the answer is expected to have.
+func (a *Request) ExpectedTokens(e *route.Engine) int {
+	expected := a.TokensHint
 	if expected <= 0 {
-		expected = e.UsualAnswer
+		expected = e.MeanAnswer
 	}
-	if a.Most > 0 {
-		expected = min(expected, a.Most)
+	if a.MaxTokens > 0 {
+		expected = min(expected, a.MaxTokens)
 	}
 	return expected
 }
 
-// Send is what the entry host adds to a request that it passes on.
-type Send struct {
+// SendOptions is what the entry host adds to a request that it passes on.
+type SendOptions struct {
 	Server *fleet.Server
 	// Chain is nil for a plain service.
 	Chain hops.Chain
-	// Left is the time after which the answer is of no use; zero if unbounded.
-	Left time.Duration
+	// Timeout is the time after which the answer is of no use; zero if unbounded.
+	Timeout time.Duration
 	// Team is the name of the caller's team, if the request needs one.
 	Team string
 	// Priority is the rank of the request; negative means none.
@@ -78,26 +78,26 @@
 	// Misdirected says that the server is another than the one expected, or
 	// holds other layers.
 	Misdirected bool
-	// Fault is the address of the server of the chain that refused.
-	Fault string
-	// Leaving says that the backend server closes this connection.
-	Leaving bool
-	// Idle is how long the backend server keeps an unused connection; zero if
+	// RefusedBy is the address of the server of the chain that refused.
+	RefusedBy string
+	// Closing says that the backend server closes this connection.
+	Closing bool
+	// IdleTimeout is how long the backend server keeps an unused connection; zero if
 	// it did not say.
-	Idle time.Duration
+	IdleTimeout time.Duration
 }
 
 // Codec is the form of requests and answers of an outside system.
 type Codec interface {
-	// Ask reads a caller's request, all but its body. An error is a
+	// ParseRequest reads a caller's request, all but its body. An error is a
 	// *fault.Error with the status that the caller gets.
-	Ask(r *http.Request) (*Ask, error)
-	// Request builds what is sent to a backend server.
-	Request(a *Ask, s Send) *http.Request
-	// Reply reads the head of a backend server's answer.
-	Reply(r *http.Response) Reply
-	// Refuse writes when to come back into the header of a refusal.
-	Refuse(h http.Header, after time.Duration)
+	ParseRequest(r *http.Request) (*Request, error)
+	// NewRequest builds what is sent to a backend server.
+	NewRequest(a *Request, s SendOptions) *http.Request
+	// ParseReply reads the head of a backend server's answer.
+	ParseReply(r *http.Response) Reply
+	// SetRetryAfter writes when to come back into the header of a refusal.
+	SetRetryAfter(h http.Header, after time.Duration)
 }
 
 // Stalled is a request that waits for a server of its chain.
@@ -111,10 +111,10 @@
 // Report is what an engine says of itself. It is as old as the engine's
 // report lag.
 type Report struct {
-	// Born is the time of its start.
-	Born time.Time
-	// Orders counts the orders that it has begun to carry out since.
-	Orders uint64
+	// StartedAt is the time of its start.
+	StartedAt time.Time
+	// OrderCount counts the orders that it has begun to carry out since.
+	OrderCount uint64
 	// Busy says that an order is being carried out.
 	Busy bool
 	// First and End bound the layers that it holds.
@@ -127,70 +127,70 @@
 	Stalled []Stalled
 }
 
-// NoReport is the error of a question for a report to a server that answers
+// NoReportError is the error of a question for a report to a server that answers
 // and gives none: plain servers do not. It tells that the server lives.
-type NoReport struct {
+type NoReportError struct {
 	// Status is that of the answer.
 	Status int
 }
 
 // Error implements error.
-func (e *NoReport) Error() string {
+func (e *NoReportError) Error() string {
 	return fmt.Sprintf("no report: status %d", e.Status)
 }
 
-// Taken is the outcome of an order.
-type Taken uint8
+// OrderResult is the outcome of an order.
+type OrderResult uint8
 
 // The outcomes of an order.
 const (
-	// TakenUnknown means that no answer came: the order may be carried out
+	// OrderUnknown means that no answer came: the order may be carried out
 	// now, later, or not at all.
-	TakenUnknown Taken = iota
-	// TakenBegun means that it is being carried out or done.
-	TakenBegun
-	// TakenConflict means that the engine has had other orders since, or that
+	OrderUnknown OrderResult = iota
+	// OrderStarted means that it is being carried out or done.
+	OrderStarted
+	// OrderConflict means that the engine has had other orders since, or that
 	// the order does not fit its state.
-	TakenConflict
-	// TakenAbsent means that the engine does not know the request.
-	TakenAbsent
-	// TakenRefused means that the order can never be carried out.
-	TakenRefused
+	OrderConflict
+	// OrderNotFound means that the engine does not know the request.
+	OrderNotFound
+	// OrderRejected means that the order can never be carried out.
+	OrderRejected
 )
 
 const (
-	// ReportTime bounds a question that decides whether a server lives, or what
+	// ReportTimeout bounds a question that decides whether a server lives, or what
 	// it holds. An answer takes one to three milliseconds.
-	ReportTime = probe.LongWait
-	// OrderTime bounds an order, which is answered as fast.
-	OrderTime = 500 * time.Millisecond
+	ReportTimeout = probe.MaxTimeout
+	// OrderTimeout bounds an order, which is answered as fast.
+	OrderTimeout = 500 * time.Millisecond
 )
 
-// Engine gives orders to engines and asks for their reports.
-type Engine interface {
+// EngineClient gives orders to engines and asks for their reports.
+type EngineClient interface {
 	// Report asks a server for its report. The error is a *NoReport if it lives
 	// and gives none.
 	Report(ctx context.Context, address string) (Report, error)
 	// Place tells a server to hold the layers [first, end), if it has begun no
 	// order since its count of orders was the given one.
-	Place(ctx context.Context, s *fleet.Server, first, end int, orders uint64) (Taken, error)
+	Place(ctx context.Context, s *fleet.Server, first, end int, orders uint64) (OrderResult, error)
 	// Reroute changes the chain of a request that runs; its first part stays.
 	// If a server of the chain cannot take part, its address is returned.
-	Reroute(ctx context.Context, id string, chain hops.Chain) (taken Taken, at string, err error)
+	Reroute(ctx context.Context, id string, chain hops.Chain) (taken OrderResult, at string, err error)
 }
 
 // String returns the name of the outcome.
-func (t Taken) String() string {
+func (t OrderResult) String() string {
 	switch t {
-	case TakenBegun:
+	case OrderStarted:
 		return "begun"
-	case TakenConflict:
+	case OrderConflict:
 		return "conflict"
-	case TakenAbsent:
+	case OrderNotFound:
 		return "absent"
-	case TakenRefused:
+	case OrderRejected:
 		return "refused"
-	case TakenUnknown:
+	case OrderUnknown:
 		return "unknown"
 	}
 	return "unknown"
--- a/entry/call/job.go
+++ b/entry/call/job.go
@@ -12,7 +12,7 @@
 
 // Job is a request with what the configuration says of it.
 type Job struct {
-	*Ask
+	*Request
 	Route   *route.Route
 	Service *route.Service
 	// Version is that of the configuration that the request is served by.
@@ -23,12 +23,12 @@
 	Priority int
 	// Deadline is when the caller, or the operator, no longer waits.
 	Deadline time.Time
-	// Print tells copies of the request and resends from others.
-	Print poison.Fingerprint
+	// Fingerprint tells copies of the request and resends from others.
+	Fingerprint poison.Fingerprint
 }
 
-// Left returns the time to the deadline.
-func (j *Job) Left() time.Duration {
+// Remaining returns the time to the deadline.
+func (j *Job) Remaining() time.Duration {
 	return time.Until(j.Deadline)
 }
 
@@ -40,22 +40,22 @@
 	Error *fault.Error
 	// Sends counts the backend servers that the request was sent to.
 	Sends int
-	// Broken says that an answer was cut off after its header.
-	Broken bool
-	// First is the time to the answer's first bytes.
-	First time.Duration
+	// Truncated says that an answer was cut off after its header.
+	Truncated bool
+	// TimeToFirstByte is the time to the answer's first bytes.
+	TimeToFirstByte time.Duration
 	// Events is the number of events of a stream, and Gap the longest pause
 	// between two of them.
-	Events int
-	Gap    time.Duration
+	Events     int
+	LongestGap time.Duration
 	// Chain is the last chain of servers.
 	Chain string
 	// Server is the backend server that gave the answer.
 	Server string
 }
 
-// Gone reports whether the caller has left.
-func Gone(ctx context.Context) bool {
+// CallerGone reports whether the caller has left.
+func CallerGone(ctx context.Context) bool {
 	return context.Cause(ctx) == context.Canceled
 }
 
@@ -77,9 +77,9 @@
 	}
 }
 
-// Promises reports whether a status tells a caller that its request has not
+// StatusMeansNotRun reports whether a status tells a caller that its request has not
 // run and never will, on the strength of which it repeats what may run once.
-func Promises(status int) bool {
+func StatusMeansNotRun(status int) bool {
 	switch status {
 	case http.StatusServiceUnavailable, http.StatusTooManyRequests, http.StatusRequestTimeout, http.StatusMisdirectedRequest:
 		return true
@@ -87,10 +87,10 @@
 	return false
 }
 
-// Refuse answers a request that failed. Only an error that is known not to
+// WriteError answers a request that failed. Only an error that is known not to
 // have run gets a status which says so; a caller repeats on the strength of
 // it, and a request that may run once would run twice.
-func Refuse(w http.ResponseWriter, c Codec, e *fault.Error) int {
+func WriteError(w http.ResponseWriter, c Codec, e *fault.Error) int {
 	status := e.Status()
 	if e.Verdict != fault.NotRun {
 		switch status {
@@ -102,7 +102,7 @@
 	}
 	h := w.Header()
 	if e.Verdict == fault.NotRun && e.RetryAfter > 0 {
-		c.Refuse(h, e.RetryAfter)
+		c.SetRetryAfter(h, e.RetryAfter)
 	}
 	h.Set("Content-Type", "text/plain; charset=utf-8")
 	w.WriteHeader(status)
--- a/entry/front/front.go
+++ b/entry/front/front.go
@@ -24,31 +24,31 @@
 	"fuchsiashelf.dev/parts/route"
 )
 
-// Flow passes a request on and answers the caller.
-type Flow interface {
+// Forwarder passes a request on and answers the caller.
+type Forwarder interface {
 	Serve(ctx context.Context, w http.ResponseWriter, j *call.Job) call.Outcome
 }
 
 // Handler answers callers. Set the exported fields before use.
 type Handler struct {
 	Codec call.Codec
-	State *belief.State
+	State *belief.Local
 	// Streams serves services with engines, Plain all others.
-	Streams, Plain Flow
+	Streams, Plain Forwarder
 	Log            *slog.Logger
 	Meter          *Meter
 	// Tally holds the requests under which servers died.
-	Tally *poison.Tally
-	// Stopping says that the process is about to end: connections are closed
+	Tally *poison.Counter
+	// CloseConns says that the process is about to end: connections are closed
 	// after their answers.
-	Stopping atomic.Bool
-	// Refusing says that the process ends before a stream that comes now would:
+	CloseConns atomic.Bool
+	// RefuseStreams says that the process ends before a stream that comes now would:
 	// it is refused, so that its caller goes elsewhere at once instead of being
-	// cut off in the midst of its answer. Closing says the same of all requests.
-	Refusing, Closing atomic.Bool
-	// Elsewhere returns when a caller that was refused for that reason should
+	// cut off in the midst of its answer. RefuseAll says the same of all requests.
+	RefuseStreams, RefuseAll atomic.Bool
+	// RetryAfter returns when a caller that was refused for that reason should
 	// come again: when another entry host is likely to take it.
-	Elsewhere func() time.Duration
+	RetryAfter func() time.Duration
 
 	active atomic.Int64
 }
@@ -66,14 +66,14 @@
 func (h *Handler) ServeHTTP(w http.ResponseWriter, r *http.Request) {
 	h.active.Add(1)
 	defer h.active.Add(-1)
-	if h.Stopping.Load() {
+	if h.CloseConns.Load() {
 		w.Header().Set("Connection", "close")
 	}
 	start := time.Now()
 	j, err := h.job(w, r, start)
 	if err != nil {
 		e := fault.As(err)
-		out := call.Outcome{Error: e, Status: call.Refuse(w, h.Codec, e)}
+		out := call.Outcome{Error: e, Status: call.WriteError(w, h.Codec, e)}
 		h.note(j, r, out, start)
 		return
 	}
@@ -82,11 +82,11 @@
 		flow = h.Streams
 	}
 	out := flow.Serve(r.Context(), w, j)
-	if out.Error == nil && !out.Broken {
-		h.Tally.Served(j.Print, time.Now())
+	if out.Error == nil && !out.Truncated {
+		h.Tally.RecordSuccess(j.Fingerprint, time.Now())
 	}
 	h.note(j, r, out, start)
-	if out.Broken {
+	if out.Truncated {
 		// The connection is closed, so that a half answer looks like one.
 		panic(http.ErrAbortHandler)
 	}
@@ -94,14 +94,14 @@
 
 // job reads a request and finds out where it belongs.
 func (h *Handler) job(w http.ResponseWriter, r *http.Request, start time.Time) (*call.Job, error) {
-	if h.Closing.Load() {
+	if h.RefuseAll.Load() {
 		return nil, h.ends()
 	}
 	table := h.State.Table()
 	if table == nil {
 		return nil, &fault.Error{Code: fault.NoServer, Verdict: fault.NotRun, Message: "no configuration is known yet", RetryAfter: time.Second}
 	}
-	ask, err := h.Codec.Ask(r)
+	ask, err := h.Codec.ParseRequest(r)
 	if err != nil {
 		return nil, err
 	}
@@ -109,7 +109,7 @@
 	if matched == nil {
 		return nil, &fault.Error{Code: fault.NoRoute, Verdict: fault.NotRun, Message: "no route"}
 	}
-	j := &call.Job{Ask: ask, Route: matched, Version: table.Version, Priority: matched.Priority}
+	j := &call.Job{Request: ask, Route: matched, Version: table.Version, Priority: matched.Priority}
 	if table.NeedsKey(matched) {
 		team := table.Team(ask.Key)
 		if team == nil {
@@ -117,12 +117,12 @@
 		}
 		j.Team, j.Priority = team.Name, team.Priority
 	}
-	service, known := table.Services[matched.Pick(rand.Float64())]
+	service, known := table.Services[matched.ServiceFor(rand.Float64())]
 	if !known {
 		return nil, &fault.Error{Code: fault.NoServer, Verdict: fault.NotRun, Message: "the route's service is unknown", RetryAfter: time.Second}
 	}
 	j.Service = &service
-	if service.Engine != nil && h.Refusing.Load() {
+	if service.Engine != nil && h.RefuseStreams.Load() {
 		return j, h.ends()
 	}
 	j.Deadline = start.Add(patience(ask, matched))
@@ -131,8 +131,8 @@
 	if err != nil {
 		return j, err
 	}
-	j.Print = poison.Of(j.Team, ask.Method, ask.Host, ask.Target, string(ask.Body))
-	if h.Tally.Convicted(j.Print, start) {
+	j.Fingerprint = poison.NewFingerprint(j.Team, ask.Method, ask.Host, ask.Target, string(ask.Body))
+	if h.Tally.Blocked(j.Fingerprint, start) {
 		return j, &fault.Error{Code: fault.ServerFailed, Verdict: fault.MayHaveRun, Message: "each server that ran the request died"}
 	}
 	return j, nil
@@ -140,13 +140,13 @@
 
 // ends refuses a request that this process would not live to answer.
 func (h *Handler) ends() *fault.Error {
-	return &fault.Error{Code: fault.Draining, Verdict: fault.NotRun, Message: "this entry host ends", RetryAfter: h.Elsewhere()}
+	return &fault.Error{Code: fault.Draining, Verdict: fault.NotRun, Message: "this entry host ends", RetryAfter: h.RetryAfter()}
 }
 
-func patience(a *call.Ask, r *route.Route) time.Duration {
+func patience(a *call.Request, r *route.Route) time.Duration {
 	wait := longest
-	if a.Patience > 0 {
-		wait = min(wait, a.Patience)
+	if a.Timeout > 0 {
+		wait = min(wait, a.Timeout)
 	}
 	if r.Timeout > 0 {
 		wait = min(wait, r.Timeout)
@@ -189,20 +189,20 @@
 	took := time.Since(start)
 	h.Meter.note(j, out, took)
 	late := lateness(j, out)
-	attrs := []any{"status", out.Status, "took", took, "first", out.First}
+	attrs := []any{"status", out.Status, "took", took, "first", out.TimeToFirstByte}
 	if j != nil {
 		attrs = append(attrs, "request", j.ID, "route", j.Route.Name, "team", j.Team, "config", j.Version, "server", out.Server)
 	} else {
 		attrs = append(attrs, "path", r.URL.Path)
 	}
 	if out.Chain != "" {
-		attrs = append(attrs, "chain", out.Chain, "events", out.Events, "gap", out.Gap)
+		attrs = append(attrs, "chain", out.Chain, "events", out.Events, "gap", out.LongestGap)
 	}
-	if out.Error == nil && !out.Broken && late == onTime && out.Sends <= 1 {
+	if out.Error == nil && !out.Truncated && late == onTime && out.Sends <= 1 {
 		h.Log.Info("request: answered", attrs...)
 		return
 	}
-	attrs = append(attrs, "sends", out.Sends, "broken", out.Broken, "late", late)
+	attrs = append(attrs, "sends", out.Sends, "broken", out.Truncated, "late", late)
 	if out.Error != nil {
 		attrs = append(attrs, "verdict", out.Error.Verdict.String(), "after", out.Error.RetryAfter, "error", out.Error)
 	}
@@ -221,9 +221,9 @@
 	switch {
 	case j == nil:
 		return onTime
-	case over(out.First, j.Route.Target):
+	case over(out.TimeToFirstByte, j.Route.Target):
 		return lateFirst
-	case over(out.Gap, j.Route.Gap):
+	case over(out.LongestGap, j.Route.MaxGap):
 		return latePaused
 	}
 	return onTime
--- a/entry/front/meter.go
+++ b/entry/front/meter.go
@@ -27,8 +27,8 @@
 	kind := j.Route.Kind.String()
 	m.Count("requests." + kind)
 	m.time("took."+kind, took)
-	if out.First > 0 {
-		m.time("first."+kind, out.First)
+	if out.TimeToFirstByte > 0 {
+		m.time("first."+kind, out.TimeToFirstByte)
 	}
 	if out.Sends > 1 {
 		m.Count("repeats." + kind)
@@ -56,7 +56,7 @@
 
 func outcome(out call.Outcome) string {
 	switch {
-	case out.Broken:
+	case out.Truncated:
 		return "broken"
 	case out.Error != nil:
 		return string(out.Error.Code)
--- a/entry/front/server.go
+++ b/entry/front/server.go
@@ -39,7 +39,7 @@
 
 // Run accepts connections until Stop.
 func (s *Server) Run() {
-	s.Limit(usualLimits)
+	s.SetLimits(usualLimits)
 	for {
 		c, err := s.Listener.Accept()
 		if errors.Is(err, net.ErrClosed) {
@@ -60,8 +60,8 @@
 // acceptPause follows a failed accept, for want of descriptors for example.
 const acceptPause = 20 * time.Millisecond
 
-// Limit puts limits in force.
-func (s *Server) Limit(l route.Limits) {
+// SetLimits puts limits in force.
+func (s *Server) SetLimits(l route.Limits) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	same := s.queue != nil && l.HeaderBytes == s.limits.HeaderBytes && l.HeaderTime == s.limits.HeaderTime
--- a/entry/gossip/codec_test.go
+++ b/entry/gossip/codec_test.go
@@ -18,7 +18,7 @@
 	for i := range routes {
 		fmt.Fprintf(&spec, `{"name":"route-%d","host":"fide%d.example","prefix":"/ce%dmbz/","kind":"idempotent","timeout_ms":2000},`, i, i%40, i)
 	}
-	return &Message{Changes: []mirror.Batch{{Kind: "config", Cursor: 7, Items: []mirror.Item{{Name: "main", Revision: 7, Spec: []byte(spec.String())}}}}}
+	return &Message{Changes: []mirror.Batch{{Kind: "config", Cursor: 7, Items: []mirror.Object{{Name: "main", Revision: 7, Spec: []byte(spec.String())}}}}}
 }
 
 // Guards against a large configuration that fills the links of entry hosts when
--- a/entry/gossip/drpc.go
+++ b/entry/gossip/drpc.go
@@ -24,7 +24,7 @@
 	if err := stream.MsgRecv(asked, codec{}); err != nil {
 		return err
 	}
-	return errors.Join(stream.MsgSend(p.Answer(asked), codec{}), stream.CloseSend())
+	return errors.Join(stream.MsgSend(p.Respond(asked), codec{}), stream.CloseSend())
 }
 
 func (p *Peer) serve(ctx context.Context, l net.Listener) {
--- a/entry/gossip/gossip.go
+++ b/entry/gossip/gossip.go
@@ -58,29 +58,29 @@
 	// Seeds are addresses to begin with; they may be out of date.
 	Seeds   []string
 	Mirrors []*mirror.Mirror
-	Ledger  *hops.Ledger
+	Ledger  *hops.LoadTracker
 	// Starts holds how long requests wait at the first servers of chains.
-	Starts *hops.Starts
-	Tally  *poison.Tally
+	Starts *hops.StartLatency
+	Tally  *poison.Counter
 	Log    *slog.Logger
 	// Suspects returns the local suspicions, Suspected handles those of others.
 	Suspects  func() []Suspect
-	Suspected func(Suspect)
-	// Slows returns the known slow servers, Slowed handles those of others.
-	Slows  func() []Slow
-	Slowed func(Slow)
-	// Orders returns the known orders to servers, Ordered handles those of others.
-	Orders  func() []Order
-	Ordered func(Order)
-	// Changed is called when a mirror changed.
-	Changed func(kind string)
-	// Store reports whether the object API answers this entry host.
-	Store func() bool
+	OnSuspect func(Suspect)
+	// SlowServers returns the known slow servers, Slowed handles those of others.
+	SlowServers func() []SlowServer
+	OnSlow      func(SlowServer)
+	// Assignments returns the known orders to servers, Ordered handles those of others.
+	Assignments  func() []Assignment
+	OnAssignment func(Assignment)
+	// OnChange is called when a mirror changed.
+	OnChange func(kind string)
+	// StoreUp reports whether the object API answers this entry host.
+	StoreUp func() bool
 	// Leaving reports whether this entry host is about to end.
 	Leaving func() bool
-	// Waits reports whether changes of a kind are expected from the object API
+	// ExpectsFromStore reports whether changes of a kind are expected from the object API
 	// as well; if not, they are asked for at once.
-	Waits func(kind string) bool
+	ExpectsFromStore func(kind string) bool
 	// Random returns a number below n; nil means a random one.
 	Random func(n int) int
 
@@ -112,8 +112,8 @@
 	})
 }
 
-// Push exchanges with others at once.
-func (p *Peer) Push() {
+// Broadcast exchanges with others at once.
+func (p *Peer) Broadcast() {
 	p.init()
 	select {
 	case p.push <- struct{}{}:
@@ -273,13 +273,13 @@
 		return
 	}
 	c.failing = false
-	p.Take(received)
+	p.Merge(received)
 }
 
 func (p *Peer) self() Member {
 	self := p.Self
 	self.Seq = p.sent.Add(1)
-	self.Store = p.Store()
+	self.Store = p.StoreUp()
 	self.Leaving = p.Leaving()
 	self.Settled = p.Settled()
 	return self
--- a/entry/gossip/gossip_test.go
+++ b/entry/gossip/gossip_test.go
@@ -20,12 +20,12 @@
 	name := fmt.Sprintf("entry-%03d", n)
 	return &gossip.Peer{
 		Self: gossip.Member{Name: name, Address: name + ":1", Domain: domain.Name(fmt.Sprint(n % 5)), Boot: 1}, Mirrors: mirrors,
-		Ledger: &hops.Ledger{}, Starts: &hops.Starts{}, Tally: &poison.Tally{}, Log: slog.New(slog.DiscardHandler),
-		Suspects: func() []gossip.Suspect { return nil }, Suspected: func(gossip.Suspect) {},
-		Slows: func() []gossip.Slow { return nil }, Slowed: func(gossip.Slow) {},
-		Orders: func() []gossip.Order { return nil }, Ordered: func(gossip.Order) {},
-		Changed: func(string) {}, Waits: func(string) bool { return false },
-		Store: func() bool { return true }, Leaving: func() bool { return false },
+		Ledger: &hops.LoadTracker{}, Starts: &hops.StartLatency{}, Tally: &poison.Counter{}, Log: slog.New(slog.DiscardHandler),
+		Suspects: func() []gossip.Suspect { return nil }, OnSuspect: func(gossip.Suspect) {},
+		SlowServers: func() []gossip.SlowServer { return nil }, OnSlow: func(gossip.SlowServer) {},
+		Assignments: func() []gossip.Assignment { return nil }, OnAssignment: func(gossip.Assignment) {},
+		OnChange: func(string) {}, ExpectsFromStore: func(string) bool { return false },
+		StoreUp: func() bool { return true }, Leaving: func() bool { return false },
 	}
 }
 
@@ -38,13 +38,13 @@
 	peers := make([]*gossip.Peer, n)
 	for i := range peers {
 		peers[i] = peer(i)
-		peers[i].Take(&gossip.Message{From: peer(0).Self})
+		peers[i].Merge(&gossip.Message{From: peer(0).Self})
 	}
 	round := func() {
 		for i, p := range peers {
 			other := peers[random.IntN(n)]
 			if other != p {
-				p.Take(other.Answer(&gossip.Message{From: peers[i].Self}))
+				p.Merge(other.Respond(&gossip.Message{From: peers[i].Self}))
 			}
 		}
 	}
@@ -72,14 +72,14 @@
 // also when that one has nothing yet.
 func TestChangesAreHandedOn(t *testing.T) {
 	a, b := &mirror.Mirror{Kind: "config"}, &mirror.Mirror{Kind: "config"}
-	a.Replace([]mirror.Item{{Name: "main", Revision: 7, Spec: []byte("x")}}, 9)
+	a.Replace([]mirror.Object{{Name: "main", Revision: 7, Spec: []byte("x")}}, 9)
 	one, other := peer(1, a), peer(2, b)
 	ask := func() {
-		other.Take(one.Answer(&gossip.Message{From: other.Self, Cursors: map[string]uint64{"config": b.Cursor()}}))
+		other.Merge(one.Respond(&gossip.Message{From: other.Self, Cursors: map[string]uint64{"config": b.Cursor()}}))
 	}
 	ask()
 	qt.Assert(t, b.Items(), qt.DeepEquals, a.Items())
-	a.Merge(mirror.Batch{After: 9, Cursor: 12, Items: []mirror.Item{{Name: "main", Revision: 12, Spec: []byte("y")}}})
+	a.Merge(mirror.Batch{After: 9, Cursor: 12, Items: []mirror.Object{{Name: "main", Revision: 12, Spec: []byte("y")}}})
 	ask()
 	qt.Assert(t, b.Items(), qt.DeepEquals, a.Items())
 	qt.Assert(t, b.Cursor(), qt.Equals, uint64(12))
@@ -89,10 +89,10 @@
 // servers are slow.
 func TestSlowServersAreToldOn(t *testing.T) {
 	one, other := peer(1), peer(2)
-	slow := gossip.Slow{ID: "s", Times: 12, Left: time.Second}
-	one.Slows = func() []gossip.Slow { return []gossip.Slow{slow} }
-	var told []gossip.Slow
-	other.Slowed = func(s gossip.Slow) { told = append(told, s) }
-	other.Take(one.Answer(&gossip.Message{From: other.Self}))
-	qt.Assert(t, told, qt.DeepEquals, []gossip.Slow{slow})
+	slow := gossip.SlowServer{ID: "s", Times: 12, Left: time.Second}
+	one.SlowServers = func() []gossip.SlowServer { return []gossip.SlowServer{slow} }
+	var told []gossip.SlowServer
+	other.OnSlow = func(s gossip.SlowServer) { told = append(told, s) }
+	other.Merge(one.Respond(&gossip.Message{From: other.Self}))
+	qt.Assert(t, told, qt.DeepEquals, []gossip.SlowServer{slow})
 }
--- a/entry/gossip/lead.go
+++ b/entry/gossip/lead.go
@@ -16,13 +16,13 @@
 	return p.settled || time.Since(p.started) >= listenFor
 }
 
-// Leads reports whether this entry host places layers: the first by name of
+// IsLeader reports whether this entry host places layers: the first by name of
 // those that the object API answers, or of all if it answers none.
-func (p *Peer) Leads() bool {
+func (p *Peer) IsLeader() bool {
 	if p.Leaving() || !p.Settled() {
 		return false
 	}
-	mine := p.Store()
+	mine := p.StoreUp()
 	for _, m := range p.Alive() {
 		if m.Store && !mine {
 			return false
@@ -37,12 +37,12 @@
 // watcherAge is the age of the last message above which a watcher is not relied on.
 const watcherAge = 1200 * time.Millisecond
 
-// Ahead returns how many entry hosts of the failure domain come before this one
+// WatcherRank returns how many entry hosts of the failure domain come before this one
 // in the order in which they watch the object API. Those that it does not answer
 // count only while it does not answer this one either: then the first of them
 // try again for all, and the others put no load on it.
-func (p *Peer) Ahead() int {
-	mine := p.Store()
+func (p *Peer) WatcherRank() int {
+	mine := p.StoreUp()
 	ahead := 0
 	for _, m := range p.Alive() {
 		if m.Domain == p.Self.Domain && (m.Store || !mine) && m.Age < watcherAge && m.Name < p.Self.Name {
--- a/entry/gossip/lead_test.go
+++ b/entry/gossip/lead_test.go
@@ -19,12 +19,12 @@
 	name := fmt.Sprintf("entry-%03d", n)
 	return &Peer{
 		Self:   Member{Name: name, Address: name, Domain: domain.Name(fmt.Sprint(n % 5)), Boot: 1},
-		Ledger: &hops.Ledger{}, Starts: &hops.Starts{}, Tally: &poison.Tally{}, Log: slog.New(slog.DiscardHandler),
-		Suspects: func() []Suspect { return nil }, Suspected: func(Suspect) {},
-		Slows: func() []Slow { return nil }, Slowed: func(Slow) {},
-		Orders: func() []Order { return nil }, Ordered: func(Order) {},
-		Changed: func(string) {}, Waits: func(string) bool { return false },
-		Store: func() bool { return true }, Leaving: func() bool { return false },
+		Ledger: &hops.LoadTracker{}, Starts: &hops.StartLatency{}, Tally: &poison.Counter{}, Log: slog.New(slog.DiscardHandler),
+		Suspects: func() []Suspect { return nil }, OnSuspect: func(Suspect) {},
+		SlowServers: func() []SlowServer { return nil }, OnSlow: func(SlowServer) {},
+		Assignments: func() []Assignment { return nil }, OnAssignment: func(Assignment) {},
+		OnChange: func(string) {}, ExpectsFromStore: func(string) bool { return false },
+		StoreUp: func() bool { return true }, Leaving: func() bool { return false },
 	}
 }
 
@@ -41,7 +41,7 @@
 		p := tn.at(n)
 		for _, address := range p.partners(p.turn(time.Now())) {
 			if other := tn[address]; other != nil && other != p {
-				p.Take(other.Answer(p.message(nil)))
+				p.Merge(other.Respond(p.message(nil)))
 			}
 		}
 	}
@@ -64,7 +64,7 @@
 func (tn town) leaders() []string {
 	var list []string
 	for name, p := range tn {
-		if p.Leads() {
+		if p.IsLeader() {
 			list = append(list, name)
 		}
 	}
@@ -97,7 +97,7 @@
 		for i := range 80 {
 			for j := range 80 {
 				if i != j && i < 40 == (j < 40) {
-					tn.at(i).Take(tn.at(j).message(nil))
+					tn.at(i).Merge(tn.at(j).message(nil))
 				}
 			}
 		}
@@ -117,11 +117,11 @@
 		old, other, fresh := newPeer(1), newPeer(2), newPeer(0)
 		old.init()
 		time.Sleep(listenFor)
-		qt.Assert(t, old.Leads(), qt.IsTrue)
-		fresh.Take(other.message(nil))
-		qt.Assert(t, fresh.Leads(), qt.IsFalse)
-		fresh.Take(old.message(nil))
-		qt.Assert(t, fresh.Leads(), qt.IsTrue)
+		qt.Assert(t, old.IsLeader(), qt.IsTrue)
+		fresh.Merge(other.message(nil))
+		qt.Assert(t, fresh.IsLeader(), qt.IsFalse)
+		fresh.Merge(old.message(nil))
+		qt.Assert(t, fresh.IsLeader(), qt.IsTrue)
 	})
 }
 
@@ -134,7 +134,7 @@
 	for i := range peers {
 		p := newPeer(i)
 		p.Self.Domain = "a"
-		p.Store = func() bool { return up[p.Self.Name] }
+		p.StoreUp = func() bool { return up[p.Self.Name] }
 		p.init()
 		peers[i] = p
 	}
@@ -142,10 +142,10 @@
 		for i, p := range peers {
 			for _, other := range peers {
 				if other != p {
-					p.Take(other.message(nil))
+					p.Merge(other.message(nil))
 				}
 			}
-			if p.Ahead() < 2 {
+			if p.WatcherRank() < 2 {
 				list = append(list, i)
 			}
 		}
@@ -166,13 +166,13 @@
 	synctest.Test(t, func(t *testing.T) {
 		up := false
 		one, third, p := newPeer(1), newPeer(2), newPeer(3)
-		one.Store = func() bool { return up }
-		third.Take(one.message(nil))
+		one.StoreUp = func() bool { return up }
+		third.Merge(one.message(nil))
 		late := third.message(nil)
 		up = true
-		p.Take(one.message(nil))
+		p.Merge(one.message(nil))
 		time.Sleep(time.Second)
-		p.Take(late)
+		p.Merge(late)
 		for _, m := range p.Members() {
 			if m.Name == one.Self.Name {
 				qt.Check(t, m.Store, qt.IsTrue)
--- a/entry/gossip/member.go
+++ b/entry/gossip/member.go
@@ -40,7 +40,7 @@
 		c.close()
 		delete(p.clients, address)
 	}
-	p.Ledger.Tell(name, nil)
+	p.Ledger.SetRemote(name, nil)
 	p.Log.Info("peers: forgotten", "peer", name, "address", address)
 }
 
@@ -121,7 +121,7 @@
 		return
 	}
 	if m.Leaving && !known.Leaving {
-		p.Ledger.Tell(m.Name, nil)
+		p.Ledger.SetRemote(m.Name, nil)
 	}
 	known.Member = m
 	known.at = at
--- a/entry/gossip/message.go
+++ b/entry/gossip/message.go
@@ -15,8 +15,8 @@
 	Left time.Duration
 }
 
-// Slow is a server whose work takes longer than usual.
-type Slow struct {
+// SlowServer is a server whose work takes longer than usual.
+type SlowServer struct {
 	ID string
 	// Times is how many times as long as usual its work takes.
 	Times float64
@@ -24,8 +24,8 @@
 	Left time.Duration
 }
 
-// Order is the range of layers that a server was ordered to hold.
-type Order struct {
+// Assignment is the range of layers that a server was ordered to hold.
+type Assignment struct {
 	ID         string
 	First, End int
 	// Left is how long the order is remembered.
@@ -45,9 +45,9 @@
 	// Full is how much longer servers that refused requests count as full.
 	Full     map[string]time.Duration
 	Suspects []Suspect
-	Slows    []Slow
-	Orders   []Order
-	Marks    []poison.Mark
+	Slows    []SlowServer
+	Orders   []Assignment
+	Marks    []poison.Suspect
 	Changes  []mirror.Batch
 	// Whole holds the kinds whose batch is a complete list.
 	Whole map[string]bool
@@ -60,8 +60,8 @@
 func (p *Peer) message(theirs map[string]uint64) *Message {
 	m := &Message{
 		From: p.self(), Cursors: map[string]uint64{}, Members: p.sample(),
-		Load: p.Ledger.Own(), Waits: p.Starts.Waits(time.Now()), Full: p.Ledger.Full(time.Now()),
-		Suspects: p.Suspects(), Slows: p.Slows(), Orders: p.Orders(), Marks: p.Tally.Marks(time.Now()),
+		Load: p.Ledger.Local(), Waits: p.Starts.Waits(time.Now()), Full: p.Ledger.Saturated(time.Now()),
+		Suspects: p.Suspects(), Slows: p.SlowServers(), Orders: p.Assignments(), Marks: p.Tally.Suspects(time.Now()),
 	}
 	for _, mine := range p.Mirrors {
 		m.Cursors[mine.Kind] = mine.Cursor()
@@ -83,10 +83,10 @@
 	return m
 }
 
-// Answer merges a message and returns the answer, with the changes that the
+// Respond merges a message and returns the answer, with the changes that the
 // sender lacks. Changes that are missing here are pulled from the sender.
-func (p *Peer) Answer(m *Message) *Message {
-	p.Take(m)
+func (p *Peer) Respond(m *Message) *Message {
+	p.Merge(m)
 	for _, mine := range p.Mirrors {
 		if m.Cursors[mine.Kind] > mine.Cursor() {
 			p.pull(m.From.Address, mine, m.Cursors[mine.Kind])
@@ -106,7 +106,7 @@
 		return
 	}
 	wait := time.Duration(0)
-	if mine.Cursor() > 0 && p.Waits(mine.Kind) {
+	if mine.Cursor() > 0 && p.ExpectsFromStore(mine.Kind) {
 		wait = pullAfter
 	}
 	time.AfterFunc(wait, func() {
@@ -143,28 +143,28 @@
 	return len(p.pulls) > 0
 }
 
-// Take merges a message.
-func (p *Peer) Take(m *Message) {
+// Merge merges a message.
+func (p *Peer) Merge(m *Message) {
 	p.init()
 	p.learn(m)
 	if m.From.Name != p.Self.Name {
-		p.Ledger.Tell(m.From.Name, m.Load)
+		p.Ledger.SetRemote(m.From.Name, m.Load)
 	}
 	p.Starts.Merge(m.Waits, time.Now())
 	for id, left := range m.Full {
-		p.Ledger.RefusedElsewhere(id, left, time.Now())
+		p.Ledger.RecordRemoteRefusal(id, left, time.Now())
 	}
 	for _, s := range m.Suspects {
-		p.Suspected(s)
+		p.OnSuspect(s)
 	}
 	for _, slow := range m.Slows {
-		p.Slowed(slow)
+		p.OnSlow(slow)
 	}
 	for _, o := range m.Orders {
-		p.Ordered(o)
+		p.OnAssignment(o)
 	}
 	for _, mark := range m.Marks {
-		p.Tally.Take(mark, time.Now())
+		p.Tally.Merge(mark, time.Now())
 	}
 	for _, b := range m.Changes {
 		p.merge(b, m.Whole[b.Kind], m.From.Name)
@@ -184,7 +184,7 @@
 		}
 		if changed {
 			p.Log.Info("peers: changes taken over", "kind", b.Kind, "from", from, "revision", b.Cursor, "objects", len(b.Items))
-			p.Changed(b.Kind)
+			p.OnChange(b.Kind)
 		}
 	}
 }
--- a/entry/gossip/pull_test.go
+++ b/entry/gossip/pull_test.go
@@ -31,13 +31,13 @@
 func TestBriefAnswersHaveNoChanges(t *testing.T) {
 	p := newPeer(1)
 	config := &mirror.Mirror{Kind: "config"}
-	config.Replace([]mirror.Item{{Name: "main", Revision: 7}}, 7)
+	config.Replace([]mirror.Object{{Name: "main", Revision: 7}}, 7)
 	p.Mirrors = []*mirror.Mirror{config}
 	other := newPeer(2)
 	asked := &Message{From: other.Self, Cursors: map[string]uint64{"config": 3}}
-	qt.Check(t, p.Answer(asked).Changes, qt.HasLen, 1)
+	qt.Check(t, p.Respond(asked).Changes, qt.HasLen, 1)
 	asked.Brief = true
-	answer := p.Answer(asked)
+	answer := p.Respond(asked)
 	qt.Check(t, answer.Changes, qt.HasLen, 0)
 	qt.Check(t, answer.Cursors["config"], qt.Equals, uint64(7))
 }
--- a/entry/internal/crash/case.go
+++ b/entry/internal/crash/case.go
@@ -15,9 +15,9 @@
 	"fuchsiashelf.dev/parts/wire"
 )
 
-// Case is what the guard knows of one copy of a request. It is used by the
+// Tracker is what the guard knows of one copy of a request. It is used by the
 // one goroutine that carries the request.
-type Case struct {
+type Tracker struct {
 	guard   *Guard
 	request string
 	team    string
@@ -35,31 +35,31 @@
 	began time.Time
 }
 
-// Begin opens the case of a request, which the body tells from others of its
+// Track opens the case of a request, which the body tells from others of its
 // team. It refuses one that is convicted.
-func (g *Guard) Begin(request, team, pool string, body ...string) (*Case, *fault.Error) {
-	c := &Case{guard: g, request: request, team: team, pool: pool, body: body}
+func (g *Guard) Track(request, team, pool string, body ...string) (*Tracker, *fault.Error) {
+	c := &Tracker{guard: g, request: request, team: team, pool: pool, body: body}
 	if g == nil {
 		return c, nil
 	}
 	snap := g.View.Load()
-	if len(snap.Poison)+len(snap.Suspected) == 0 {
+	if len(snap.PoisonedRequests)+len(snap.SuspectedRequests) == 0 {
 		return c, nil
 	}
 	now := time.Now()
 	f := string(c.fingerprint())
-	if until := snap.Poison[f]; now.Before(until) {
+	if until := snap.PoisonedRequests[f]; now.Before(until) {
 		metrics.GetOrRegisterCounter("guard.refused", nil).Inc(1)
-		g.Trace.Add("guard", request, "request refused: it crashed two servers")
+		g.Trace.Record("guard", request, "request refused: it crashed two servers")
 		return nil, refusal(until, fault.NotRun)
 	}
-	c.watched = now.Before(snap.Suspected[f])
+	c.watched = now.Before(snap.SuspectedRequests[f])
 	return c, nil
 }
 
-func (c *Case) fingerprint() poison.Fingerprint {
+func (c *Tracker) fingerprint() poison.Fingerprint {
 	if c.mark == "" {
-		c.mark = poison.Of(c.team, c.body...)
+		c.mark = poison.NewFingerprint(c.team, c.body...)
 	}
 	return c.mark
 }
@@ -75,7 +75,7 @@
 
 // Admit calls choose until the request may run on the servers that it
 // returned last. A request that is not suspected runs on the first ones.
-func (c *Case) Admit(ctx context.Context, choose func() ([]string, *fault.Error)) *fault.Error {
+func (c *Tracker) Admit(ctx context.Context, choose func() ([]string, *fault.Error)) *fault.Error {
 	end := time.Now().Add(trialWait)
 	for {
 		c.began = time.Now()
@@ -85,14 +85,14 @@
 		}
 		reply := c.ask(ctx, &wire.PoisonAsk{Step: uint32(try), Servers: servers})
 		switch poison.Outcome(reply.Outcome) {
-		case poison.Free:
+		case poison.Allowed:
 			c.watched = false
 			return nil
-		case poison.Alone:
+		case poison.Isolated:
 			c.open = true
-			c.guard.Trace.Add("guard", c.request, "suspect tried alone")
+			c.guard.Trace.Record("guard", c.request, "suspect tried alone")
 			return nil
-		case poison.Convicted:
+		case poison.Blocked:
 			return c.guard.convict(c.request, c.fingerprint())
 		case poison.Wait:
 		}
@@ -105,10 +105,10 @@
 	}
 }
 
-// Failed tells that an attempt failed at a server. Progressed says that the
+// AttemptFailed tells that an attempt failed at a server. Progressed says that the
 // attempt had got a token. The error is the final answer, if the request must
 // not go on.
-func (c *Case) Failed(ctx context.Context, server, address string, progressed bool) *fault.Error {
+func (c *Tracker) AttemptFailed(ctx context.Context, server, address string, progressed bool) *fault.Error {
 	if c.guard == nil || address == "" || !c.guard.dead(ctx, address) {
 		return nil
 	}
@@ -117,18 +117,18 @@
 	}
 	reply := c.ask(ctx, &wire.PoisonAsk{Step: uint32(died), Server: server, Progressed: progressed})
 	outcome := poison.Outcome(reply.Outcome)
-	c.guard.Trace.Add("guard", c.request, "server "+server+" died under the request: "+outcome.String())
+	c.guard.Trace.Record("guard", c.request, "server "+server+" died under the request: "+outcome.String())
 	if int(reply.Count) > len(c.dead) {
 		// A death that is laid to another request is none of this one's, also
 		// not for the next entry host that keeps the book.
 		c.dead = append(c.dead, server)
 	}
-	c.watched = outcome == poison.Alone
+	c.watched = outcome == poison.Isolated
 	c.open = true
 	switch outcome {
-	case poison.Convicted:
+	case poison.Blocked:
 		return c.guard.convict(c.request, c.fingerprint())
-	case poison.Alone:
+	case poison.Isolated:
 		c.guard.Mesh.Mark(peer.Mark{
 			Kind: peer.PoisonRequest, Name: string(c.fingerprint()),
 			Until: time.Now().Add(suspectMark), Count: 1,
@@ -137,24 +137,24 @@
 	return nil
 }
 
-// Token tells that a token came: the request is cleared.
-func (c *Case) Token() {
+// Progressed tells that a token came: the request is cleared.
+func (c *Tracker) Progressed() {
 	if !c.open {
 		return
 	}
 	c.open, c.watched, c.dead = false, false, nil
 	c.ask(context.Background(), &wire.PoisonAsk{Step: uint32(passed)})
-	c.guard.Trace.Add("guard", c.request, "suspicion cleared by a token")
+	c.guard.Trace.Record("guard", c.request, "suspicion cleared by a token")
 }
 
 // Close ends the case. A trial without a result makes way for the next.
-func (c *Case) Close() {
+func (c *Tracker) Close() {
 	if c.open && c.watched {
 		c.ask(context.Background(), &wire.PoisonAsk{Step: uint32(gave)})
 	}
 }
 
-func (c *Case) ask(ctx context.Context, ask *wire.PoisonAsk) *wire.PoisonReply {
+func (c *Tracker) ask(ctx context.Context, ask *wire.PoisonAsk) *wire.PoisonReply {
 	ask.Pool, ask.Fingerprint = c.pool, string(c.fingerprint())
 	ask.Holder = c.guard.View.Load().Self + "/" + c.request
 	ask.Dead = c.dead
--- a/entry/internal/crash/guard.go
+++ b/entry/internal/crash/guard.go
@@ -28,14 +28,14 @@
 
 // Guard asks and keeps the books. Set the exported fields before first use.
 type Guard struct {
-	View   *view.Holder
+	View   *view.Publisher
 	Mesh   *mesh.Mesh
 	Engine *engine.Client
-	Trace  *trace.Line
+	Trace  *trace.Recorder
 	Log    *slog.Logger
 
 	mu    sync.Mutex
-	books map[string]*poison.Book
+	books map[string]*poison.Tracker
 	// gone holds servers that were found dead, and when.
 	gone map[string]time.Time
 }
@@ -61,17 +61,17 @@
 	probeWait = 100 * time.Millisecond
 )
 
-// Answer answers from the own books; the mesh hands it the questions of the
+// HandlePoison answers from the own books; the mesh hands it the questions of the
 // other entry hosts.
-func (g *Guard) Answer(ask *wire.PoisonAsk) *wire.PoisonReply {
+func (g *Guard) HandlePoison(ask *wire.PoisonAsk) *wire.PoisonReply {
 	g.mu.Lock()
 	defer g.mu.Unlock()
 	if g.books == nil {
-		g.books = map[string]*poison.Book{}
+		g.books = map[string]*poison.Tracker{}
 	}
 	book := g.books[ask.Pool]
 	if book == nil {
-		book = &poison.Book{}
+		book = &poison.Tracker{}
 		g.books[ask.Pool] = book
 	}
 	now := time.Now()
@@ -79,17 +79,17 @@
 	reply := &wire.PoisonReply{}
 	switch step(ask.Step) {
 	case died:
-		book.Learn(f, ask.Dead, now)
-		reply.Outcome = uint32(book.Died(f, ask.Server, ask.Progressed, now))
+		book.Merge(f, ask.Dead, now)
+		reply.Outcome = uint32(book.RecordCrash(f, ask.Server, ask.Progressed, now))
 	case try:
-		book.Learn(f, ask.Dead, now)
-		reply.Outcome = uint32(book.Try(f, ask.Holder, ask.Servers, now))
+		book.Merge(f, ask.Dead, now)
+		reply.Outcome = uint32(book.Acquire(f, ask.Holder, ask.Servers, now))
 	case passed:
-		book.Passed(f)
+		book.Clear(f)
 	case gave:
-		book.Gave(f, ask.Holder)
+		book.Release(f, ask.Holder)
 	}
-	reply.Count = uint32(book.Count(f))
+	reply.Count = uint32(book.Crashes(f))
 	return reply
 }
 
@@ -117,7 +117,7 @@
 		}
 		g.Log.Warn("guard: book not reached", "peer", p.Name, "err", err)
 	}
-	return g.Answer(ask)
+	return g.HandlePoison(ask)
 }
 
 func (g *Guard) askPeer(ctx context.Context, p view.Peer, ask *wire.PoisonAsk) (*wire.PoisonReply, error) {
@@ -149,13 +149,13 @@
 // convict tells everybody and returns the final answer.
 func (g *Guard) convict(request string, f poison.Fingerprint) *fault.Error {
 	metrics.GetOrRegisterCounter("guard.convicted", nil).Inc(1)
-	g.Trace.Add("guard", request, "request convicted: it crashed two servers")
+	g.Trace.Record("guard", request, "request convicted: it crashed two servers")
 	g.Log.Error("guard: request convicted", "request", request, "fingerprint", f)
-	until := time.Now().Add(poison.ConvictFor)
+	until := time.Now().Add(poison.BlockFor)
 	ctx, cancel := context.WithTimeout(context.Background(), tellWait)
 	defer cancel()
-	g.Mesh.Tell(ctx, peer.Mark{
-		Kind: peer.PoisonRequest, Name: string(f), Until: until, Count: poison.Deaths,
+	g.Mesh.Broadcast(ctx, peer.Mark{
+		Kind: peer.PoisonRequest, Name: string(f), Until: until, Count: poison.MaxCrashes,
 	})
 	return refusal(until, fault.MayHaveRun)
 }
--- a/entry/internal/gate/admission.go
+++ b/entry/internal/gate/admission.go
@@ -17,19 +17,19 @@
 // Admission lets requests through to their pools, each team by its quota. Set
 // the exported fields before first use. A nil Admission lets all through.
 type Admission struct {
-	View  *view.Holder
-	Trace *trace.Line
-	// Bounds are those of each pool's queue.
-	Bounds admit.Bounds
-	// Target is the mean wait of tokens at engines to aim at, in units of
+	View  *view.Publisher
+	Trace *trace.Recorder
+	// Limits are those of each pool's queue.
+	Limits admit.Limits
+	// TargetWait is the mean wait of tokens at engines to aim at, in units of
 	// their run time.
-	Target float64
+	TargetWait float64
 
-	// Others returns the requests per second of each team on other entry
+	// RemoteUsage returns the requests per second of each team on other entry
 	// hosts, as far as they have told; nil for none.
-	Others func() map[string]float64
+	RemoteUsage func() map[string]float64
 
-	rates admit.Rates
+	rates admit.RateLimiter
 	// doors holds a *admit.Door for each pool by its name.
 	doors sync.Map
 }
@@ -51,13 +51,13 @@
 		return admit.Grant{}, nil
 	}
 	// Counting the fleet walks the host list, which only a limit needs.
-	if in.team.Deal.Rate > 0 {
-		if e := a.rates.Take(time.Now(), in.team.Name, in.team.Deal, a.fleet(snap)); e != nil {
+	if in.team.Quota.Rate > 0 {
+		if e := a.rates.Allow(time.Now(), in.team.Name, in.team.Quota, a.fleet(snap)); e != nil {
 			return admit.Grant{}, a.refused(in, e)
 		}
 	}
-	grant, e := a.door(snap, in.pool).Enter(ctx, admit.Ask{
-		Team: in.team.Name, Weight: float64(in.team.Deal.Share), Cost: float64(in.cost),
+	grant, e := a.door(snap, in.pool).Admit(ctx, admit.Request{
+		Team: in.team.Name, Weight: float64(in.team.Quota.Share), Cost: float64(in.cost),
 		Bytes: in.bytes, Deadline: in.deadline,
 	})
 	if e != nil {
@@ -66,27 +66,27 @@
 	return grant, nil
 }
 
-// Usage returns the requests per second of each team here.
-func (a *Admission) Usage() map[string]float64 {
+// LocalUsage returns the requests per second of each team here.
+func (a *Admission) LocalUsage() map[string]float64 {
 	return a.rates.Usage(time.Now())
 }
 
 // fleet returns what is known of the other entry hosts.
-func (a *Admission) fleet(snap *view.Snapshot) admit.Fleet {
-	f := admit.Fleet{Listed: entryHosts(snap), Reached: 1}
+func (a *Admission) fleet(snap *view.Snapshot) admit.Peers {
+	f := admit.Peers{Listed: entryHosts(snap), Alive: 1}
 	for name, p := range snap.Peers {
 		if p.Alive && name != snap.Self && snap.Hosts[name].Role == host.Entry {
-			f.Reached++
+			f.Alive++
 		}
 	}
-	if a.Others != nil {
-		f.Others = func(team string) float64 { return a.Others()[team] }
+	if a.RemoteUsage != nil {
+		f.Rate = func(team string) float64 { return a.RemoteUsage()[team] }
 	}
 	return f
 }
 
 func (a *Admission) refused(in *entering, e *fault.Error) *fault.Error {
-	a.Trace.Add("gate", in.request, "refused: "+e.Error())
+	a.Trace.Record("gate", in.request, "refused: "+e.Error())
 	return e
 }
 
@@ -102,26 +102,26 @@
 )
 
 // door returns the door of a pool.
-func (a *Admission) door(snap *view.Snapshot, p pool.Pool) *admit.Door {
+func (a *Admission) door(snap *view.Snapshot, p pool.Pool) *admit.Controller {
 	if known, ok := a.doors.Load(p.Name); ok {
-		return known.(*admit.Door)
+		return known.(*admit.Controller)
 	}
 	servers := float64(len(p.Servers))
 	part := max(servers/float64(entryHosts(snap)), 1)
-	d := &admit.Door{Bounds: a.Bounds, Limit: admit.Limit{
-		Target: a.Target, Least: 1, Most: mostPerServer * servers,
+	d := &admit.Controller{Limits: a.Limits, Limiter: admit.Limiter{
+		Target: a.TargetWait, Min: 1, Max: mostPerServer * servers,
 		Value: max(startPerServer*part, leastStart),
 	}}
 	if p.IsPlain() {
-		d.Limit.Value = plainPerServer * part
+		d.Limiter.Value = plainPerServer * part
 	} else {
-		d.Measure = a.measure(p.Name)
+		d.MeasureWait = a.measure(p.Name)
 	}
 	held, found := a.doors.LoadOrStore(p.Name, d)
 	if !found {
 		show(p.Name, d)
 	}
-	return held.(*admit.Door)
+	return held.(*admit.Controller)
 }
 
 // priority returns the priority at engines. What waits at a full engine would
@@ -135,12 +135,12 @@
 }
 
 // known returns the door of a pool that a request has passed, or nil.
-func (a *Admission) known(name string) *admit.Door {
+func (a *Admission) known(name string) *admit.Controller {
 	if a == nil {
 		return nil
 	}
 	d, _ := a.doors.Load(name)
-	return d.(*admit.Door)
+	return d.(*admit.Controller)
 }
 
 // entryHosts returns how many entry hosts the platform lists, this one
--- a/entry/internal/gate/admission_test.go
+++ b/entry/internal/gate/admission_test.go
@@ -24,12 +24,12 @@
 			s.Hosts[name] = host.Host{Name: name, Role: host.Entry, State: host.Live}
 		}
 	})
-	return &Admission{View: holder, Target: 1.5, Bounds: admit.Bounds{Wait: time.Second, Requests: 10, Bytes: 1 << 20}}
+	return &Admission{View: holder, TargetWait: 1.5, Limits: admit.Limits{MaxWait: time.Second, MaxRequests: 10, MaxBytes: 1 << 20}}
 }
 
 func model(d quota.Quota) *entering {
 	return &entering{
-		request: "r1", team: team.Team{Name: "cantata", Deal: d},
+		request: "r1", team: team.Team{Name: "cantata", Quota: d},
 		pool: pool.Pool{Name: "lake", Model: "lotus", Servers: []string{"a1"}}, cost: 4,
 		deadline: time.Now().Add(time.Minute),
 	}
@@ -46,7 +46,7 @@
 	for range 100 {
 		grant, e := a.enter(context.Background(), snap, model(quota.Quota{Share: 1, Rate: 0.01, Burst: 40}))
 		if e == nil {
-			grant.Leave()
+			grant.Release()
 			passed++
 			continue
 		}
@@ -62,7 +62,7 @@
 func TestFullPoolRefusesAtOnce(t *testing.T) {
 	c := qt.New(t)
 	a := newAdmission("e1")
-	a.Bounds.Requests = 0
+	a.Limits.MaxRequests = 0
 	snap := a.View.Load()
 	var grants []admit.Grant
 	var last *fault.Error
@@ -75,7 +75,7 @@
 	c.Assert(len(grants), qt.Equals, startPerServer)
 	c.Assert(last.Code, qt.Equals, fault.Overloaded)
 	c.Assert(last.Verdict, qt.Equals, fault.NotRun)
-	grants[0].Leave()
+	grants[0].Release()
 	_, e := a.enter(context.Background(), snap, model(quota.Quota{Share: 1}))
 	c.Assert(e == nil, qt.IsTrue)
 }
@@ -85,6 +85,6 @@
 	var none *Admission
 	grant, e := none.enter(context.Background(), nil, model(quota.Quota{}))
 	c.Assert(e == nil, qt.IsTrue)
-	grant.Leave()
+	grant.Release()
 	c.Assert(none.known("lake"), qt.IsNil)
 }
--- a/entry/internal/gate/gate.go
+++ b/entry/internal/gate/gate.go
@@ -24,15 +24,15 @@
 	"fuchsiashelf.dev/parts/view"
 )
 
-// Gate answers callers. Set the exported fields, then add Routes.
-type Gate struct {
-	View  *view.Holder
-	Relay *relay.Relay
-	Pass  *pass.Pass
+// Handler answers callers. Set the exported fields, then add Routes.
+type Handler struct {
+	View  *view.Publisher
+	Relay *relay.Forwarder
+	Pass  *pass.Forwarder
 	// Admission holds requests back when their pool is full; nil lets all
 	// through.
 	Admission *Admission
-	Trace     *trace.Line
+	Trace     *trace.Recorder
 	Log       *slog.Logger
 	// MaxBody is the largest request body, in bytes.
 	MaxBody int
@@ -45,17 +45,17 @@
 // RequestHeader names the request in an answer.
 const RequestHeader = "Fuchsia-Request"
 
-// TooLarge answers a request whose body is too large.
-func (g *Gate) TooLarge(_ context.Context, c *app.RequestContext) {
+// RejectTooLarge answers a request whose body is too large.
+func (g *Handler) RejectTooLarge(_ context.Context, c *app.RequestContext) {
 	refuse(c, &fault.Error{
 		Code: fault.TooLarge, Verdict: fault.NotRun, Field: "body",
 		Message: fmt.Sprintf("larger than %d bytes", g.MaxBody),
 	})
 }
 
-// Draining answers a request that comes after this entry host has stopped
+// RejectDraining answers a request that comes after this entry host has stopped
 // taking callers.
-func (g *Gate) Draining(_ context.Context, c *app.RequestContext) {
+func (g *Handler) RejectDraining(_ context.Context, c *app.RequestContext) {
 	if string(c.Path()) == healthPath {
 		c.String(200, "ok\n")
 		return
@@ -69,16 +69,16 @@
 // healthPath is where a process is asked whether it lives.
 const healthPath = "/health"
 
-// Routes adds the callers' calls.
-func (g *Gate) Routes(h *server.Hertz) {
-	g.Health(h)
+// RegisterRoutes adds the callers' calls.
+func (g *Handler) RegisterRoutes(h *server.Hertz) {
+	g.RegisterHealth(h)
 	h.POST("/v1/generate", g.generate)
 	h.POST("/v1/tickets", g.ticket)
 	h.NoRoute(g.plain)
 }
 
-// Health adds the balancer's calls.
-func (g *Gate) Health(h *server.Hertz) {
+// RegisterHealth adds the balancer's calls.
+func (g *Handler) RegisterHealth(h *server.Hertz) {
 	h.GET(healthPath, func(_ context.Context, c *app.RequestContext) { c.String(200, "ok\n") })
 	h.GET("/ready", func(_ context.Context, c *app.RequestContext) {
 		if g.Ready() {
@@ -90,14 +90,14 @@
 }
 
 // next returns a request number that no other entry host gives.
-func (g *Gate) next(snap *view.Snapshot) string {
+func (g *Handler) next(snap *view.Snapshot) string {
 	return fmt.Sprintf("%s-%d", snap.Self, g.serial.Add(1))
 }
 
 func caller(c *app.RequestContext, snap *view.Snapshot) (team.Team, *fault.Error) {
 	token, found := strings.CutPrefix(string(c.GetHeader("Authorization")), "Bearer ")
 	if found {
-		if t, known := snap.Teams.Find(token); known {
+		if t, known := snap.Teams.ByToken(token); known {
 			return t, nil
 		}
 	}
@@ -162,7 +162,7 @@
 	}
 }
 
-func (g *Gate) generate(ctx context.Context, c *app.RequestContext) {
+func (g *Handler) generate(ctx context.Context, c *app.RequestContext) {
 	snap := g.View.Load()
 	who, e := caller(c, snap)
 	if e != nil {
@@ -187,15 +187,15 @@
 	}
 	request := g.next(snap)
 	c.Header(RequestHeader, request)
-	g.Trace.Add("gate", request, "took a model request of team "+who.Name)
+	g.Trace.Record("gate", request, "took a model request of team "+who.Name)
 	g.answer(ctx, c, snap, &entering{
 		request: request, team: who, pool: p, cost: in.Max,
-		bytes: len(c.Request.Body()), deadline: time.Now().Add(s.Limit()),
+		bytes: len(c.Request.Body()), deadline: time.Now().Add(s.EffectiveDeadline()),
 	}, in.Prompt)
 }
 
 // answer carries a model request once its pool has room.
-func (g *Gate) answer(ctx context.Context, c *app.RequestContext, snap *view.Snapshot, in *entering, prompt string) {
+func (g *Handler) answer(ctx context.Context, c *app.RequestContext, snap *view.Snapshot, in *entering, prompt string) {
 	out := &timed{answer: &answer{c: c}, began: time.Now()}
 	taken.Inc(1)
 	grant, e := g.Admission.enter(ctx, snap, in)
@@ -203,14 +203,14 @@
 		refuse(c, e)
 		return
 	}
-	defer grant.Leave()
+	defer grant.Release()
 	queueWait.UpdateSince(out.began)
 	open.Inc(1)
 	defer open.Dec(1)
 	out.door = g.Admission.known(in.pool.Name)
 	defer out.done()
-	count, e := g.Relay.Run(ctx, &relay.Ask{
-		Request: in.request, Team: in.team.Name, Pool: in.pool, Prompt: prompt, Max: in.cost,
+	count, e := g.Relay.Do(ctx, &relay.Request{
+		ID: in.request, Team: in.team.Name, Pool: in.pool, Prompt: prompt, MaxTokens: in.cost,
 		Deadline: in.deadline, Priority: priority(grant),
 	}, out)
 	if e != nil && out.count > 0 {
--- a/entry/internal/gate/measure.go
+++ b/entry/internal/gate/measure.go
@@ -42,7 +42,7 @@
 			continue
 		}
 		waited, at := m.Wait()
-		step := m.Step.Now()
+		step := m.Step.Current()
 		if step <= 0 || now.UnixNano()-at > int64(measureFor) {
 			continue
 		}
--- a/entry/internal/gate/meter.go
+++ b/entry/internal/gate/meter.go
@@ -25,14 +25,14 @@
 }
 
 // show puts what a door holds on the metrics page.
-func show(pool string, d *admit.Door) {
-	for name, of := range map[string]func(admit.Load) float64{
-		"limit":   func(l admit.Load) float64 { return l.Limit },
-		"running": func(l admit.Load) float64 { return float64(l.Running) },
-		"waiting": func(l admit.Load) float64 { return float64(l.Waiting) },
-		"wait":    func(l admit.Load) float64 { return l.Wait },
+func show(pool string, d *admit.Controller) {
+	for name, of := range map[string]func(admit.Stats) float64{
+		"limit":   func(l admit.Stats) float64 { return l.Limit },
+		"running": func(l admit.Stats) float64 { return float64(l.Running) },
+		"waiting": func(l admit.Stats) float64 { return float64(l.Waiting) },
+		"wait":    func(l admit.Stats) float64 { return l.Wait },
 	} {
-		gauge := metrics.NewFunctionalGaugeFloat64(func() float64 { return of(d.Load()) })
+		gauge := metrics.NewFunctionalGaugeFloat64(func() float64 { return of(d.Stats()) })
 		_ = metrics.Register("admit."+name+"."+pool, gauge)
 	}
 }
@@ -42,7 +42,7 @@
 // token costs a clock reading and no lock.
 type timed struct {
 	*answer
-	door        *admit.Door
+	door        *admit.Controller
 	began       time.Time
 	first, last time.Time
 	count       int
--- a/entry/internal/gate/plain.go
+++ b/entry/internal/gate/plain.go
@@ -21,7 +21,7 @@
 	"Te", "Trailer", "Transfer-Encoding", "Upgrade", "Proxy-Connection",
 }
 
-func (g *Gate) plain(ctx context.Context, c *app.RequestContext) {
+func (g *Handler) plain(ctx context.Context, c *app.RequestContext) {
 	snap := g.View.Load()
 	who, e := caller(c, snap)
 	if e != nil {
@@ -45,9 +45,9 @@
 	}
 	request := g.next(snap)
 	c.Header(RequestHeader, request)
-	g.Trace.Add("gate", request, "took a call of team "+who.Name)
+	g.Trace.Record("gate", request, "took a call of team "+who.Name)
 	taken.Inc(1)
-	deadline := time.Now().Add(s.Limit())
+	deadline := time.Now().Add(s.EffectiveDeadline())
 	grant, e := g.Admission.enter(ctx, snap, &entering{
 		request: request, team: who, pool: p, cost: 1, bytes: len(c.Request.Body()), deadline: deadline,
 	})
@@ -55,7 +55,7 @@
 		refuse(c, e)
 		return
 	}
-	defer grant.Leave()
+	defer grant.Release()
 	reply, e := g.Pass.Call(ctx, &pass.Call{
 		Request: request, Team: who.Name, ID: id,
 		Service: s, Pool: p, Method: string(c.Method()),
--- a/entry/internal/gate/ticket.go
+++ b/entry/internal/gate/ticket.go
@@ -14,7 +14,7 @@
 }
 
 // ticket answers a caller that asks for an id of its next call.
-func (g *Gate) ticket(_ context.Context, c *app.RequestContext) {
+func (g *Handler) ticket(_ context.Context, c *app.RequestContext) {
 	who, e := caller(c, g.View.Load())
 	if e != nil {
 		refuse(c, e)
--- a/entry/internal/mesh/call.go
+++ b/entry/internal/mesh/call.go
@@ -7,14 +7,14 @@
 	"fuchsiashelf.dev/parts/wire"
 )
 
-// Answerer answers other entry hosts about calls that may not be repeated.
-type Answerer interface {
+// CallHandler answers other entry hosts about calls that may not be repeated.
+type CallHandler interface {
 	Answer(ctx context.Context, ask *wire.CallAsk) *wire.CallReply
 }
 
 // Call implements the call of the other entry hosts.
 func (m *Mesh) Call(ctx context.Context, ask *wire.CallAsk) (*wire.CallReply, error) {
-	if !Same(ask.Secret, m.Secret) {
+	if !EqualSecrets(ask.Secret, m.Secret) {
 		return nil, peer.ErrSecret
 	}
 	if m.Calls == nil {
--- a/entry/internal/mesh/marks.go
+++ b/entry/internal/mesh/marks.go
@@ -25,7 +25,7 @@
 		refusing:  map[string]bool{},
 	}
 	for name, mark := range m.peer.Marks(peer.PoisonRequest) {
-		if mark.Count >= poison.Deaths {
+		if mark.Count >= poison.MaxCrashes {
 			told.poison[name] = mark
 		} else {
 			told.suspected[name] = mark
@@ -38,10 +38,10 @@
 		return
 	}
 	m.View.Update(func(s *view.Snapshot) {
-		s.Suspects = later(s.Suspects, told.suspects, now)
-		s.Poison = later(s.Poison, told.poison, now)
-		s.Suspected = later(s.Suspected, told.suspected, now)
-		s.SetOut(view.PeerWord, told.refusing)
+		s.SuspectedServers = later(s.SuspectedServers, told.suspects, now)
+		s.PoisonedRequests = later(s.PoisonedRequests, told.poison, now)
+		s.SuspectedRequests = later(s.SuspectedRequests, told.suspected, now)
+		s.SetCordoned(view.PeerReported, told.refusing)
 	})
 }
 
@@ -54,8 +54,8 @@
 // news reports whether the snapshot lacks any of the marks, or holds a peer's
 // word that has ended.
 func (t *toldMarks) news(snap *view.Snapshot) bool {
-	return !maps.Equal(snap.Outs[view.PeerWord], t.refusing) ||
-		grows(snap.Suspects, t.suspects) || grows(snap.Poison, t.poison) || grows(snap.Suspected, t.suspected)
+	return !maps.Equal(snap.CordonedBy[view.PeerReported], t.refusing) ||
+		grows(snap.SuspectedServers, t.suspects) || grows(snap.PoisonedRequests, t.poison) || grows(snap.SuspectedRequests, t.suspected)
 }
 
 func grows(old map[string]time.Time, marks map[string]peer.Mark) bool {
@@ -70,12 +70,12 @@
 // tellMarks marks what this entry host itself has seen. What it has only been
 // told is not told on as its own, or a word would keep itself alive.
 func (m *Mesh) tellMarks(snap *view.Snapshot, now time.Time) {
-	for name, until := range snap.Suspects {
+	for name, until := range snap.SuspectedServers {
 		m.peer.Mark(peer.Mark{Kind: peer.SuspectServer, Name: name, Until: until})
 	}
 	known := m.peer.Marks(peer.RefusingServer)
 	for _, source := range []view.Reason{view.Refusing, view.HostLeaving} {
-		for name := range snap.Outs[source] {
+		for name := range snap.CordonedBy[source] {
 			if known[name].Until.Sub(now) < refusingFor/2 {
 				m.peer.Mark(peer.Mark{Kind: peer.RefusingServer, Name: name, Until: now.Add(refusingFor)})
 			}
--- a/entry/internal/mesh/marks_test.go
+++ b/entry/internal/mesh/marks_test.go
@@ -16,10 +16,10 @@
 
 func newMesh(name string) *Mesh {
 	m := &Mesh{
-		View: view.New(name, "a"), Trace: &trace.Line{Process: name},
+		View: view.New(name, "a"), Trace: &trace.Recorder{Process: name},
 		Log: slog.New(slog.DiscardHandler), Secret: "s",
 	}
-	m.Make()
+	m.Init()
 	return m
 }
 
@@ -38,13 +38,13 @@
 func TestPeersWordTakesServerOut(t *testing.T) {
 	c := qt.New(t)
 	saw, heard := newMesh("e1"), newMesh("e2")
-	saw.View.Update(func(s *view.Snapshot) { s.MarkOut(view.Refusing, "a1") })
+	saw.View.Update(func(s *view.Snapshot) { s.Cordon(view.Refusing, "a1") })
 	now := time.Now()
 	saw.foldMarks(now)
 	_, err := heard.Exchange(context.Background(), digest(c, saw))
 	c.Assert(err, qt.IsNil)
 	heard.foldMarks(now)
-	c.Assert(heard.View.Load().Out["a1"], qt.Equals, view.PeerWord)
+	c.Assert(heard.View.Load().Cordoned["a1"], qt.Equals, view.PeerReported)
 
 	until := heard.peer.Marks(peer.RefusingServer)["a1"].Until
 	heard.foldMarks(until.Add(-time.Second))
@@ -61,14 +61,14 @@
 	_, err := heard.Exchange(context.Background(), digest(c, saw))
 	c.Assert(err, qt.IsNil)
 	heard.foldMarks(time.Now())
-	c.Assert(heard.View.Load().Poison, qt.HasLen, 0)
-	c.Assert(heard.View.Load().Suspected, qt.HasLen, 1)
+	c.Assert(heard.View.Load().PoisonedRequests, qt.HasLen, 0)
+	c.Assert(heard.View.Load().SuspectedRequests, qt.HasLen, 1)
 
 	saw.Mark(peer.Mark{Kind: peer.PoisonRequest, Name: "f00d", Until: until, Count: 2})
 	_, err = heard.Exchange(context.Background(), digest(c, saw))
 	c.Assert(err, qt.IsNil)
 	heard.foldMarks(time.Now())
-	c.Assert(heard.View.Load().Poison, qt.HasLen, 1)
+	c.Assert(heard.View.Load().PoisonedRequests, qt.HasLen, 1)
 }
 
 // Who lacks the secret must not learn what the entry hosts know.
--- a/entry/internal/mesh/mesh.go
+++ b/entry/internal/mesh/mesh.go
@@ -28,12 +28,12 @@
 type Mesh struct {
 	wire.DRPCEntryUnimplementedServer
 
-	View   *view.Holder
-	Trace  *trace.Line
+	View   *view.Publisher
+	Trace  *trace.Recorder
 	Log    *slog.Logger
 	Secret string
-	// Condition tells what Own adds to the snapshot.
-	Condition Condition
+	// Local tells what Own adds to the snapshot.
+	Local LocalState
 	// Address is host:port of the peers' listener.
 	Address string
 	// Domain is the failure domain of this entry host.
@@ -48,17 +48,17 @@
 	// Offer takes a configuration object that a peer has; nil drops it.
 	Offer func(value []byte, version uint64)
 	// Calls answers about calls that may not be repeated; nil answers none.
-	Calls Answerer
-	// Usages returns the rate of each team here, in requests per second; nil
+	Calls CallHandler
+	// LocalRates returns the rate of each team here, in requests per second; nil
 	// tells none.
-	Usages func() map[string]float64
+	LocalRates func() map[string]float64
 
-	// Judge answers the other entry hosts' questions about requests that
+	// HandlePoison answers the other entry hosts' questions about requests that
 	// crash servers; nil refuses them.
-	Judge func(*wire.PoisonAsk) *wire.PoisonReply
+	HandlePoison func(*wire.PoisonAsk) *wire.PoisonReply
 
 	peer   *peer.Peer
-	newer  chan peer.Newer
+	newer  chan peer.NewerConfig
 	change chan struct{}
 }
 
@@ -75,15 +75,15 @@
 	return errors.Join(err, <-served)
 }
 
-// Make prepares the mesh; call it once after the fields are set, before Run
+// Init prepares the mesh; call it once after the fields are set, before Run
 // and before other parts use the mesh.
-func (m *Mesh) Make() {
-	m.newer = make(chan peer.Newer, 1)
+func (m *Mesh) Init() {
+	m.newer = make(chan peer.NewerConfig, 1)
 	m.change = make(chan struct{}, 1)
 	m.peer = &peer.Peer{
 		Name: m.View.Load().Self, Address: m.Address, Domain: m.Domain,
 		Secret: m.Secret, TLS: m.TLS, Seeds: m.Seeds, Trace: m.Trace, Log: m.Log,
-		Hosts: m.hosts, Own: m.own, On: m.on,
+		Hosts: m.hosts, Local: m.own, OnEvent: m.on,
 	}
 }
 
@@ -95,14 +95,14 @@
 	return snap.Hosts
 }
 
-func (m *Mesh) own() peer.Own {
+func (m *Mesh) own() peer.LocalState {
 	snap := m.View.Load()
-	own := peer.Own{Drains: m.drains(snap)}
+	own := peer.LocalState{Drains: m.drains(snap)}
 	if snap.Config != nil {
 		own.Revision = snap.Config.Revision
 	}
-	if m.Usages != nil {
-		for team, rate := range m.Usages() {
+	if m.LocalRates != nil {
+		for team, rate := range m.LocalRates() {
 			own.Usages = append(own.Usages, peer.Usage{Team: team, Rate: rate})
 		}
 		slices.SortFunc(own.Usages, func(a, b peer.Usage) int {
@@ -134,12 +134,12 @@
 // left to fold.
 func (m *Mesh) on(e peer.Event) {
 	switch e := e.(type) {
-	case peer.Newer:
+	case peer.NewerConfig:
 		select {
 		case m.newer <- e:
 		default:
 		}
-	case peer.Marked, peer.Changed:
+	case peer.MarksReceived, peer.MembershipChanged:
 	}
 	select {
 	case m.change <- struct{}{}:
@@ -190,7 +190,7 @@
 const fetchWait = 2 * time.Second
 
 // fetch gets a newer configuration from the peer that told of it.
-func (m *Mesh) fetch(ctx context.Context, e peer.Newer) {
+func (m *Mesh) fetch(ctx context.Context, e peer.NewerConfig) {
 	after := m.own().Revision
 	if m.Offer == nil || e.Revision <= after {
 		return
@@ -206,9 +206,9 @@
 	if len(reply.Object) == 0 {
 		return
 	}
-	m.Trace.Add("mesh", "", "configuration fetched from "+e.From.Name)
+	m.Trace.Record("mesh", "", "configuration fetched from "+e.From.Name)
 	m.Offer(reply.Object, reply.Version)
-	m.peer.Wake()
+	m.peer.TriggerRound()
 }
 
 // Others returns the other entry hosts of the host list, and those that peers
@@ -239,16 +239,16 @@
 	return others
 }
 
-// Rates returns the requests per second of each team on all other entry
+// TeamRates returns the requests per second of each team on all other entry
 // hosts, as far as they have told. The map is read only.
-func (m *Mesh) Rates() map[string]float64 {
+func (m *Mesh) TeamRates() map[string]float64 {
 	return m.peer.Rates()
 }
 
-// Tell takes a mark and tells it to all living entry hosts at once; it returns
+// Broadcast takes a mark and tells it to all living entry hosts at once; it returns
 // when they have it or the context ends. The own snapshot has it on return.
-func (m *Mesh) Tell(ctx context.Context, mark peer.Mark) {
-	m.peer.Tell(ctx, mark)
+func (m *Mesh) Broadcast(ctx context.Context, mark peer.Mark) {
+	m.peer.Broadcast(ctx, mark)
 	m.foldMarks(time.Now())
 }
 
@@ -257,8 +257,8 @@
 	m.peer.Mark(mark)
 }
 
-// Ask asks another entry host for its status.
-func (m *Mesh) Ask(ctx context.Context, h host.Host) (*wire.StatusReply, error) {
+// PeerStatus asks another entry host for its status.
+func (m *Mesh) PeerStatus(ctx context.Context, h host.Host) (*wire.StatusReply, error) {
 	client, err := m.Client(ctx, h)
 	if err != nil {
 		return nil, err
--- a/entry/internal/mesh/serve.go
+++ b/entry/internal/mesh/serve.go
@@ -8,9 +8,9 @@
 	"fuchsiashelf.dev/parts/wire"
 )
 
-// Same compares secrets in constant time.
-func Same(a, b string) bool {
-	return peer.Same(a, b)
+// EqualSecrets compares secrets in constant time.
+func EqualSecrets(a, b string) bool {
+	return peer.SecretsEqual(a, b)
 }
 
 // Exchange implements the call of the other entry hosts.
@@ -25,13 +25,13 @@
 
 // Poison implements the call of the other entry hosts.
 func (m *Mesh) Poison(_ context.Context, ask *wire.PoisonAsk) (*wire.PoisonReply, error) {
-	if !Same(ask.Secret, m.Secret) {
+	if !EqualSecrets(ask.Secret, m.Secret) {
 		return nil, peer.ErrSecret
 	}
-	if m.Judge == nil {
+	if m.HandlePoison == nil {
 		return nil, errNoBook
 	}
-	return m.Judge(ask), nil
+	return m.HandlePoison(ask), nil
 }
 
 var errNoBook = errors.New("mesh: this entry host keeps no book of poison")
@@ -43,14 +43,14 @@
 
 // Timeline implements the call of the other entry hosts.
 func (m *Mesh) Timeline(_ context.Context, ask *wire.TimelineAsk) (*wire.TimelineReply, error) {
-	if !Same(ask.Secret, m.Secret) {
+	if !EqualSecrets(ask.Secret, m.Secret) {
 		return nil, peer.ErrSecret
 	}
 	reply := &wire.TimelineReply{}
 	events := m.Trace.Find(ask.Request)
 	for _, e := range events[max(0, len(events)-maxEvents):] {
 		reply.Events = append(reply.Events, &wire.Event{
-			Clock: e.Clock, Process: e.Process, Part: e.Part, Request: e.Request, What: e.What,
+			Clock: e.Clock, Process: e.Process, Part: e.Component, Request: e.Request, What: e.Message,
 		})
 	}
 	return reply, nil
--- a/entry/internal/mesh/status.go
+++ b/entry/internal/mesh/status.go
@@ -9,41 +9,41 @@
 	"fuchsiashelf.dev/parts/wire"
 )
 
-// Condition is what other parts tell of this entry host. Any may be nil.
-type Condition struct {
-	// Age is how long the object API has been silent here, and Heard whether
+// LocalState is what other parts tell of this entry host. Any may be nil.
+type LocalState struct {
+	// StoreSilence is how long the object API has been silent here, and Heard whether
 	// it ever answered.
-	Age   func() time.Duration
-	Heard func() bool
+	StoreSilence func() time.Duration
+	StoreSeen    func() bool
 	// Ready says that this entry host takes callers.
 	Ready func() bool
-	// Primed says that this entry host has gathered what is in force. Before
+	// Synced says that this entry host has gathered what is in force. Before
 	// that it confirms nothing, since it may still take something else.
-	Primed func() bool
-	// Take puts a configuration that was handed on in force, if it is newer.
-	Take func(object []byte) bool
+	Synced func() bool
+	// Apply puts a configuration that was handed on in force, if it is newer.
+	Apply func(object []byte) bool
 }
 
 // Status implements the call of the other entry hosts.
 func (m *Mesh) Status(_ context.Context, ask *wire.StatusAsk) (*wire.StatusReply, error) {
-	if !Same(ask.Secret, m.Secret) {
+	if !EqualSecrets(ask.Secret, m.Secret) {
 		return nil, peer.ErrSecret
 	}
-	if len(ask.Object) > 0 && m.Condition.Take != nil {
-		m.Condition.Take(ask.Object)
+	if len(ask.Object) > 0 && m.Local.Apply != nil {
+		m.Local.Apply(ask.Object)
 	}
-	reply := m.Own()
-	if ask.Line != "" && (m.Condition.Primed == nil || m.Condition.Primed()) {
+	reply := m.LocalStatus()
+	if ask.Line != "" && (m.Local.Synced == nil || m.Local.Synced()) {
 		_, reply.HasLine = m.View.Load().Config.Find(ask.Line)
 	}
 	return reply, nil
 }
 
-// Own returns the status of this entry host.
-func (m *Mesh) Own() *wire.StatusReply {
+// LocalStatus returns the status of this entry host.
+func (m *Mesh) LocalStatus() *wire.StatusReply {
 	snap := m.View.Load()
 	reply := &wire.StatusReply{Name: snap.Self, Incarnation: m.peer.Self().Incarnation}
-	m.Condition.add(reply)
+	m.Local.add(reply)
 	if snap.Config == nil {
 		return reply
 	}
@@ -56,11 +56,11 @@
 	return reply
 }
 
-func (c *Condition) add(reply *wire.StatusReply) {
-	if c.Age != nil {
-		reply.AgeMs = c.Age().Milliseconds()
+func (c *LocalState) add(reply *wire.StatusReply) {
+	if c.StoreSilence != nil {
+		reply.AgeMs = c.StoreSilence().Milliseconds()
 	}
-	if c.Heard != nil && !c.Heard() {
+	if c.StoreSeen != nil && !c.StoreSeen() {
 		reply.AgeMs = -1
 	}
 	if c.Ready != nil {
@@ -70,7 +70,7 @@
 
 // Config implements the call of the other entry hosts.
 func (m *Mesh) Config(_ context.Context, ask *wire.ConfigAsk) (*wire.ConfigReply, error) {
-	if !Same(ask.Secret, m.Secret) {
+	if !EqualSecrets(ask.Secret, m.Secret) {
 		return nil, peer.ErrSecret
 	}
 	snap := m.View.Load()
@@ -82,7 +82,7 @@
 		}
 	}
 	if ask.World && snap.HostsRevision > 0 {
-		return reply, watch.World(snap, reply)
+		return reply, watch.FillReply(snap, reply)
 	}
 	return reply, nil
 }
--- a/entry/internal/order/order.go
+++ b/entry/internal/order/order.go
@@ -25,22 +25,22 @@
 	"fuchsiashelf.dev/parts/view"
 )
 
-// Key is the key of the lease in the object API.
-const Key = "lease/orders"
+// LeaseKey is the key of the lease in the object API.
+const LeaseKey = "lease/orders"
 
-// Orders gives orders. Set the exported fields, then Run.
-type Orders struct {
-	View   *view.Holder
+// Controller gives orders. Set the exported fields, then Run.
+type Controller struct {
+	View   *view.Publisher
 	Store  store.API
 	Engine *engine.Client
-	Trace  *trace.Line
+	Trace  *trace.Recorder
 	Log    *slog.Logger
 	// Term is how long a renewal of the lease holds.
 	Term time.Duration
 	// Done is closed when Run has ended; nil if nobody waits.
 	Done chan struct{}
 
-	machine lease.Machine
+	machine lease.Candidate
 	pool    *ants.Pool
 	// noted are the engines that may be drained, as the next renewal of the
 	// lease says; ordered are those that this holder told to drain.
@@ -64,7 +64,7 @@
 )
 
 // Run contends for the lease and gives orders until the context ends.
-func (o *Orders) Run(ctx context.Context) error {
+func (o *Controller) Run(ctx context.Context) error {
 	if o.Done != nil {
 		defer close(o.Done)
 	}
@@ -74,7 +74,7 @@
 	}
 	defer pool.Release()
 	o.pool = pool
-	o.machine = lease.Machine{Self: o.View.Load().Self, Term: o.Term}
+	o.machine = lease.Candidate{Self: o.View.Load().Self, Term: o.Term}
 	tick := time.NewTicker(o.Term / ticks)
 	defer tick.Stop()
 	for {
@@ -91,7 +91,7 @@
 
 // contends reports whether this entry host is one of the few that try for the
 // lease (rendezvous hashing over the living ones), or still holds it.
-func (o *Orders) contends() bool {
+func (o *Controller) contends() bool {
 	if o.holds {
 		return true
 	}
@@ -102,12 +102,12 @@
 			names = append(names, p.Name)
 		}
 	}
-	weight := func(name string) uint64 { return xxhash.Sum64String(Key + "\x00" + name) }
+	weight := func(name string) uint64 { return xxhash.Sum64String(LeaseKey + "\x00" + name) }
 	slices.SortFunc(names, func(a, b string) int { return cmp.Compare(weight(b), weight(a)) })
 	return slices.Index(names, snap.Self) < contenders
 }
 
-func (o *Orders) round(ctx context.Context) {
+func (o *Controller) round(ctx context.Context) {
 	ctx, cancel := context.WithTimeout(ctx, o.Term/2)
 	defer cancel()
 	o.contend(ctx)
@@ -125,8 +125,8 @@
 }
 
 // contend reads the lease and writes it when it is time to.
-func (o *Orders) contend(ctx context.Context) {
-	object, err := o.Store.Get(ctx, Key)
+func (o *Controller) contend(ctx context.Context) {
+	object, err := o.Store.Get(ctx, LeaseKey)
 	if err != nil {
 		return
 	}
@@ -148,50 +148,50 @@
 	if err != nil {
 		return
 	}
-	version, err := o.Store.Put(ctx, Key, body, over)
+	version, err := o.Store.Put(ctx, LeaseKey, body, over)
 	o.machine.Wrote(version, err, time.Now())
 }
 
 // give gives the orders that are due and waits for their answers.
-func (o *Orders) give(ctx context.Context) {
+func (o *Controller) give(ctx context.Context) {
 	snap := o.View.Load()
 	if snap.HostsRevision == 0 {
 		return
 	}
-	o.noted = rules.Listed(o.noted, snap.Hosts)
-	o.ordered = rules.Listed(o.ordered, snap.Hosts)
-	due := o.recorded(rules.List(snap.Config, snap.Hosts, o.noted, o.ordered, time.Now()))
-	taken := make(chan rules.Due, len(due))
+	o.noted = rules.FilterListed(o.noted, snap.Hosts)
+	o.ordered = rules.FilterListed(o.ordered, snap.Hosts)
+	due := o.recorded(rules.Plan(snap.Config, snap.Hosts, o.noted, o.ordered, time.Now()))
+	taken := make(chan rules.Pending, len(due))
 	for _, d := range due {
 		err := o.pool.Submit(func() {
 			if !o.order(ctx, d) {
-				d = rules.Due{}
+				d = rules.Pending{}
 			}
 			taken <- d
 		})
 		if err != nil {
-			taken <- rules.Due{}
+			taken <- rules.Pending{}
 		}
 	}
 	for range due {
-		switch d := <-taken; d.Order {
+		switch d := <-taken; d.Kind {
 		case rules.Drain:
-			o.ordered = rules.With(o.ordered, d.Host.Name)
+			o.ordered = rules.Insert(o.ordered, d.Host.Name)
 		case rules.Load:
-			o.ordered = rules.Without(o.ordered, d.Host.Name)
-			o.noted = rules.Without(o.noted, d.Host.Name)
+			o.ordered = rules.Remove(o.ordered, d.Host.Name)
+			o.noted = rules.Remove(o.noted, d.Host.Name)
 		}
 	}
 }
 
 // recorded returns the orders that may be given now. A drain is first noted
 // in the lease, and given in the round after that.
-func (o *Orders) recorded(due []rules.Due) []rules.Due {
-	var ready []rules.Due
+func (o *Controller) recorded(due []rules.Pending) []rules.Pending {
+	var ready []rules.Pending
 	written := o.machine.Note()
 	for _, d := range due {
-		if d.Order == rules.Drain && !slices.Contains(written, d.Host.Name) {
-			o.noted = rules.With(o.noted, d.Host.Name)
+		if d.Kind == rules.Drain && !slices.Contains(written, d.Host.Name) {
+			o.noted = rules.Insert(o.noted, d.Host.Name)
 			o.machine.Renew()
 			continue
 		}
@@ -206,7 +206,7 @@
 // after. A successor waits until the lease is over, so an engine that takes
 // no order late takes none of this holder after one of the successor, also if
 // it checks no numbers.
-func (o *Orders) order(ctx context.Context, d rules.Due) bool {
+func (o *Controller) order(ctx context.Context, d rules.Pending) bool {
 	number, until, held := o.machine.Held(time.Now(), o.Term/leastPart)
 	if !held {
 		metrics.GetOrRegisterCounter("order.lapsed", nil).Inc(1)
@@ -215,20 +215,20 @@
 	deadline := until.Add(-o.Term / marginPart)
 	ctx, cancel := context.WithDeadline(ctx, deadline)
 	defer cancel()
-	o.note("", fmt.Sprintf("order %s for %s", d.Order, d.Host.Name))
+	o.note("", fmt.Sprintf("order %s for %s", d.Kind, d.Host.Name))
 	err := o.Engine.Order(ctx, d.Host.Address, &engine.Order{
-		Order: d.Order, Model: d.Host.Model, Holder: o.machine.Self,
+		Order: d.Kind, Model: d.Host.Model, Holder: o.machine.Self,
 		Number: number, DeadlineMs: time.Now().Add(time.Until(deadline)).UnixMilli(),
 	})
 	if err != nil {
-		o.note("", fmt.Sprintf("order %s for %s failed: %s", d.Order, d.Host.Name, fault.As(err).Error()))
-		o.Log.Warn("order: engine took no order", "order", d.Order, "server", d.Host.Name, "err", err)
+		o.note("", fmt.Sprintf("order %s for %s failed: %s", d.Kind, d.Host.Name, fault.As(err).Error()))
+		o.Log.Warn("order: engine took no order", "order", d.Kind, "server", d.Host.Name, "err", err)
 		return false
 	}
 	metrics.GetOrRegisterCounter("order.taken", nil).Inc(1)
 	return true
 }
 
-func (o *Orders) note(request, what string) {
-	o.Trace.Add("order", request, what)
+func (o *Controller) note(request, what string) {
+	o.Trace.Record("order", request, what)
 }
--- a/entry/internal/owner/answer.go
+++ b/entry/internal/owner/answer.go
@@ -12,7 +12,7 @@
 )
 
 // Answer answers another entry host. The secret has been checked.
-func (r *Owners) Answer(ctx context.Context, ask *wire.CallAsk) *wire.CallReply {
+func (r *Client) Answer(ctx context.Context, ask *wire.CallAsk) *wire.CallReply {
 	deadline := time.UnixMilli(ask.DeadlineMs)
 	ctx, cancel := context.WithDeadline(ctx, deadline)
 	defer cancel()
@@ -27,18 +27,18 @@
 }
 
 // standing tells what has become of a claimed call, and runs nothing.
-func (r *Owners) standing(ctx context.Context, ask *wire.CallAsk) *wire.CallReply {
+func (r *Client) standing(ctx context.Context, ask *wire.CallAsk) *wire.CallReply {
 	unknown := &wire.CallReply{Code: string(fault.NotFound), Verdict: fault.MayHaveRun.String()}
 	if ask.Incarnation != r.Pass.Holder.Incarnation {
 		return unknown
 	}
-	told := r.Pass.Standing(ctx, claim.KeyOf(ask.Team, ask.Id), ask.Nonce)
+	told := r.Pass.ClaimStatus(ctx, claim.KeyOf(ask.Team, ask.Id), ask.Nonce)
 	switch {
-	case told.Never:
+	case told.NeverSent:
 		return &wire.CallReply{Code: string(fault.NotFound), Verdict: fault.NotRun.String(), Never: true}
 	case told.Reply != nil:
 		return answer(told.Reply)
-	case told.Waiting:
+	case told.Pending:
 		unknown.RetryAfterMs = time.Second.Milliseconds()
 	}
 	return unknown
@@ -46,7 +46,7 @@
 
 // redeem runs a call under a ticket of this entry host. It goes by this
 // host's own configuration.
-func (r *Owners) redeem(ctx context.Context, ask *wire.CallAsk, deadline time.Time) (*pass.Reply, *fault.Error) {
+func (r *Client) redeem(ctx context.Context, ask *wire.CallAsk, deadline time.Time) (*pass.Reply, *fault.Error) {
 	if !ticket.Is(ask.Id) {
 		return nil, &fault.Error{Code: fault.BadRequest, Verdict: fault.MayHaveRun, Message: "not a ticket"}
 	}
--- a/entry/internal/owner/owner.go
+++ b/entry/internal/owner/owner.go
@@ -16,18 +16,18 @@
 	"fuchsiashelf.dev/parts/wire"
 )
 
-// Owners talks to the other entry hosts about calls. Set the exported fields
+// Client talks to the other entry hosts about calls. Set the exported fields
 // before first use.
-type Owners struct {
-	View   *view.Holder
+type Client struct {
+	View   *view.Publisher
 	Secret string
 	// Pass runs the calls of this entry host.
-	Pass *pass.Pass
+	Pass *pass.Forwarder
 	// Client returns a client of another entry host.
 	Client func(ctx context.Context, h host.Host) (wire.DRPCEntryClient, error)
 }
 
-var _ pass.Peers = (*Owners)(nil)
+var _ pass.Peers = (*Client)(nil)
 
 const (
 	// joinWait bounds the time that a caller waits for a holder's answer. A
@@ -45,7 +45,7 @@
 // call makes a call to another entry host, and gives it up when the peers
 // suspect that host. One that is frozen keeps its connections, so a caller
 // would otherwise wait for its whole deadline.
-func (r *Owners) call(ctx context.Context, h host.Host, ask *wire.CallAsk) (*wire.CallReply, error) {
+func (r *Client) call(ctx context.Context, h host.Host, ask *wire.CallAsk) (*wire.CallReply, error) {
 	ctx, cancel := context.WithCancel(ctx)
 	defer cancel()
 	go r.giveUp(ctx, cancel, h.Name)
@@ -58,7 +58,7 @@
 }
 
 // giveUp cancels a call to an entry host once that is no longer alive.
-func (r *Owners) giveUp(ctx context.Context, cancel context.CancelFunc, entry string) {
+func (r *Client) giveUp(ctx context.Context, cancel context.CancelFunc, entry string) {
 	for {
 		changed := r.View.Changed()
 		if p, known := r.View.Load().Peers[entry]; known && !p.Alive {
@@ -73,16 +73,16 @@
 	}
 }
 
-func (r *Owners) find(entry string) (host.Host, bool) {
+func (r *Client) find(entry string) (host.Host, bool) {
 	h, listed := r.View.Load().Hosts[entry]
 	return h, listed && h.Role == host.Entry
 }
 
-// Join implements pass.Peers.
-func (r *Owners) Join(ctx context.Context, holder claim.Holder, call *pass.Call, nonce uint64) pass.Told {
+// AwaitClaim implements pass.Peers.
+func (r *Client) AwaitClaim(ctx context.Context, holder claim.Holder, call *pass.Call, nonce uint64) pass.ClaimStatus {
 	h, listed := r.find(holder.Entry)
 	if !listed {
-		return pass.Told{}
+		return pass.ClaimStatus{}
 	}
 	end := time.Now().Add(joinWait)
 	if call.Deadline.Before(end) {
@@ -96,18 +96,18 @@
 	})
 	switch {
 	case err != nil:
-		return pass.Told{}
+		return pass.ClaimStatus{}
 	case reply.Never:
-		return pass.Told{Never: true}
+		return pass.ClaimStatus{NeverSent: true}
 	case reply.Code == "":
-		return pass.Told{Reply: received(reply)}
+		return pass.ClaimStatus{Reply: received(reply)}
 	}
-	return pass.Told{Waiting: reply.RetryAfterMs > 0}
+	return pass.ClaimStatus{Pending: reply.RetryAfterMs > 0}
 }
 
 // Forward implements pass.Peers. Whatever fails, the verdict is MayHaveRun:
 // an earlier call under the ticket may have run, and only its issuer knows.
-func (r *Owners) Forward(ctx context.Context, entry string, call *pass.Call) (*pass.Reply, *fault.Error) {
+func (r *Client) Forward(ctx context.Context, entry string, call *pass.Call) (*pass.Reply, *fault.Error) {
 	lost := func(message string, cause error) *fault.Error {
 		return &fault.Error{Code: fault.Repeated, Verdict: fault.MayHaveRun, Message: message, Cause: cause}
 	}
--- a/entry/internal/pass/attempt.go
+++ b/entry/internal/pass/attempt.go
@@ -27,18 +27,18 @@
 // repeat sends a call that may be repeated, to another server when one
 // fails. A repeat that may run a second time is paid for from the pool's
 // budget; one that nobody ran costs the servers next to nothing.
-func (p *Pass) repeat(ctx context.Context, call *Call) (*Reply, *fault.Error) {
+func (p *Forwarder) repeat(ctx context.Context, call *Call) (*Reply, *fault.Error) {
 	budget := p.budget(call.Pool.Name)
 	reply, e := p.attempts(ctx, call, func() bool { return ctx.Err() == nil }, func(e *fault.Error) bool {
-		return ctx.Err() == nil && (e.Verdict == fault.NotRun || budget.Take())
+		return ctx.Err() == nil && (e.Verdict == fault.NotRun || budget.Withdraw())
 	})
 	if e == nil {
-		budget.Earn(earned, 0)
+		budget.Deposit(earned, 0)
 	}
 	return reply, e
 }
 
-func (p *Pass) budget(pool string) *retry.Budget {
+func (p *Forwarder) budget(pool string) *retry.Budget {
 	if known, ok := p.budgets.Load(pool); ok {
 		return known.(*retry.Budget)
 	}
@@ -48,7 +48,7 @@
 
 // once sends a call that may not be repeated. It goes to another server only
 // when none of the earlier ones has run it.
-func (p *Pass) once(ctx context.Context, call *Call, may func() bool) (*Reply, *fault.Error) {
+func (p *Forwarder) once(ctx context.Context, call *Call, may func() bool) (*Reply, *fault.Error) {
 	return p.attempts(ctx, call, may, func(e *fault.Error) bool {
 		return e.Verdict == fault.NotRun && ctx.Err() == nil
 	})
@@ -56,7 +56,7 @@
 
 // attempts sends a call to one server after the other, as long as again says
 // so of the last error. The verdict joins those of all attempts.
-func (p *Pass) attempts(ctx context.Context, call *Call, may func() bool, again func(*fault.Error) bool) (*Reply, *fault.Error) {
+func (p *Forwarder) attempts(ctx context.Context, call *Call, may func() bool, again func(*fault.Error) bool) (*Reply, *fault.Error) {
 	verdict := fault.NotRun
 	tried := map[string]bool{}
 	var last *fault.Error
@@ -76,33 +76,33 @@
 			return nil, e
 		}
 		last = e
-		p.Trace.Add("pass", call.Request, "retry after: "+e.Error())
+		p.Trace.Record("pass", call.Request, "retry after: "+e.Error())
 		count("pass.retries")
 	}
 }
 
 // attempt sends a call to one server that was not tried yet.
-func (p *Pass) attempt(ctx context.Context, call *Call, tried map[string]bool, may func() bool) (*Reply, *fault.Error) {
+func (p *Forwarder) attempt(ctx context.Context, call *Call, tried map[string]bool, may func() bool) (*Reply, *fault.Error) {
 	snap := p.View.Load()
 	usable := servers(snap, call.Pool, tried)
 	if len(usable) == 0 {
 		return nil, noServer(call.Pool)
 	}
 	now := time.Now()
-	picker := &pick.Picker{
+	picker := &pick.ServerPicker{
 		Meters: snap.Meters,
-		Avoid:  func(name string) bool { return now.Before(snap.Suspects[name]) },
+		Avoid:  func(name string) bool { return now.Before(snap.SuspectedServers[name]) },
 		Rand:   rand.New(rand.NewPCG(rand.Uint64(), rand.Uint64())),
 	}
-	to := picker.One(usable)
+	to := picker.Pick(usable)
 	tried[to.Name] = true
-	if !p.View.Enter(to.Name) {
+	if !p.View.Acquire(to.Name) {
 		return nil, &fault.Error{
 			Code: fault.ServerRefused, Verdict: fault.NotRun, Server: to.Name,
 			Message: "the server is leaving", RetryAfter: time.Second,
 		}
 	}
-	defer p.View.Leave(to.Name)
+	defer p.View.Release(to.Name)
 	count("pass.attempts")
 	reply, e := send(ctx, call, to, may)
 	p.judge(snap.Meters[to.Name], to.Name, e)
@@ -114,7 +114,7 @@
 // that it looks the least busy of all: without this every second call would
 // meet it first, and wait for the connection to fail. It is still used when
 // there is no other.
-func (p *Pass) judge(m *server.Meter, name string, e *fault.Error) {
+func (p *Forwarder) judge(m *server.Meter, name string, e *fault.Error) {
 	if m == nil {
 		return
 	}
@@ -126,10 +126,10 @@
 	case fault.ServerFailed, fault.ServerRefused, fault.BrokenAnswer:
 		now := time.Now()
 		// All calls on a server fail with it at one time; that counts once.
-		if now.Before(p.View.Load().Suspects[name]) {
+		if now.Before(p.View.Load().SuspectedServers[name]) {
 			return
 		}
-		until := now.Add(health.Avoid(m.Failures.Add(1)))
+		until := now.Add(health.SuspectFor(m.Failures.Add(1)))
 		p.View.Update(func(s *view.Snapshot) { s.Suspect(name, until, now) })
 		p.Log.Warn("pass: server suspected", "server", name, "err", e)
 	}
@@ -139,7 +139,7 @@
 	var usable []host.Host
 	for _, name := range from.Servers {
 		h, listed := snap.Hosts[name]
-		_, out := snap.Out[name]
+		_, out := snap.Cordoned[name]
 		if listed && !out && !tried[name] {
 			usable = append(usable, h)
 		}
--- a/entry/internal/pass/attempt_test.go
+++ b/entry/internal/pass/attempt_test.go
@@ -21,7 +21,7 @@
 )
 
 // newPass returns a Pass that knows the servers of one pool.
-func newPass(servers map[string]string) (*Pass, pool.Pool) {
+func newPass(servers map[string]string) (*Forwarder, pool.Pool) {
 	holder := view.New("e1", "a")
 	of := pool.Pool{Name: "books"}
 	holder.Update(func(s *view.Snapshot) {
@@ -32,7 +32,7 @@
 		}
 		s.Hosts = hosts
 	})
-	return &Pass{View: holder, Trace: &trace.Line{}, Log: slog.New(slog.DiscardHandler)}, of
+	return &Forwarder{View: holder, Trace: &trace.Recorder{}, Log: slog.New(slog.DiscardHandler)}, of
 }
 
 // newBroken returns the address of a server that takes each call and closes
@@ -59,7 +59,7 @@
 
 func repeatable(of pool.Pool) *Call {
 	call := newCall("POST", "", "x")
-	call.Service, call.Pool = rule.Service{Name: "notes", Repeat: true}, of
+	call.Service, call.Pool = rule.Service{Name: "notes", Retryable: true}, of
 	return call
 }
 
--- a/entry/internal/pass/claimed.go
+++ b/entry/internal/pass/claimed.go
@@ -12,18 +12,18 @@
 
 // claimed runs a call under a claim, or finds what has become of it. ctx is
 // the caller's, work goes on without the caller.
-func (p *Pass) claimed(ctx, work context.Context, call *Call) (*Reply, *fault.Error) {
+func (p *Forwarder) claimed(ctx, work context.Context, call *Call) (*Reply, *fault.Error) {
 	key := claim.KeyOf(call.Team, call.ID)
 	body := claim.DigestOf(call.Method, call.URI, call.Body)
 	// Zero stands for no nonce.
 	nonce := rand.Uint64() | 1
 	now := time.Now()
-	f, own, over := p.table.Begin(key, body, nonce, now.Add(p.Terms.Expiry))
+	f, own, over := p.table.Begin(key, body, nonce, now.Add(p.ClaimTerms.Expiry))
 	if !own {
 		return p.join(ctx, work, call, f, body)
 	}
-	c := &claiming{Pass: p, call: call, flight: f, at: now, over: over, record: claim.Record{
-		Key: key, Body: body, Nonce: nonce, Holder: p.Holder, Until: p.Terms.Until(now),
+	c := &claiming{Forwarder: p, call: call, flight: f, at: now, over: over, record: claim.Record{
+		Key: key, Body: body, Nonce: nonce, Holder: p.Holder, Until: p.ClaimTerms.Until(now),
 	}}
 	c.run(work)
 	result := f.Result()
@@ -31,11 +31,11 @@
 }
 
 // join waits for a call that is under way on this entry host.
-func (p *Pass) join(ctx, work context.Context, call *Call, f *claim.Flight[end], body claim.Digest) (*Reply, *fault.Error) {
+func (p *Forwarder) join(ctx, work context.Context, call *Call, f *claim.Flight[end], body claim.Digest) (*Reply, *fault.Error) {
 	if f.Body != body {
 		return nil, reused()
 	}
-	p.Trace.Add("pass", call.Request, "joined the same call")
+	p.Trace.Record("pass", call.Request, "joined the same call")
 	select {
 	case <-f.Done:
 		result := f.Result()
@@ -48,7 +48,7 @@
 
 // claiming is one call on its way through a claim.
 type claiming struct {
-	*Pass
+	*Forwarder
 	call   *Call
 	flight *claim.Flight[end]
 	record claim.Record
@@ -66,7 +66,7 @@
 // run gives the flight a result.
 func (c *claiming) run(work context.Context) {
 	c.tries++
-	found, e := c.Claims.Take(work, claim.Take{Record: c.record, Over: c.over})
+	found, e := c.Claims.Acquire(work, claim.Take{Record: c.record, Replaces: c.over})
 	if e != nil {
 		c.unclaimed(work, found, e)
 		return
@@ -74,7 +74,7 @@
 	switch found := found.(type) {
 	case claim.Granted:
 		c.dispatch(work)
-	case claim.Ended:
+	case claim.Completed:
 		c.tell(replay(found.Record))
 	case claim.Reused:
 		c.tell(nil, reused())
@@ -89,9 +89,9 @@
 }
 
 // unclaimed ends a call whose claim could not be written.
-func (c *claiming) unclaimed(work context.Context, found claim.Finding, e *fault.Error) {
+func (c *claiming) unclaimed(work context.Context, found claim.OpResult, e *fault.Error) {
 	if c.call.Service.Guarded && work.Err() == nil {
-		c.Trace.Add("pass", c.call.Request, "sent without a claim, its servers refuse repeats")
+		c.Trace.Record("pass", c.call.Request, "sent without a claim, its servers refuse repeats")
 		c.dispatch(work)
 		return
 	}
@@ -99,9 +99,9 @@
 	// id ran is in the store, which can't be asked.
 	told := *e
 	told.Message += "; this sending was not run"
-	c.flight.End(end{err: &told}, true)
+	c.flight.Finish(end{err: &told}, true)
 	if _, doubt := found.(claim.Unknown); doubt {
-		c.forgetAfter(c.Claims.Forsake(claim.Void{Key: c.record.Key, Nonce: c.record.Nonce}), 0)
+		c.forgetAfter(c.Claims.Release(claim.Void{Key: c.record.Key, Nonce: c.record.Nonce}), 0)
 		return
 	}
 	c.table.Forget(c.flight)
@@ -118,13 +118,13 @@
 	reply, e := c.once(work, c.call, c.fresh)
 	switch {
 	case e == nil:
-		c.flight.End(end{reply: reply}, false)
+		c.flight.Finish(end{reply: reply}, false)
 		c.record.Done = time.Now().UnixMilli()
 		c.record.Outcome = outcome(reply)
 		c.forgetAfter(c.Claims.Settle(claim.Settle{Record: c.record}), c.kept())
 	case e.Verdict == fault.NotRun:
-		c.flight.End(end{err: e}, true)
-		c.forgetAfter(c.Claims.Forsake(claim.Void{Key: c.record.Key, Nonce: c.record.Nonce}), 0)
+		c.flight.Finish(end{err: e}, true)
+		c.forgetAfter(c.Claims.Release(claim.Void{Key: c.record.Key, Nonce: c.record.Nonce}), 0)
 	default:
 		// The claim stays: whoever comes back learns that the call may have
 		// run, and it is never sent again.
@@ -135,17 +135,17 @@
 // held ends a call that another flight has claimed, on this entry host in an
 // earlier run or on another one.
 func (c *claiming) held(work context.Context, r claim.Record) {
-	told := Told{}
+	told := ClaimStatus{}
 	if r.Holder != c.Holder {
-		told = c.Peers.Join(work, r.Holder, c.call, r.Nonce)
+		told = c.Peers.AwaitClaim(work, r.Holder, c.call, r.Nonce)
 	}
 	switch {
 	case told.Reply != nil:
 		c.tell(told.Reply, nil)
-	case told.Never && c.tries < maxClaims:
+	case told.NeverSent && c.tries < maxClaims:
 		c.over = r.Nonce
 		c.run(work)
-	case told.Waiting:
+	case told.Pending:
 		c.tell(nil, repeated("the same call is under way on "+r.Holder.Entry, time.Second))
 	default:
 		c.tell(nil, repeated("the call was taken by "+r.Holder.Entry+", which does not tell its outcome", 0))
@@ -155,7 +155,7 @@
 // tell ends a flight that has sent nothing under its own claim, or whose
 // claim says all that is known.
 func (c *claiming) tell(reply *Reply, e *fault.Error) {
-	c.flight.End(end{reply, e}, false)
+	c.flight.Finish(end{reply, e}, false)
 	c.table.Forget(c.flight)
 }
 
@@ -166,7 +166,7 @@
 	if c.record.Outcome == nil {
 		return 0
 	}
-	return claim.KeepOutcome
+	return claim.OutcomeTTL
 }
 
 // forgetAfter drops the flight some time after the store knows its end.
--- a/entry/internal/pass/pass.go
+++ b/entry/internal/pass/pass.go
@@ -24,15 +24,15 @@
 	"fuchsiashelf.dev/parts/view"
 )
 
-// Pass hands calls through. Set the exported fields, then Run.
-type Pass struct {
-	View  *view.Holder
-	Trace *trace.Line
+// Forwarder hands calls through. Set the exported fields, then Run.
+type Forwarder struct {
+	View  *view.Publisher
+	Trace *trace.Recorder
 	Log   *slog.Logger
 	// Claims writes claims.
 	Claims *claim.Writer
-	// Terms are the times that claims rest on.
-	Terms claim.Terms
+	// ClaimTerms are the times that claims rest on.
+	ClaimTerms claim.Timing
 	// Holder is this run of this entry host.
 	Holder claim.Holder
 	// Started is when this run began.
@@ -52,21 +52,21 @@
 
 // Peers asks other entry hosts about calls.
 type Peers interface {
-	// Join asks the holder of a claim what has become of its call, and waits
+	// AwaitClaim asks the holder of a claim what has become of its call, and waits
 	// a while for its answer.
-	Join(ctx context.Context, holder claim.Holder, call *Call, nonce uint64) Told
+	AwaitClaim(ctx context.Context, holder claim.Holder, call *Call, nonce uint64) ClaimStatus
 	// Forward hands a call to the entry host that issued its ticket.
 	Forward(ctx context.Context, entry string, call *Call) (*Reply, *fault.Error)
 }
 
-// Told is what a holder says of a call that it has claimed.
-type Told struct {
-	// Never says that the call was not sent and never will be.
-	Never bool
+// ClaimStatus is what a holder says of a call that it has claimed.
+type ClaimStatus struct {
+	// NeverSent says that the call was not sent and never will be.
+	NeverSent bool
 	// Reply is the answer, if it has come.
 	Reply *Reply
-	// Waiting says that the holder is there and the call is under way.
-	Waiting bool
+	// Pending says that the holder is there and the call is under way.
+	Pending bool
 }
 
 // Call is a call of a caller.
@@ -106,7 +106,7 @@
 
 // Run forgets calls that can't be sent again any more, until the context
 // ends.
-func (p *Pass) Run(ctx context.Context) error {
+func (p *Forwarder) Run(ctx context.Context) error {
 	defer close(p.Done)
 	tick := time.NewTicker(sweepTick)
 	defer tick.Stop()
@@ -122,23 +122,23 @@
 
 // Call hands a call through and returns the answer, or the error that the
 // caller is to see.
-func (p *Pass) Call(ctx context.Context, call *Call) (*Reply, *fault.Error) {
+func (p *Forwarder) Call(ctx context.Context, call *Call) (*Reply, *fault.Error) {
 	reply, e := p.route(ctx, call)
 	if e != nil {
-		p.Trace.Add("pass", call.Request, "refused: "+e.Verdict.String()+": "+e.Error())
+		p.Trace.Record("pass", call.Request, "refused: "+e.Verdict.String()+": "+e.Error())
 		count("pass.refused." + e.Verdict.String())
 	}
 	return reply, e
 }
 
-func (p *Pass) route(ctx context.Context, call *Call) (*Reply, *fault.Error) {
-	if call.Service.Repeat {
+func (p *Forwarder) route(ctx context.Context, call *Call) (*Reply, *fault.Error) {
+	if call.Service.Retryable {
 		ctx, cancel := context.WithDeadline(ctx, call.Deadline)
 		defer cancel()
 		return p.repeat(ctx, call)
 	}
 	// A claim outlives any call by far only if no call lasts longer.
-	if latest := time.Now().Add(p.Terms.Longest); call.Deadline.After(latest) {
+	if latest := time.Now().Add(p.ClaimTerms.MaxDeadline); call.Deadline.After(latest) {
 		call.Deadline = latest
 	}
 	// A call that was sent runs on without its caller, to learn its outcome.
@@ -149,7 +149,7 @@
 		return p.ticketed(ctx, work, call)
 	case call.ID != "":
 		return p.claimed(ctx, work, call)
-	case call.Service.FreeID:
+	case call.Service.OptionalID:
 		return p.once(work, call, func() bool { return time.Now().Before(call.Deadline) })
 	}
 	return nil, &fault.Error{
--- a/entry/internal/pass/ticketed.go
+++ b/entry/internal/pass/ticketed.go
@@ -11,7 +11,7 @@
 )
 
 // Issue returns a ticket of this entry host for a call of a team.
-func (p *Pass) Issue(team string) (string, error) {
+func (p *Forwarder) Issue(team string) (string, error) {
 	count("pass.tickets")
 	return p.Signer.Issue(ticket.Ticket{
 		Entry: p.Holder.Entry, Incarnation: p.Holder.Incarnation,
@@ -21,7 +21,7 @@
 
 // Redeem runs a call under a ticket of this entry host that came in at
 // another.
-func (p *Pass) Redeem(ctx context.Context, call *Call) (*Reply, *fault.Error) {
+func (p *Forwarder) Redeem(ctx context.Context, call *Call) (*Reply, *fault.Error) {
 	t, err := p.Signer.Parse(call.ID, call.Team)
 	if err != nil || t.Entry != p.Holder.Entry {
 		return nil, repeated("not a ticket of this entry host", 0)
@@ -31,7 +31,7 @@
 
 // ticketed runs a call under a ticket of this entry host, and hands any
 // other to the issuer of its ticket.
-func (p *Pass) ticketed(ctx, work context.Context, call *Call) (*Reply, *fault.Error) {
+func (p *Forwarder) ticketed(ctx, work context.Context, call *Call) (*Reply, *fault.Error) {
 	t, err := p.Signer.Parse(call.ID, call.Team)
 	if err != nil {
 		return nil, &fault.Error{
@@ -39,7 +39,7 @@
 		}
 	}
 	if t.Entry != p.Holder.Entry {
-		p.Trace.Add("pass", call.Request, "handed to "+t.Entry+", which issued its ticket")
+		p.Trace.Record("pass", call.Request, "handed to "+t.Entry+", which issued its ticket")
 		return p.Peers.Forward(work, t.Entry, call)
 	}
 	// A ticket of an earlier run: whether the call ran is forgotten.
@@ -55,10 +55,10 @@
 
 // redeem sends a call under a ticket of this run, or joins the one that was
 // sent. The table remembers a ticket until no call can leave under it.
-func (p *Pass) redeem(ctx, work context.Context, call *Call, t ticket.Ticket, usable func() bool) (*Reply, *fault.Error) {
+func (p *Forwarder) redeem(ctx, work context.Context, call *Call, t ticket.Ticket, usable func() bool) (*Reply, *fault.Error) {
 	key := claim.KeyOf(call.Team, fmt.Sprintf("%s%d", ticket.Prefix, t.Serial))
 	body := claim.DigestOf(call.Method, call.URI, call.Body)
-	until := p.Started.Add(t.Issued + ticket.Life + p.Terms.Longest)
+	until := p.Started.Add(t.Issued + ticket.TTL + p.ClaimTerms.MaxDeadline)
 	f, own, _ := p.table.Begin(key, body, t.Serial, until)
 	if !own {
 		return p.join(ctx, work, call, f, body)
@@ -71,24 +71,24 @@
 	if e != nil && !usable() {
 		e.Verdict = e.Verdict.Weaken(fault.MayHaveRun)
 	}
-	f.End(end{reply, e}, e != nil && e.Verdict == fault.NotRun)
+	f.Finish(end{reply, e}, e != nil && e.Verdict == fault.NotRun)
 	return reply, e
 }
 
-// Standing answers another entry host that asks after a call which this one
+// ClaimStatus answers another entry host that asks after a call which this one
 // has claimed.
-func (p *Pass) Standing(ctx context.Context, key claim.Key, nonce uint64) Told {
+func (p *Forwarder) ClaimStatus(ctx context.Context, key claim.Key, nonce uint64) ClaimStatus {
 	f, known := p.table.Find(key, nonce)
 	if !known {
-		return Told{}
+		return ClaimStatus{}
 	}
 	select {
 	case <-f.Done:
 	case <-ctx.Done():
-		return Told{Waiting: true}
+		return ClaimStatus{Pending: true}
 	}
-	if f.Phase() == claim.Never {
-		return Told{Never: true}
+	if f.Phase() == claim.NotSent {
+		return ClaimStatus{NeverSent: true}
 	}
-	return Told{Reply: f.Result().reply}
+	return ClaimStatus{Reply: f.Result().reply}
 }
--- a/entry/internal/poll/poll.go
+++ b/entry/internal/poll/poll.go
@@ -24,19 +24,19 @@
 	"fuchsiashelf.dev/parts/wait"
 )
 
-// Poll asks engines. Set the exported fields, then Run.
-type Poll struct {
-	View   *view.Holder
+// Poller asks engines. Set the exported fields, then Run.
+type Poller struct {
+	View   *view.Publisher
 	Engine *engine.Client
-	Trace  *trace.Line
+	Trace  *trace.Recorder
 	Log    *slog.Logger
 	// Workers run the calls.
 	Workers *ants.Pool
-	// Period is the time between two questions to one engine.
-	Period time.Duration
-	// Rate is the most questions a second to all of them; with many engines
+	// Interval is the time between two questions to one engine.
+	Interval time.Duration
+	// MaxRate is the most questions a second to all of them; with many engines
 	// the period grows.
-	Rate float64
+	MaxRate float64
 	// Done is closed when Run has ended. Make it before Run.
 	Done chan struct{}
 }
@@ -50,9 +50,9 @@
 )
 
 // Run asks until the context ends.
-func (p *Poll) Run(ctx context.Context) {
+func (p *Poller) Run(ctx context.Context) {
 	defer close(p.Done)
-	pace := rate.NewLimiter(rate.Limit(p.Rate), 1)
+	pace := rate.NewLimiter(rate.Limit(p.MaxRate), 1)
 	var open atomic.Int64
 	for ctx.Err() == nil {
 		round := time.Now()
@@ -65,7 +65,7 @@
 				open.Add(-1)
 			}
 		}
-		wait.For(ctx, p.Period-time.Since(round))
+		wait.For(ctx, p.Interval-time.Since(round))
 	}
 	// A worker that is still asking ends soon, since its context has.
 	for open.Load() > 0 {
@@ -73,7 +73,7 @@
 	}
 }
 
-func (p *Poll) ask(ctx context.Context, h host.Host) {
+func (p *Poller) ask(ctx context.Context, h host.Host) {
 	meter := p.View.Load().Meters[h.Name]
 	if meter == nil || ctx.Err() != nil {
 		return
@@ -92,29 +92,29 @@
 }
 
 // take folds a report in.
-func (p *Poll) take(name string, m *server.Meter, s *engine.Status, now time.Time) {
+func (p *Poller) take(name string, m *server.Meter, s *engine.Status, now time.Time) {
 	made := now.Add(-time.Duration(s.AgeMs) * time.Millisecond)
 	m.Waiting.Store(int64(s.Waiting))
 	m.ReportedAt.Store(made.UnixNano())
 	m.Capacity.Store(int64(s.Capacity))
-	if m.Step.Now() == 0 && s.TokenUs > 0 {
+	if m.Step.Current() == 0 && s.TokenUs > 0 {
 		m.Step.Observe(time.Duration(s.TokenUs) * time.Microsecond)
 	}
-	_, out := p.View.Load().Outs[view.Refusing][name]
+	_, out := p.View.Load().CordonedBy[view.Refusing][name]
 	switch {
 	case s.State == host.Leaving && !out:
-		p.Trace.Add("poll", "", "server "+name+" is leaving")
-		p.View.Update(func(s *view.Snapshot) { s.MarkOut(view.Refusing, name) })
+		p.Trace.Record("poll", "", "server "+name+" is leaving")
+		p.View.Update(func(s *view.Snapshot) { s.Cordon(view.Refusing, name) })
 	case s.State != host.Leaving && out && made.UnixNano() > m.RefusedAt.Load():
-		p.Trace.Add("poll", "", "server "+name+" takes work again")
-		p.View.Update(func(s *view.Snapshot) { s.ClearOut(view.Refusing, name) })
+		p.Trace.Record("poll", "", "server "+name+" takes work again")
+		p.View.Update(func(s *view.Snapshot) { s.Uncordon(view.Refusing, name) })
 	}
 }
 
 // miss has a server avoided that does not answer. Without it a frozen server
 // would be tried by a request each time that its avoidance ends.
-func (p *Poll) miss(name string, m *server.Meter, now time.Time) {
-	until := now.Add(p.Period + health.Avoid(m.Failures.Add(1)))
+func (p *Poller) miss(name string, m *server.Meter, now time.Time) {
+	until := now.Add(p.Interval + health.SuspectFor(m.Failures.Add(1)))
 	p.View.Update(func(s *view.Snapshot) { s.Suspect(name, until, now) })
 	p.Log.Warn("poll: server does not answer", "server", name)
 }
--- a/entry/internal/poll/poll_test.go
+++ b/entry/internal/poll/poll_test.go
@@ -18,10 +18,10 @@
 	"fuchsiashelf.dev/parts/view"
 )
 
-func make1(address string) *Poll {
-	p := &Poll{
+func make1(address string) *Poller {
+	p := &Poller{
 		View: view.New("e1", "a"), Engine: &engine.Client{HTTP: &http.Client{Transport: &http.Transport{}}},
-		Log: slog.New(slog.NewTextHandler(io.Discard, nil)), Period: time.Millisecond, Rate: 1000,
+		Log: slog.New(slog.NewTextHandler(io.Discard, nil)), Interval: time.Millisecond, MaxRate: 1000,
 		Done: make(chan struct{}),
 	}
 	p.View.Update(func(s *view.Snapshot) {
@@ -39,14 +39,14 @@
 	m := p.View.Load().Meters["a1"]
 	refused := time.Unix(100, 0)
 	m.RefusedAt.Store(refused.UnixNano())
-	p.View.Update(func(s *view.Snapshot) { s.MarkOut(view.Refusing, "a1") })
+	p.View.Update(func(s *view.Snapshot) { s.Cordon(view.Refusing, "a1") })
 	live := &engine.Status{State: host.Live, AgeMs: 2000}
 	p.take("a1", m, live, refused.Add(time.Second))
-	c.Assert(p.View.Load().Out["a1"], quicktest.Equals, view.Refusing)
+	c.Assert(p.View.Load().Cordoned["a1"], quicktest.Equals, view.Refusing)
 	p.take("a1", m, live, refused.Add(3*time.Second))
-	c.Assert(p.View.Load().Out, quicktest.HasLen, 0)
+	c.Assert(p.View.Load().Cordoned, quicktest.HasLen, 0)
 	p.take("a1", m, &engine.Status{State: host.Leaving}, refused.Add(4*time.Second))
-	c.Assert(p.View.Load().Out["a1"], quicktest.Equals, view.Refusing)
+	c.Assert(p.View.Load().Cordoned["a1"], quicktest.Equals, view.Refusing)
 }
 
 // A server that does not answer is avoided for longer and longer, and taken
@@ -57,10 +57,10 @@
 	m := p.View.Load().Meters["a1"]
 	now := time.Unix(100, 0)
 	p.miss("a1", m, now)
-	first := p.View.Load().Suspects["a1"]
+	first := p.View.Load().SuspectedServers["a1"]
 	c.Assert(first.After(now), quicktest.IsTrue)
 	p.miss("a1", m, now)
-	c.Assert(p.View.Load().Suspects["a1"].After(first), quicktest.IsTrue)
+	c.Assert(p.View.Load().SuspectedServers["a1"].After(first), quicktest.IsTrue)
 	m.Observe(now.UnixNano(), time.Millisecond, 0)
 	c.Assert(m.Failures.Load(), quicktest.Equals, int64(0))
 }
@@ -82,7 +82,7 @@
 	go p.Run(ctx)
 	for {
 		changed := p.View.Changed()
-		if p.View.Load().Out["a1"] == view.Refusing {
+		if p.View.Load().Cordoned["a1"] == view.Refusing {
 			break
 		}
 		<-changed
@@ -92,5 +92,5 @@
 	m := p.View.Load().Meters["a1"]
 	c.Assert(m.Capacity.Load(), quicktest.Equals, int64(7))
 	c.Assert(m.Waiting.Load(), quicktest.Equals, int64(3))
-	c.Assert(m.Step.Now(), quicktest.Equals, 900*time.Microsecond)
+	c.Assert(m.Step.Current(), quicktest.Equals, 900*time.Microsecond)
 }
--- a/entry/internal/relay/attempt.go
+++ b/entry/internal/relay/attempt.go
@@ -24,10 +24,10 @@
 	}
 	now := time.Now()
 	names := names(c.stages)
-	if !c.View.Enter(names...) {
+	if !c.View.Acquire(names...) {
 		return &fault.Error{Code: fault.ServerRefused, Verdict: fault.NotRun, Message: "a server is leaving"}
 	}
-	defer c.View.Leave(names...)
+	defer c.View.Release(names...)
 	c.state.inFlight.Add(1)
 	defer c.state.inFlight.Add(-1)
 	// Ending the context closes the connection, which cancels the attempt on
@@ -69,7 +69,7 @@
 		if c.stages[i].Server != e.Server {
 			continue
 		}
-		if final := c.suspicion.Failed(ctx, e.Server, c.stages[i].Address, progressed); final != nil {
+		if final := c.suspicion.AttemptFailed(ctx, e.Server, c.stages[i].Address, progressed); final != nil {
 			return final
 		}
 	}
@@ -95,24 +95,24 @@
 }
 
 func (c *carry) stream(ctx context.Context, w *watch, began time.Time) *fault.Error {
-	stream, err := c.Engine.Generate(ctx, &engine.Ask{
-		Request: c.ask.Request, Attempt: c.number, Model: c.ask.Pool.Model,
-		Prompt: c.ask.Prompt, Sent: c.sent, Max: c.ask.Max,
+	stream, err := c.Engine.Generate(ctx, &engine.Request{
+		RequestID: c.ask.ID, Attempt: c.number, Model: c.ask.Pool.Model,
+		Prompt: c.ask.Prompt, Sent: c.sent, Max: c.ask.MaxTokens,
 		DeadlineMs: c.ask.Deadline.UnixMilli(), Priority: c.ask.Priority, Chain: c.stages,
 	})
 	if err != nil {
 		return fault.As(err)
 	}
 	defer stream.Close()
-	check := &frame.Check{
-		Request: c.ask.Request, Attempt: c.number, Layers: c.ask.Pool.Layers,
+	check := &frame.Validator{
+		Request: c.ask.ID, Attempt: c.number, Layers: c.ask.Pool.Layers,
 		Chain: c.stages, Index: len(c.sent),
 	}
 	return c.copy(stream, check, w, began)
 }
 
 // copy passes tokens on until the answer is whole or the attempt fails.
-func (c *carry) copy(stream *engine.Stream, check *frame.Check, w *watch, last time.Time) *fault.Error {
+func (c *carry) copy(stream *engine.Stream, check *frame.Validator, w *watch, last time.Time) *fault.Error {
 	first := true
 	for {
 		f, err := stream.Next()
@@ -137,7 +137,7 @@
 			w.token(last)
 		case frame.End:
 			return nil
-		case frame.Failed, frame.Broken:
+		case frame.Failed, frame.Invalid:
 			return e
 		}
 	}
@@ -147,7 +147,7 @@
 // is not listened to, and its silence says nothing.
 func (c *carry) pass(f *engine.Frame, w *watch) *fault.Error {
 	w.pause()
-	c.suspicion.Token()
+	c.suspicion.Progressed()
 	c.sent = append(c.sent, f.Token)
 	if err := c.sink.Token(f.Index, f.Token); err != nil {
 		return &fault.Error{Code: fault.Cancelled, Cause: err}
@@ -163,7 +163,7 @@
 		c.failedAt = time.Time{}
 	}
 	if first {
-		c.state.usual.ObserveFirst(c.length(), gap)
+		c.state.usual.ObserveFirstToken(c.length(), gap)
 	} else {
 		w.gaps.Observe(gap)
 	}
@@ -192,11 +192,11 @@
 		return
 	}
 	relayed.Inc(int64(tokens))
-	c.state.budget.Earn(tokens, c.state.inFlight.Load())
+	c.state.budget.Deposit(tokens, c.state.inFlight.Load())
 	c.state.usual.ObserveGaps(w.gaps)
 }
 
 // limits of the first token of an attempt.
-func (c *carry) firstLimits() retry.Limits {
-	return c.state.usual.First(c.length())
+func (c *carry) firstLimits() retry.Timeouts {
+	return c.state.usual.FirstToken(c.length())
 }
--- a/entry/internal/relay/blame.go
+++ b/entry/internal/relay/blame.go
@@ -42,7 +42,7 @@
 	}
 	if e.Message != engine.Leaving {
 		c.skip = append(c.skip, e.Server)
-		c.avoid(time.Now().Add(health.Avoid(1)), e.Server)
+		c.avoid(time.Now().Add(health.SuspectFor(1)), e.Server)
 		return
 	}
 	for i := range c.stages {
@@ -50,8 +50,8 @@
 			c.hops[i].Meter.RefusedAt.Store(time.Now().UnixNano())
 		}
 	}
-	c.View.Update(func(s *view.Snapshot) { s.MarkOut(view.Refusing, e.Server) })
-	c.Trace.Add("relay", c.ask.Request, "server "+e.Server+" is leaving")
+	c.View.Update(func(s *view.Snapshot) { s.Cordon(view.Refusing, e.Server) })
+	c.Trace.Record("relay", c.ask.ID, "server "+e.Server+" is leaving")
 }
 
 // silenceMost is how many chains in a row may fall silent with a server in
@@ -79,14 +79,14 @@
 func (c *carry) suspect(servers ...string) {
 	c.skip = append(c.skip, servers...)
 	now := time.Now()
-	known := c.View.Load().Suspects
+	known := c.View.Load().SuspectedServers
 	for i := range c.stages {
 		for _, name := range servers {
 			if c.stages[i].Server != name || now.Before(known[name]) {
 				continue
 			}
 			failures := c.hops[i].Meter.Failures.Add(1)
-			c.avoid(now.Add(health.Avoid(failures)), name)
+			c.avoid(now.Add(health.SuspectFor(failures)), name)
 			c.Log.Warn("relay: server suspected", "server", name, "failures", failures)
 		}
 	}
@@ -101,7 +101,7 @@
 func (c *carry) avoidLinkTo(server string) {
 	for i := 1; i < len(c.stages); i++ {
 		if c.stages[i].Server == server {
-			c.hops[i-1].Link.Avoid(time.Now().Add(health.Avoid(1)))
+			c.hops[i-1].Link.Avoid(time.Now().Add(health.SuspectFor(1)))
 		}
 	}
 }
@@ -112,8 +112,8 @@
 	now := time.Now()
 	for i := range c.hops {
 		if l := c.hops[i].Link; l != nil {
-			l.Fail(now)
+			l.RecordFailure(now)
 		}
 	}
-	c.Log.Warn("relay: links suspected", "request", c.ask.Request, "chain", names(c.stages))
+	c.Log.Warn("relay: links suspected", "request", c.ask.ID, "chain", names(c.stages))
 }
--- a/entry/internal/relay/fake_test.go
+++ b/entry/internal/relay/fake_test.go
@@ -24,7 +24,7 @@
 	*httptest.Server
 	name string
 	// script answers a call, or returns false to have it answered as usual.
-	script atomic.Pointer[func(w *reply, ask *engine.Ask) bool]
+	script atomic.Pointer[func(w *reply, ask *engine.Request) bool]
 	// frozen says that status is not answered.
 	frozen atomic.Bool
 	// calls counts the attempts, cancelled those whose reader left.
@@ -35,11 +35,11 @@
 type reply struct {
 	http.ResponseWriter
 	ctx context.Context
-	ask *engine.Ask
+	ask *engine.Request
 }
 
 func (r *reply) frame(f engine.Frame) {
-	f.Request, f.Attempt = r.ask.Request, r.ask.Attempt
+	f.Request, f.Attempt = r.ask.RequestID, r.ask.Attempt
 	_ = json.NewEncoder(r).Encode(f)
 	r.ResponseWriter.(http.Flusher).Flush()
 }
@@ -66,7 +66,7 @@
 		_, _ = io.WriteString(w, `{}`)
 		return
 	}
-	ask := &engine.Ask{}
+	ask := &engine.Request{}
 	if json.NewDecoder(r.Body).Decode(ask) != nil {
 		return
 	}
@@ -85,7 +85,7 @@
 }
 
 // play sets the script.
-func (f *fake) play(script func(w *reply, ask *engine.Ask) bool) {
+func (f *fake) play(script func(w *reply, ask *engine.Request) bool) {
 	f.script.Store(&script)
 }
 
@@ -93,7 +93,7 @@
 
 // world is a relay before some fakes that each hold the whole model.
 type world struct {
-	relay *Relay
+	relay *Forwarder
 	fakes []*fake
 	pool  pool.Pool
 }
@@ -110,7 +110,7 @@
 	}
 	transport := &http.Transport{MaxIdleConnsPerHost: 64}
 	t.Cleanup(transport.CloseIdleConnections)
-	w.relay = &Relay{
+	w.relay = &Forwarder{
 		View: view.New("e1", "a"), Engine: &engine.Client{HTTP: &http.Client{Transport: transport}},
 		Log: slog.New(slog.NewTextHandler(io.Discard, nil)),
 	}
@@ -139,8 +139,8 @@
 }
 
 // ask returns a request.
-func (w *world) ask(prompt string, max int) *Ask {
-	return &Ask{Request: "r-" + prompt, Pool: w.pool, Prompt: prompt, Max: max, Deadline: time.Now().Add(time.Minute)}
+func (w *world) ask(prompt string, max int) *Request {
+	return &Request{ID: "r-" + prompt, Pool: w.pool, Prompt: prompt, MaxTokens: max, Deadline: time.Now().Add(time.Minute)}
 }
 
 // sink keeps what a caller read.
@@ -171,10 +171,10 @@
 }
 
 // lines returns the frames of a whole answer over three spans, encoded once.
-func lines(ask *engine.Ask, max int) [][]byte {
+func lines(ask *engine.Request, max int) [][]byte {
 	var all [][]byte
 	add := func(f engine.Frame) {
-		f.Request, f.Attempt = ask.Request, ask.Attempt
+		f.Request, f.Attempt = ask.RequestID, ask.Attempt
 		line, _ := json.Marshal(f)
 		all = append(all, append(line, '\n'))
 	}
--- a/entry/internal/relay/probe.go
+++ b/entry/internal/relay/probe.go
@@ -29,7 +29,7 @@
 const probeTimeout = time.Second
 
 // ping asks a server whether it is there, or returns the latest question.
-func (r *Relay) ping(server, address string) *probe {
+func (r *Forwarder) ping(server, address string) *probe {
 	now := time.Now()
 	r.asks.mu.Lock()
 	defer r.asks.mu.Unlock()
@@ -50,11 +50,11 @@
 			p.answered.Store(true)
 		}
 	}
-	if r.Probes == nil {
+	if r.ProbePool == nil {
 		go ask()
 		return p
 	}
 	// With no goroutine free the question is not asked, and nobody is blamed.
-	_ = r.Probes.Submit(ask)
+	_ = r.ProbePool.Submit(ask)
 	return p
 }
--- a/entry/internal/relay/relay.go
+++ b/entry/internal/relay/relay.go
@@ -26,30 +26,30 @@
 	"fuchsiashelf.dev/parts/view"
 )
 
-// Relay carries model requests. Set the exported fields before first use.
-type Relay struct {
-	View   *view.Holder
+// Forwarder carries model requests. Set the exported fields before first use.
+type Forwarder struct {
+	View   *view.Publisher
 	Engine *engine.Client
 	// Guard keeps requests that crash servers from going on; nil lets all.
 	Guard *crash.Guard
-	Trace *trace.Line
+	Trace *trace.Recorder
 	Log   *slog.Logger
 	// Policy is how servers are chosen; nil means pick.Cost.
 	Policy pick.Policy
-	// Probes runs probes of servers; nil means a goroutine for each.
-	Probes *ants.Pool
+	// ProbePool runs probes of servers; nil means a goroutine for each.
+	ProbePool *ants.Pool
 
 	pools sync.Map
 	asks  prober
 }
 
-// Ask is a model request of a caller.
-type Ask struct {
-	Request string
-	Team    string
-	Pool    pool.Pool
-	Prompt  string
-	Max     int
+// Request is a model request of a caller.
+type Request struct {
+	ID        string
+	Team      string
+	Pool      pool.Pool
+	Prompt    string
+	MaxTokens int
 	// Deadline is when the caller stops waiting.
 	Deadline time.Time
 	// Priority is passed on to engines.
@@ -73,19 +73,19 @@
 	recovery = metrics.NewRegisteredTimer("relay.recovery", nil)
 )
 
-// Run carries a request and returns the number of tokens, or the error that
+// Do carries a request and returns the number of tokens, or the error that
 // the caller is to see.
-func (r *Relay) Run(ctx context.Context, ask *Ask, sink Sink) (int, *fault.Error) {
+func (r *Forwarder) Do(ctx context.Context, ask *Request, sink Sink) (int, *fault.Error) {
 	caller := ctx
 	ctx, cancel := context.WithDeadline(ctx, ask.Deadline)
 	defer cancel()
-	suspicion, e := r.Guard.Begin(ask.Request, ask.Team, ask.Pool.Name, ask.Pool.Model, ask.Prompt)
+	suspicion, e := r.Guard.Track(ask.ID, ask.Team, ask.Pool.Name, ask.Pool.Model, ask.Prompt)
 	if e != nil {
 		return 0, e
 	}
 	defer suspicion.Close()
 	c := &carry{
-		Relay: r, ask: ask, sink: sink, suspicion: suspicion,
+		Forwarder: r, ask: ask, sink: sink, suspicion: suspicion,
 		state: r.stateOf(ask.Pool.Name), verdict: fault.NotRun,
 	}
 	for c.number = 1; ; c.number++ {
@@ -96,25 +96,25 @@
 		c.verdict = c.verdict.Weaken(e.Verdict)
 		failure := retry.Failure{
 			Error: e, Attempt: c.number, Left: time.Until(ask.Deadline),
-			Caller: caller.Err() == nil, Sent: len(c.sent),
+			CallerConnected: caller.Err() == nil, Sent: len(c.sent),
 		}
 		if !c.again(failure) {
 			givenUp.Inc(1)
 			final := failure.Final(c.verdict)
-			r.Trace.Add("relay", ask.Request, "given up: "+final.Error())
+			r.Trace.Record("relay", ask.ID, "given up: "+final.Error())
 			return len(c.sent), final
 		}
-		r.Trace.Add("relay", ask.Request, "attempt failed: "+e.Error())
+		r.Trace.Record("relay", ask.ID, "attempt failed: "+e.Error())
 	}
 }
 
 // carry is the state of one request over its attempts.
 type carry struct {
-	*Relay
-	ask  *Ask
+	*Forwarder
+	ask  *Request
 	sink Sink
 	// suspicion is what the guard knows of this request.
-	suspicion *crash.Case
+	suspicion *crash.Tracker
 	state     *state
 	// number is that of the current attempt, from 1.
 	number  int
@@ -130,8 +130,8 @@
 
 // again reports whether another chain is tried, and pays for it.
 func (c *carry) again(f retry.Failure) bool {
-	again, pay := f.Again()
-	if again && pay && !c.state.budget.Take() {
+	again, pay := f.ShouldRetry()
+	if again && pay && !c.state.budget.Withdraw() {
 		overBudget.Inc(1)
 		return false
 	}
@@ -146,9 +146,9 @@
 // stage are suspected, each attempt would else meet the same dead one.
 func (c *carry) avoided(snap *view.Snapshot) map[string]time.Time {
 	if len(c.skip) == 0 {
-		return snap.Suspects
+		return snap.SuspectedServers
 	}
-	return view.Edit(snap.Suspects, func(m map[string]time.Time) {
+	return view.Edit(snap.SuspectedServers, func(m map[string]time.Time) {
 		for i, name := range c.skip {
 			m[name] = c.ask.Deadline.Add(time.Duration(i+1) * time.Hour)
 		}
@@ -164,10 +164,10 @@
 	if e != nil {
 		return e
 	}
-	chooser := pick.Chooser{Policy: c.Policy, Rand: rand.Uint64, Now: now.UnixNano(), Avoid: c.avoided(snap)}
+	chooser := pick.ChainPicker{Policy: c.Policy, Rand: rand.Uint64, Now: now.UnixNano(), Avoid: c.avoided(snap)}
 	// The watch of the attempt before may still look at its stages, so each
 	// attempt has slices of its own.
-	c.hops = chooser.Chain(table, make([]pick.Hop, 0, usualStages))
+	c.hops = chooser.Pick(table, make([]pick.Hop, 0, usualStages))
 	c.stages = make([]engine.Stage, 0, len(c.hops))
 	for i := range c.hops {
 		c.stages = append(c.stages, table.Graph.Stage(c.hops[i].Hop))
--- a/entry/internal/relay/relay_test.go
+++ b/entry/internal/relay/relay_test.go
@@ -22,7 +22,7 @@
 	const max = 6
 	ends := map[string]func(w *reply){
 		"closed":  func(*reply) {},
-		"failure": func(w *reply) { w.frame(engine.Frame{Fail: &engine.Fail{Server: w.ask.Chain[0].Server}}) },
+		"failure": func(w *reply) { w.frame(engine.Frame{Fail: &engine.Failure{Server: w.ask.Chain[0].Server}}) },
 		"early":   func(w *reply) { w.frame(engine.Frame{End: true, Count: max}) },
 		"skipped": func(w *reply) { w.token(max) },
 	}
@@ -32,7 +32,7 @@
 			for index := range max {
 				w := newWorld(t, "a1", "a2")
 				for _, f := range w.fakes {
-					f.play(func(r *reply, ask *engine.Ask) bool {
+					f.play(func(r *reply, ask *engine.Request) bool {
 						if ask.Attempt > 1 {
 							return false
 						}
@@ -44,7 +44,7 @@
 					})
 				}
 				got := &sink{}
-				count, e := w.relay.Run(context.Background(), w.ask("q", max), got)
+				count, e := w.relay.Do(context.Background(), w.ask("q", max), got)
 				c.Assert(e == nil, quicktest.IsTrue, quicktest.Commentf("%v", e))
 				c.Assert(count, quicktest.Equals, max)
 				c.Assert(got.tokens, quicktest.DeepEquals, answer("q", max))
@@ -64,7 +64,7 @@
 			w := newWorld(t, "a1", "a2", "a3")
 			ends := []int{first, second}
 			for _, f := range w.fakes {
-				f.play(func(r *reply, ask *engine.Ask) bool {
+				f.play(func(r *reply, ask *engine.Request) bool {
 					if ask.Attempt > len(ends) {
 						return false
 					}
@@ -75,7 +75,7 @@
 				})
 			}
 			got := &sink{}
-			_, e := w.relay.Run(context.Background(), w.ask("q", max), got)
+			_, e := w.relay.Do(context.Background(), w.ask("q", max), got)
 			c.Assert(e == nil, quicktest.IsTrue, quicktest.Commentf("%v", e))
 			c.Assert(got.tokens, quicktest.DeepEquals, answer("q", max))
 		}
@@ -89,7 +89,7 @@
 	c := quicktest.New(t)
 	w := newWorld(t, "a1", "a2")
 	for _, f := range w.fakes {
-		f.play(func(r *reply, ask *engine.Ask) bool {
+		f.play(func(r *reply, ask *engine.Request) bool {
 			if ask.Attempt > 1 {
 				return false
 			}
@@ -101,14 +101,14 @@
 		})
 	}
 	got := &sink{}
-	_, e := w.relay.Run(context.Background(), w.ask("q", 5), got)
+	_, e := w.relay.Do(context.Background(), w.ask("q", 5), got)
 	c.Assert(e == nil, quicktest.IsTrue, quicktest.Commentf("%v", e))
 	c.Assert(got.tokens, quicktest.DeepEquals, answer("q", 5))
 	for _, f := range w.fakes {
 		if !f.frozen.Load() {
 			continue
 		}
-		c.Assert(w.relay.View.Load().Suspects[f.name].IsZero(), quicktest.IsFalse)
+		c.Assert(w.relay.View.Load().SuspectedServers[f.name].IsZero(), quicktest.IsFalse)
 		waitFor(func() bool { return f.cancelled.Load() == 1 })
 	}
 }
@@ -130,7 +130,7 @@
 	w := newWorld(t, "a1", "a2", "b1", "b2", "b3")
 	w.layer(0, 0, 1, 1, 1)
 	silent := func() *carry {
-		r := &carry{Relay: w.relay, ask: w.ask("q", 5), state: w.relay.stateOf("lake")}
+		r := &carry{Forwarder: w.relay, ask: w.ask("q", 5), state: w.relay.stateOf("lake")}
 		for len(r.stages) == 0 || r.stages[0].Server != "a1" {
 			c.Assert(r.choose(w.relay.View.Load(), time.Now()) == nil, quicktest.IsTrue)
 		}
@@ -146,7 +146,7 @@
 		c.Assert(r.stages[1].Server, quicktest.Not(quicktest.Equals), chain[1])
 	}
 	// A token over another chain clears the other end of the link.
-	c.Assert(w.relay.View.Load().Suspects, quicktest.HasLen, 0)
+	c.Assert(w.relay.View.Load().SuspectedServers, quicktest.HasLen, 0)
 	clear := func() {
 		for _, name := range []string{"b1", "b2", "b3"} {
 			w.relay.View.Load().Meters[name].Observe(1, time.Millisecond, 0)
@@ -155,7 +155,7 @@
 	clear()
 	r = silent()
 	clear()
-	suspects := w.relay.View.Load().Suspects
+	suspects := w.relay.View.Load().SuspectedServers
 	c.Assert(suspects, quicktest.HasLen, 1)
 	c.Assert(suspects["a1"].IsZero(), quicktest.IsFalse)
 	// A hundred streams that fail with the server count as one failure.
@@ -170,14 +170,14 @@
 func TestCallerLeaves(t *testing.T) {
 	c := quicktest.New(t)
 	w := newWorld(t, "a1")
-	w.fakes[0].play(func(r *reply, _ *engine.Ask) bool {
+	w.fakes[0].play(func(r *reply, _ *engine.Request) bool {
 		r.token(0)
 		<-r.ctx.Done()
 		return true
 	})
 	ctx, cancel := context.WithCancel(context.Background())
 	got := &sink{each: func(int) error { cancel(); return nil }}
-	_, e := w.relay.Run(ctx, w.ask("q", 5), got)
+	_, e := w.relay.Do(ctx, w.ask("q", 5), got)
 	c.Assert(e.Code, quicktest.Equals, fault.Cancelled)
 	c.Assert(e.Verdict, quicktest.Equals, fault.MayHaveRun)
 	waitFor(func() bool { return w.fakes[0].cancelled.Load() == 1 })
@@ -192,7 +192,7 @@
 	w := newWorld(t, "a1", "a2")
 	release := make(chan struct{})
 	for _, f := range w.fakes {
-		f.play(func(r *reply, ask *engine.Ask) bool {
+		f.play(func(r *reply, ask *engine.Request) bool {
 			for i := len(ask.Sent); i < 6; i++ {
 				if i == 4 {
 					<-release
@@ -212,14 +212,14 @@
 	}}
 	go func() {
 		// Longer than every limit of a chain with gaps below a millisecond.
-		tick := time.NewTicker(retry.ProbeWait)
+		tick := time.NewTicker(retry.ProbeTimeout)
 		defer tick.Stop()
 		for ; looks < 5; looks++ {
 			<-tick.C
 		}
 		close(release)
 	}()
-	_, e := w.relay.Run(context.Background(), w.ask("q", 6), got)
+	_, e := w.relay.Do(context.Background(), w.ask("q", 6), got)
 	c.Assert(e == nil, quicktest.IsTrue, quicktest.Commentf("%v", e))
 	c.Assert(w.fakes[0].calls.Load()+w.fakes[1].calls.Load(), quicktest.Equals, int64(1))
 }
@@ -227,8 +227,8 @@
 // Every server refuses, or fails. The caller hears at once whether the
 // request may have run, and when to come back.
 func TestGivenUp(t *testing.T) {
-	refuse := func(why string) func(*reply, *engine.Ask) bool {
-		return func(r *reply, _ *engine.Ask) bool {
+	refuse := func(why string) func(*reply, *engine.Request) bool {
+		return func(r *reply, _ *engine.Request) bool {
 			r.Header().Set(engine.NotRunHeader, why)
 			r.WriteHeader(503)
 			return true
@@ -236,15 +236,15 @@
 	}
 	for _, test := range []struct {
 		name    string
-		script  func(*reply, *engine.Ask) bool
+		script  func(*reply, *engine.Request) bool
 		code    fault.Code
 		verdict fault.Verdict
 	}{
 		{"leaving", refuse(engine.Leaving), fault.NoCover, fault.NotRun},
 		{"full", refuse("full"), fault.ServerRefused, fault.NotRun},
-		{"broken", func(r *reply, _ *engine.Ask) bool { r.WriteHeader(500); return true }, fault.ServerFailed, fault.MayHaveRun},
-		{"later stage refuses", func(r *reply, _ *engine.Ask) bool {
-			r.frame(engine.Frame{Fail: &engine.Fail{Server: "a1", What: "full", Refused: true}})
+		{"broken", func(r *reply, _ *engine.Request) bool { r.WriteHeader(500); return true }, fault.ServerFailed, fault.MayHaveRun},
+		{"later stage refuses", func(r *reply, _ *engine.Request) bool {
+			r.frame(engine.Frame{Fail: &engine.Failure{Server: "a1", Message: "full", Refused: true}})
 			return true
 		}, fault.ServerRefused, fault.MayHaveRun},
 	} {
@@ -254,10 +254,10 @@
 			for _, f := range w.fakes {
 				f.play(test.script)
 			}
-			_, e := w.relay.Run(context.Background(), w.ask("q", 3), &sink{})
+			_, e := w.relay.Do(context.Background(), w.ask("q", 3), &sink{})
 			c.Assert(e.Code, quicktest.Equals, test.code)
 			c.Assert(e.Verdict, quicktest.Equals, test.verdict)
-			c.Assert(e.RetryAfter, quicktest.Equals, retry.ComeBack)
+			c.Assert(e.RetryAfter, quicktest.Equals, retry.RetryAfter)
 			calls := w.fakes[0].calls.Load() + w.fakes[1].calls.Load()
 			c.Assert(calls <= retry.MaxAttempts, quicktest.IsTrue)
 		})
@@ -270,7 +270,7 @@
 	c := quicktest.New(t)
 	w := newWorld(t, "a1")
 	w.fakes[0].Close()
-	_, e := w.relay.Run(context.Background(), w.ask("q", 3), &sink{})
+	_, e := w.relay.Do(context.Background(), w.ask("q", 3), &sink{})
 	c.Assert(e.Code, quicktest.Equals, fault.ServerFailed)
 	c.Assert(e.Verdict, quicktest.Equals, fault.NotRun)
 }
@@ -289,7 +289,7 @@
 			s.Suspect("a2", now.Add(time.Minute), now)
 		})
 		got := &sink{}
-		_, e := w.relay.Run(context.Background(), w.ask("q", 3), got)
+		_, e := w.relay.Do(context.Background(), w.ask("q", 3), got)
 		c.Assert(e == nil, quicktest.IsTrue, quicktest.Commentf("%v", e))
 		c.Assert(got.tokens, quicktest.DeepEquals, answer("q", 3))
 	}
@@ -301,11 +301,11 @@
 	c := quicktest.New(t)
 	w := newWorld(t, "a1", "a2")
 	for _, f := range w.fakes {
-		f.play(func(r *reply, _ *engine.Ask) bool { r.WriteHeader(500); return true })
+		f.play(func(r *reply, _ *engine.Request) bool { r.WriteHeader(500); return true })
 	}
 	const requests = 100
 	for range requests {
-		_, e := w.relay.Run(context.Background(), w.ask("q", 3), &sink{})
+		_, e := w.relay.Do(context.Background(), w.ask("q", 3), &sink{})
 		c.Assert(e, quicktest.IsNotNil)
 	}
 	calls := w.fakes[0].calls.Load() + w.fakes[1].calls.Load()
@@ -324,7 +324,7 @@
 		s.Config = next
 	})
 	for range 20 {
-		_, e := w.relay.Run(context.Background(), old, &sink{})
+		_, e := w.relay.Do(context.Background(), old, &sink{})
 		c.Assert(e == nil, quicktest.IsTrue, quicktest.Commentf("%v", e))
 	}
 	c.Assert(w.fakes[0].calls.Load(), quicktest.Equals, int64(0))
@@ -334,7 +334,7 @@
 func TestSinkFails(t *testing.T) {
 	c := quicktest.New(t)
 	w := newWorld(t, "a1", "a2")
-	_, e := w.relay.Run(context.Background(), w.ask("q", 3), &sink{each: func(int) error { return errors.New("gone") }})
+	_, e := w.relay.Do(context.Background(), w.ask("q", 3), &sink{each: func(int) error { return errors.New("gone") }})
 	c.Assert(e.Code, quicktest.Equals, fault.Cancelled)
 	c.Assert(w.fakes[0].calls.Load()+w.fakes[1].calls.Load(), quicktest.Equals, int64(1))
 }
@@ -346,12 +346,12 @@
 	w := newWorld(b, "a1", "a2", "a3")
 	w.layer(0, 1, 2)
 	ask := w.ask("q", max)
-	wire := &engine.Ask{Request: ask.Request, Attempt: 1, Prompt: "q"}
+	wire := &engine.Request{RequestID: ask.ID, Attempt: 1, Prompt: "q"}
 	for i, name := range w.pool.Servers {
 		wire.Chain = append(wire.Chain, engine.Stage{Server: name, First: i, End: i + 1})
 	}
 	all := lines(wire, max)
-	w.fakes[0].play(func(r *reply, _ *engine.Ask) bool {
+	w.fakes[0].play(func(r *reply, _ *engine.Request) bool {
 		for _, line := range all {
 			_, _ = r.Write(line)
 		}
@@ -359,7 +359,7 @@
 	})
 	b.ReportAllocs()
 	for b.Loop() {
-		if _, e := w.relay.Run(context.Background(), ask, discard{}); e != nil {
+		if _, e := w.relay.Do(context.Background(), ask, discard{}); e != nil {
 			b.Fatal(e)
 		}
 	}
--- a/entry/internal/relay/state.go
+++ b/entry/internal/relay/state.go
@@ -17,7 +17,7 @@
 // state is what the relay keeps of one pool.
 type state struct {
 	budget   *retry.Budget
-	usual    retry.Usual
+	usual    retry.Baseline
 	inFlight atomic.Int64
 
 	mu   sync.Mutex
@@ -35,7 +35,7 @@
 // remake is how often a table is made anew to follow the measured speeds.
 const remake = 250 * time.Millisecond
 
-func (r *Relay) stateOf(pool string) *state {
+func (r *Forwarder) stateOf(pool string) *state {
 	if known, ok := r.pools.Load(pool); ok {
 		return known.(*state)
 	}
@@ -89,7 +89,7 @@
 		next.err = fault.As(err)
 		return next
 	}
-	next.table = pick.Make(g, snap.Meters, now)
+	next.table = pick.NewTable(g, snap.Meters, now)
 	return next
 }
 
@@ -101,10 +101,10 @@
 	var usable []host.Host
 	for _, name := range p.Servers {
 		h, listed := snap.Hosts[name]
-		_, out := snap.Out[name]
+		_, out := snap.Cordoned[name]
 		if listed && !out && (h.Model == "" || h.Model == p.Model) {
 			usable = append(usable, h)
 		}
 	}
-	return chain.Make(p.Layers, usable)
+	return chain.New(p.Layers, usable)
 }
--- a/entry/internal/relay/watch.go
+++ b/entry/internal/relay/watch.go
@@ -18,7 +18,7 @@
 // its last token came; a timer looks from time to time, so that a token costs
 // no timer.
 type watch struct {
-	relay  *Relay
+	relay  *Forwarder
 	stages []engine.Stage
 	cancel context.CancelCauseFunc
 	timer  *time.Timer
@@ -44,7 +44,7 @@
 func (c *carry) watch(cancel context.CancelCauseFunc, now time.Time) *watch {
 	limits := c.firstLimits()
 	w := &watch{
-		relay: c.Relay, stages: c.stages, cancel: cancel,
+		relay: c.Forwarder, stages: c.stages, cancel: cancel,
 		began: now, gaps: c.state.usual.Gaps(),
 	}
 	w.limit(limits)
@@ -56,13 +56,13 @@
 
 // token notes that a token came and was passed on.
 func (w *watch) token(now time.Time) {
-	w.limit(w.gaps.Limits())
+	w.limit(w.gaps.Timeouts())
 	w.last.Store(int64(now.Sub(w.began)))
 }
 
-func (w *watch) limit(l retry.Limits) {
+func (w *watch) limit(l retry.Timeouts) {
 	w.probeAt.Store(int64(l.Probe))
-	w.silentAt.Store(int64(l.Silent))
+	w.silentAt.Store(int64(l.Failure))
 }
 
 // pause stops the clock while the caller reads.
@@ -81,8 +81,8 @@
 	if w.over.Load() {
 		return
 	}
-	limits := retry.Limits{
-		Probe: time.Duration(w.probeAt.Load()), Silent: time.Duration(w.silentAt.Load()),
+	limits := retry.Timeouts{
+		Probe: time.Duration(w.probeAt.Load()), Failure: time.Duration(w.silentAt.Load()),
 	}
 	last := w.last.Load()
 	if last == paused {
@@ -93,19 +93,19 @@
 	idle := time.Since(w.began) - time.Duration(last)
 	phase, wait := limits.Next(idle, len(w.absent()) == 0)
 	switch phase {
-	case retry.Listening:
+	case retry.Healthy:
 		w.probes.Store(nil)
-	case retry.Probing, retry.Doubting:
+	case retry.Probing, retry.Stalled:
 		if w.probes.Load() == nil {
 			w.probe()
-			wait = min(wait, retry.ProbeWait)
+			wait = min(wait, retry.ProbeTimeout)
 		}
-	case retry.Silent:
+	case retry.Failed:
 		if w.probes.Load() == nil {
 			// The timer came late; the servers are asked all the same, so that
 			// none is blamed for it.
 			w.probe()
-			wait = retry.ProbeWait
+			wait = retry.ProbeTimeout
 			break
 		}
 		silent.Inc(1)
--- a/entry/internal/seat/accept.go
+++ b/entry/internal/seat/accept.go
@@ -29,7 +29,7 @@
 
 // offer is one line on its way to be accepted.
 type offer struct {
-	*Seat
+	*Server
 	line   *wire.Line
 	parsed *lang.Line
 	// seen is the revision that the operator saw.
@@ -42,8 +42,8 @@
 
 // accept writes the line into the configuration and waits until it is in
 // force everywhere.
-func (s *Seat) accept(ctx context.Context, line *wire.Line, parsed *lang.Line) *wire.Answer {
-	o := &offer{Seat: s, line: line, parsed: parsed, seen: line.Seen}
+func (s *Server) accept(ctx context.Context, line *wire.Line, parsed *lang.Line) *wire.Answer {
+	o := &offer{Server: s, line: line, parsed: parsed, seen: line.Seen}
 	if o.seen == 0 {
 		o.seen = revision(s.View.Load().Config)
 	}
@@ -104,7 +104,7 @@
 }
 
 // read returns the configuration object and what it holds.
-func (s *Seat) read(ctx context.Context) (store.Object, *conf.Config, error) {
+func (s *Server) read(ctx context.Context) (store.Object, *conf.Config, error) {
 	object, err := s.Store.Get(ctx, conf.Key)
 	if err != nil {
 		return object, nil, err
@@ -137,7 +137,7 @@
 		if step.Line.Text != o.line.Text {
 			return nil, o.reused(step.Line), nil
 		}
-		o.Watch.Offer(stored)
+		o.Watch.Apply(stored)
 		return &step.Line, nil, nil
 	case conf.Build:
 		base, err := o.base(ctx, stored, known)
@@ -185,11 +185,11 @@
 // build makes the next configuration of a base. It fails if what the line
 // changes has been changed since the operator looked.
 func (o *offer) build(base *conf.Config) error {
-	thing := o.parsed.Thing()
+	thing := o.parsed.Resource()
 	if o.seen > base.Revision {
 		return fmt.Errorf("revision %d was seen, but only %d is known here", o.seen, base.Revision)
 	}
-	line, clash, complete := base.Clash(thing, o.seen)
+	line, clash, complete := base.Conflict(thing, o.seen)
 	if clash {
 		return fmt.Errorf("%s was changed at revision %d by %s at %s: %s",
 			thing, line.Revision, line.Operator, line.At.UTC().Format(time.DateTime), line.Text)
@@ -198,13 +198,13 @@
 		return fmt.Errorf("revision %d was seen, which is too long ago to compare with %d", o.seen, base.Revision)
 	}
 	now := time.Now()
-	next, err := o.parsed.Apply(base, lang.World{Hosts: o.View.Load().Hosts, Now: now, Longest: o.Longest})
+	next, err := o.parsed.Apply(base, lang.Environment{Hosts: o.View.Load().Hosts, Now: now, MaxDeadline: o.MaxCallTime})
 	if err != nil {
 		return err
 	}
 	next.Record(conf.Line{
 		ID: o.line.Id, Revision: next.Revision, Operator: o.line.Operator,
-		Text: o.line.Text, Thing: thing, At: now,
+		Text: o.line.Text, Resource: thing, At: now,
 	})
 	value, err := next.Encode()
 	if err != nil {
@@ -225,7 +225,7 @@
 		o.write.Sent(version, held, fault.As(err).Verdict)
 		return nil, nil, err
 	}
-	o.Watch.Offer(o.sent)
+	o.Watch.Apply(o.sent)
 	line, _ := o.sent.Find(o.line.Id)
 	return &line, nil, nil
 }
--- a/entry/internal/seat/confirm.go
+++ b/entry/internal/seat/confirm.go
@@ -25,12 +25,12 @@
 // confirm waits until every live entry host has an accepted line in force. A
 // host confirms by the line's id, not by a revision alone: after the object
 // API lost data, one revision can be two configurations.
-func (s *Seat) confirm(ctx context.Context, line conf.Line) *wire.Answer {
+func (s *Server) confirm(ctx context.Context, line conf.Line) *wire.Answer {
 	ctx, cancel := context.WithTimeout(ctx, confirmWait)
 	defer cancel()
 	answer := &wire.Answer{Outcome: Done, Revision: line.Revision}
 	if s.View.Load().HostsRevision == 0 {
-		answer.Outcome, answer.Message = Partly, hostsUnknown
+		answer.Outcome, answer.Message = Partial, hostsUnknown
 	}
 	began := time.Now()
 	lagging := map[string]bool{}
@@ -56,7 +56,7 @@
 		answer.Missing = append(answer.Missing, snap.Self)
 	}
 	if len(answer.Missing) > 0 {
-		answer.Outcome = Partly
+		answer.Outcome = Partial
 	}
 	slices.Sort(answer.Missing)
 	return answer
@@ -75,7 +75,7 @@
 // configuration. A host that does not answer holds a worker for askWait only,
 // so that a failure domain that is cut off does not keep the others from being
 // asked.
-func (s *Seat) confirmRound(
+func (s *Server) confirmRound(
 	ctx context.Context, id string, hosts []host.Host, lagging map[string]bool, handOn bool,
 ) []host.Host {
 	var object []byte
--- a/entry/internal/seat/putback.go
+++ b/entry/internal/seat/putback.go
@@ -24,13 +24,13 @@
 
 // putBack writes the newest configuration in force back into an object API
 // that has lost it, each time that the watch has seen that.
-func (s *Seat) putBack(ctx context.Context) {
+func (s *Server) putBack(ctx context.Context) {
 	pause := backFirst
 	for {
 		select {
 		case <-ctx.Done():
 			return
-		case <-s.Watch.Behind():
+		case <-s.Watch.StoreStale():
 		}
 		wait.For(ctx, rand.N(pause))
 		if ctx.Err() != nil {
@@ -38,7 +38,7 @@
 		}
 		if err := s.putBackOnce(ctx); err != nil {
 			s.Log.Warn("seat: configuration not put back", "err", err)
-			s.Watch.StillBehind()
+			s.Watch.MarkStoreStale()
 			pause = min(2*pause, backMost)
 			continue
 		}
@@ -48,12 +48,12 @@
 
 // putBackOnce asks all entry hosts for what they have, unless the object API
 // has got it back meanwhile, and writes the newest.
-func (s *Seat) putBackOnce(ctx context.Context) error {
+func (s *Server) putBackOnce(ctx context.Context) error {
 	if !s.awaitHosts(ctx) {
 		return errors.New(hostsUnknown)
 	}
 	_, stored, err := s.read(ctx)
-	if err != nil || stored.Holds(s.View.Load().Config) {
+	if err != nil || stored.DescendsFrom(s.View.Load().Config) {
 		return err
 	}
 	known := s.survey(ctx)
@@ -76,9 +76,9 @@
 	if _, err := s.Store.Put(ctx, conf.Key, value, object.Version); err != nil {
 		return err
 	}
-	s.Watch.Offer(base)
+	s.Watch.Apply(base)
 	metrics.GetOrRegisterCounter("seat.put_back", nil).Inc(1)
-	s.Trace.Add("seat", "", fmt.Sprintf("configuration of revision %d put back into the store", base.Revision))
+	s.Trace.Record("seat", "", fmt.Sprintf("configuration of revision %d put back into the store", base.Revision))
 	s.Log.Info("seat: configuration put back", "revision", base.Revision)
 	return nil
 }
--- a/entry/internal/seat/seat.go
+++ b/entry/internal/seat/seat.go
@@ -27,17 +27,17 @@
 	"fuchsiashelf.dev/parts/wire"
 )
 
-// Seat carries out lines. Set the exported fields, then Run.
-type Seat struct {
-	View   *view.Holder
+// Server carries out lines. Set the exported fields, then Run.
+type Server struct {
+	View   *view.Publisher
 	Store  store.API
-	Watch  *watch.Watch
+	Watch  *watch.Watcher
 	Mesh   *mesh.Mesh
-	Trace  *trace.Line
+	Trace  *trace.Recorder
 	Log    *slog.Logger
 	Secret string
-	// Longest is the longest time for a call that may not be repeated.
-	Longest time.Duration
+	// MaxCallTime is the longest time for a call that may not be repeated.
+	MaxCallTime time.Duration
 	// Workers runs the questions to other entry hosts. Its size bounds how
 	// many are out at once.
 	Workers *ants.Pool
@@ -50,8 +50,8 @@
 	// Done: accepted, and in force on every live entry host. For a question:
 	// answered.
 	Done = "done"
-	// Partly: accepted, but some entry hosts have not confirmed.
-	Partly = "partly"
+	// Partial: accepted, but some entry hosts have not confirmed.
+	Partial = "partly"
 	// Refused: nothing was changed.
 	Refused = "refused"
 	// Unknown: the object API answered neither way.
@@ -59,7 +59,7 @@
 )
 
 // Run answers operators until the context ends.
-func (s *Seat) Run(ctx context.Context, listener net.Listener) error {
+func (s *Server) Run(ctx context.Context, listener net.Listener) error {
 	if s.Done != nil {
 		defer close(s.Done)
 	}
@@ -77,13 +77,13 @@
 // desk is the operators' call.
 type desk struct {
 	wire.DRPCDeskUnimplementedServer
-	seat *Seat
+	seat *Server
 }
 
 // Run implements the operators' call.
 func (d *desk) Run(ctx context.Context, line *wire.Line) (*wire.Answer, error) {
 	s := d.seat
-	if !mesh.Same(line.Secret, s.Secret) {
+	if !mesh.EqualSecrets(line.Secret, s.Secret) {
 		return &wire.Answer{Outcome: Refused, Id: line.Id, Message: "wrong secret"}, nil
 	}
 	answer := s.run(ctx, line)
@@ -93,13 +93,13 @@
 		"line", line.Text, "id", line.Id, "operator", line.Operator,
 		"outcome", answer.Outcome, "revision", answer.Revision, "why", answer.Message)
 	if answer.Outcome != Done {
-		s.Trace.Add("seat", "", "line "+line.Id+" "+answer.Outcome+": "+answer.Message)
+		s.Trace.Record("seat", "", "line "+line.Id+" "+answer.Outcome+": "+answer.Message)
 	}
 	return answer, nil
 }
 
 // run carries out one line.
-func (s *Seat) run(ctx context.Context, line *wire.Line) *wire.Answer {
+func (s *Server) run(ctx context.Context, line *wire.Line) *wire.Answer {
 	parsed, err := lang.Parse(line.Text)
 	if err != nil {
 		return refused(err)
--- a/entry/internal/seat/seat_test.go
+++ b/entry/internal/seat/seat_test.go
@@ -69,8 +69,8 @@
 // entry is an entry host whose watches and exchange do not run: it learns
 // only what the test lets it.
 type entry struct {
-	view  *view.Holder
-	watch *watch.Watch
+	view  *view.Publisher
+	watch *watch.Watcher
 	mesh  *mesh.Mesh
 	host  host.Host
 	stop  func()
@@ -84,12 +84,12 @@
 		host: host.Host{Name: name, Address: listener.Addr().String(), Role: host.Entry, State: host.Live},
 	}
 	log := slog.New(slog.DiscardHandler)
-	e.watch.View, e.watch.Log, e.watch.Trace = e.view, log, &trace.Line{Process: name}
+	e.watch.View, e.watch.Log, e.watch.Trace = e.view, log, &trace.Recorder{Process: name}
 	e.mesh = &mesh.Mesh{
 		View: e.view, Log: log, Secret: secret, Address: e.host.Address,
-		Condition: mesh.Condition{Take: e.watch.OfferObject},
+		Local: mesh.LocalState{Apply: e.watch.ApplyEncoded},
 	}
-	e.mesh.Make()
+	e.mesh.Init()
 	mux := drpcmux.New()
 	c.Assert(wire.DRPCRegisterEntry(mux, e.mesh), quicktest.IsNil)
 	ctx, cancel := context.WithCancel(context.Background())
@@ -119,7 +119,7 @@
 	c.Assert(err, quicktest.IsNil)
 	listener, err := net.Listen("tcp", "127.0.0.1:0")
 	c.Assert(err, quicktest.IsNil)
-	s := &seat.Seat{
+	s := &seat.Server{
 		View: e.view, Store: api, Watch: e.watch, Mesh: e.mesh, Trace: e.watch.Trace,
 		Log: e.watch.Log, Secret: secret, Workers: workers, Done: make(chan struct{}),
 	}
@@ -189,10 +189,10 @@
 	inForce := (*conf.Config)(nil).Clone()
 	for _, id := range []string{"a", "b"} {
 		inForce.Revision++
-		inForce.Record(conf.Line{ID: id, Revision: inForce.Revision, Thing: "pool " + id})
+		inForce.Record(conf.Line{ID: id, Revision: inForce.Revision, Resource: "pool " + id})
 	}
-	one.watch.Offer(inForce)
-	two.watch.Offer(inForce)
+	one.watch.Apply(inForce)
+	two.watch.Apply(inForce)
 	two.stop()
 	api := &fakeStore{object: store.Object{Key: conf.Key, Version: 7}}
 	send := operator(c, one, api)
@@ -220,15 +220,15 @@
 	inForce := (*conf.Config)(nil).Clone()
 	inForce.Revision = 1
 	inForce.Record(conf.Line{ID: "a", Revision: 1})
-	one.watch.Offer(inForce)
+	one.watch.Apply(inForce)
 	api := &fakeStore{object: store.Object{Key: conf.Key, Version: 7}, put: make(chan struct{}, 1)}
 	operator(c, one, api)
-	one.watch.StillBehind()
+	one.watch.MarkStoreStale()
 	<-api.put
 	object, err := api.Get(context.Background(), conf.Key)
 	c.Assert(err, quicktest.IsNil)
 	stored, err := conf.Decode(object.Value)
 	c.Assert(err, quicktest.IsNil)
-	c.Assert(stored.Holds(inForce), quicktest.IsTrue)
+	c.Assert(stored.DescendsFrom(inForce), quicktest.IsTrue)
 	c.Assert([]uint64{stored.Revision, stored.Epoch}, quicktest.DeepEquals, []uint64{1, 1})
 }
--- a/entry/internal/seat/show.go
+++ b/entry/internal/seat/show.go
@@ -25,13 +25,13 @@
 
 // show answers a question from the configuration in force here, and from the
 // other entry hosts where it is about them.
-func (s *Seat) show(ctx context.Context, show *lang.Show) *wire.Answer {
+func (s *Server) show(ctx context.Context, show *lang.Show) *wire.Answer {
 	if show.Command != nil {
 		return s.showCommand(ctx, show.Command.Text)
 	}
 	snap := s.View.Load()
 	answer := &wire.Answer{Outcome: Done, Revision: revision(snap.Config)}
-	if age := s.Watch.Age(); age > staleAfter {
+	if age := s.Watch.Staleness(); age > staleAfter {
 		answer.Message = fmt.Sprintf("the object API has not answered here for %s", age.Truncate(time.Second))
 	}
 	c := snap.Config.Clone()
@@ -87,19 +87,19 @@
 // service describes a service in the words of the language.
 func service(s rule.Service) string {
 	if !s.IsPlain() {
-		return fmt.Sprintf("%s model %s within %s", s.Name, s.Model, s.Limit())
+		return fmt.Sprintf("%s model %s within %s", s.Name, s.Model, s.EffectiveDeadline())
 	}
-	if s.Repeat {
-		return fmt.Sprintf("%s path %s repeat yes within %s", s.Name, s.Path, s.Limit())
+	if s.Retryable {
+		return fmt.Sprintf("%s path %s repeat yes within %s", s.Name, s.Path, s.EffectiveDeadline())
 	}
 	ids, guarded := "needed", "no"
-	if s.FreeID {
+	if s.OptionalID {
 		ids = "free"
 	}
 	if s.Guarded {
 		guarded = "yes"
 	}
-	return fmt.Sprintf("%s path %s repeat no ids %s guarded %s within %s", s.Name, s.Path, ids, guarded, s.Limit())
+	return fmt.Sprintf("%s path %s repeat no ids %s guarded %s within %s", s.Name, s.Path, ids, guarded, s.EffectiveDeadline())
 }
 
 func showServers(c *conf.Config, snap *view.Snapshot, out *rows) {
@@ -118,7 +118,7 @@
 			what = fmt.Sprintf("model %s layers %d to %d", h.Model, h.First, h.End)
 		}
 		state := "takes work"
-		if reason, gone := snap.Out[name]; gone {
+		if reason, gone := snap.Cordoned[name]; gone {
 			state = string(reason)
 		}
 		slices.Sort(in[name])
@@ -130,7 +130,7 @@
 const maxLines = 20
 
 func showLines(c *conf.Config, out *rows) {
-	for _, l := range c.Tail[max(0, len(c.Tail)-maxLines):] {
+	for _, l := range c.History[max(0, len(c.History)-maxLines):] {
 		out.add("%s", record(l))
 	}
 }
@@ -142,7 +142,7 @@
 
 // showCommand tells what became of a line. It asks the object API, since the
 // line may have been accepted without having come into force here.
-func (s *Seat) showCommand(ctx context.Context, id string) *wire.Answer {
+func (s *Server) showCommand(ctx context.Context, id string) *wire.Answer {
 	ctx, cancel := context.WithTimeout(ctx, acceptWait)
 	defer cancel()
 	line, found := s.View.Load().Config.Find(id)
@@ -151,7 +151,7 @@
 		if err != nil {
 			return &wire.Answer{Outcome: Unknown, Message: "the object API does not answer: " + err.Error()}
 		}
-		s.Watch.Offer(stored)
+		s.Watch.Apply(stored)
 		if line, found = stored.Find(id); !found {
 			return &wire.Answer{
 				Outcome: Unknown, Revision: stored.Revision,
@@ -165,16 +165,16 @@
 }
 
 // showEntries asks every entry host what it has in force.
-func (s *Seat) showEntries(ctx context.Context, answer *wire.Answer, out *rows) {
+func (s *Server) showEntries(ctx context.Context, answer *wire.Answer, out *rows) {
 	others := s.Mesh.Others()
 	replies := s.statuses(ctx, others)
 	snap := s.View.Load()
-	replies[snap.Self] = s.Mesh.Own()
+	replies[snap.Self] = s.Mesh.LocalStatus()
 	all := append(others, host.Host{Name: snap.Self, Domain: snap.Domain})
 	for _, h := range all {
 		reply := replies[h.Name]
 		if reply == nil {
-			answer.Outcome = Partly
+			answer.Outcome = Partial
 			answer.Missing = append(answer.Missing, h.Name)
 			out.add("entry %s domain %s does not answer", h.Name, h.Domain)
 			continue
@@ -202,7 +202,7 @@
 	return text
 }
 
-func (s *Seat) showTimeline(ctx context.Context, of *lang.Timeline, out *rows) {
+func (s *Server) showTimeline(ctx context.Context, of *lang.Timeline, out *rows) {
 	request := ""
 	if of.Request != nil {
 		request = of.Request.Text
@@ -226,13 +226,13 @@
 		}
 		for _, e := range reply.Events {
 			events = append(events, trace.Event{
-				Clock: e.Clock, Process: e.Process, Part: e.Part, Request: e.Request, What: e.What,
+				Clock: e.Clock, Process: e.Process, Component: e.Part, Request: e.Request, Message: e.What,
 			})
 		}
 	}
 	trace.Sort(events)
 	for _, e := range events {
 		at := time.Unix(0, int64(e.Clock)).UTC().Format("15:04:05.000000")
-		out.add("%s %s %s %s %s", at, e.Process, e.Part, e.Request, e.What)
+		out.add("%s %s %s %s %s", at, e.Process, e.Component, e.Request, e.Message)
 	}
 }
--- a/entry/internal/seat/stops.go
+++ b/entry/internal/seat/stops.go
@@ -15,25 +15,25 @@
 
 // showStops tells for each planned stop whether it is safe by now. With an
 // entry host silent the answer is partly, and no stop is called safe.
-func (s *Seat) showStops(ctx context.Context, c *conf.Config, answer *wire.Answer, out *rows) {
+func (s *Server) showStops(ctx context.Context, c *conf.Config, answer *wire.Answer, out *rows) {
 	others := s.Mesh.Others()
 	replies := s.statuses(ctx, others)
 	self := s.View.Load().Self
-	replies[self] = s.Mesh.Own()
+	replies[self] = s.Mesh.LocalStatus()
 	entries := []string{self}
 	for _, h := range others {
 		entries = append(entries, h.Name)
 	}
 	if s.View.Load().HostsRevision == 0 {
-		answer.Outcome, answer.Message = Partly, hostsUnknown
+		answer.Outcome, answer.Message = Partial, hostsUnknown
 		entries = nil
 	}
 	for _, name := range slices.Sorted(maps.Keys(c.Stops)) {
 		stop := c.Stops[name]
-		outcome := drain.Judge(stop.Revision, entries, reports(name, replies))
+		outcome := drain.Evaluate(stop.Revision, entries, reports(name, replies))
 		out.add("stop server %s %s", name, state(stop, outcome))
-		if len(outcome.Silent) > 0 {
-			answer.Outcome, answer.Missing = Partly, outcome.Silent
+		if len(outcome.Unresponsive) > 0 {
+			answer.Outcome, answer.Missing = Partial, outcome.Unresponsive
 		}
 	}
 }
@@ -45,7 +45,7 @@
 		report := drain.Report{}
 		for _, d := range reply.Draining {
 			if d.Server == server {
-				report = drain.Report{Out: true, Revision: d.Revision, InFlight: d.InFlight}
+				report = drain.Report{Cordoned: true, Revision: d.Revision, InFlight: d.InFlight}
 			}
 		}
 		all[name] = report
@@ -65,11 +65,11 @@
 	if o.InFlight > 0 {
 		why = append(why, fmt.Sprintf("%d requests in flight", o.InFlight))
 	}
-	if len(o.Silent) > 0 {
-		why = append(why, "no answer from "+strings.Join(o.Silent, " "))
+	if len(o.Unresponsive) > 0 {
+		why = append(why, "no answer from "+strings.Join(o.Unresponsive, " "))
 	}
-	if len(o.Behind) > 0 {
-		why = append(why, "not in force on "+strings.Join(o.Behind, " "))
+	if len(o.Lagging) > 0 {
+		why = append(why, "not in force on "+strings.Join(o.Lagging, " "))
 	}
 	if len(why) == 0 {
 		why = append(why, "entry hosts not known")
--- a/entry/internal/seat/survey.go
+++ b/entry/internal/seat/survey.go
@@ -32,7 +32,7 @@
 // awaitHosts waits until the host list is known, as it is moments after the
 // start of an entry host. Without it a line could not be checked, and a store
 // that lost what others have in force would not be noticed.
-func (s *Seat) awaitHosts(ctx context.Context) bool {
+func (s *Server) awaitHosts(ctx context.Context) bool {
 	ctx, cancel := context.WithTimeout(ctx, outageWait)
 	defer cancel()
 	for {
@@ -49,7 +49,7 @@
 }
 
 // survey asks all other entry hosts for their revision.
-func (s *Seat) survey(ctx context.Context) survey {
+func (s *Server) survey(ctx context.Context) survey {
 	others := s.Mesh.Others()
 	replies := s.statuses(ctx, others)
 	var found survey
@@ -71,7 +71,7 @@
 const askWait = 400 * time.Millisecond
 
 // ask asks one entry host.
-func (s *Seat) ask(ctx context.Context, h host.Host, ask *wire.StatusAsk) (*wire.StatusReply, error) {
+func (s *Server) ask(ctx context.Context, h host.Host, ask *wire.StatusAsk) (*wire.StatusReply, error) {
 	ctx, cancel := context.WithTimeout(ctx, askWait)
 	defer cancel()
 	client, err := s.Mesh.Client(ctx, h)
@@ -84,7 +84,7 @@
 // askAll asks many hosts at once, as far as the workers allow. The map lacks
 // those that failed.
 func askAll[T any](
-	ctx context.Context, s *Seat, hosts []host.Host, ask func(context.Context, host.Host) (T, error),
+	ctx context.Context, s *Server, hosts []host.Host, ask func(context.Context, host.Host) (T, error),
 ) map[string]T {
 	var mu sync.Mutex
 	var all sync.WaitGroup
@@ -110,7 +110,7 @@
 }
 
 // statuses asks hosts for their status, within surveyWait.
-func (s *Seat) statuses(ctx context.Context, hosts []host.Host) map[string]*wire.StatusReply {
+func (s *Server) statuses(ctx context.Context, hosts []host.Host) map[string]*wire.StatusReply {
 	ctx, cancel := context.WithTimeout(ctx, surveyWait)
 	defer cancel()
 	return askAll(ctx, s, hosts, func(ctx context.Context, h host.Host) (*wire.StatusReply, error) {
@@ -120,9 +120,9 @@
 
 // base returns the configuration that the next line is built on; see
 // conf.Choose. The survey was made before the object was read.
-func (s *Seat) base(ctx context.Context, stored *conf.Config, known survey) (*conf.Config, error) {
+func (s *Server) base(ctx context.Context, stored *conf.Config, known survey) (*conf.Config, error) {
 	own := s.View.Load().Config
-	basis := conf.Choose(stored, own, known.revision, len(known.silent) > 0)
+	basis := conf.ChooseBasis(stored, own, known.revision, len(known.silent) > 0)
 	if basis == conf.Stored {
 		return stored, nil
 	}
@@ -137,7 +137,7 @@
 		if err != nil {
 			return nil, err
 		}
-		if !fetched.Replaces(own) {
+		if !fetched.Supersedes(own) {
 			return nil, fmt.Errorf("%s has other lines in force than this entry host", known.best.Name)
 		}
 		base = fetched
@@ -145,11 +145,11 @@
 		return nil, fmt.Errorf("the object API holds revision %d and lacks lines of revision %d in force, and %s does not answer",
 			stored.Revision, highest, strings.Join(known.silent, " "))
 	}
-	return base.Over(stored), nil
+	return base.RebaseOnto(stored), nil
 }
 
 // fetch gets the configuration in force on another entry host.
-func (s *Seat) fetch(ctx context.Context, from host.Host) (*conf.Config, error) {
+func (s *Server) fetch(ctx context.Context, from host.Host) (*conf.Config, error) {
 	client, err := s.Mesh.Client(ctx, from)
 	if err != nil {
 		return nil, err
--- a/entry/internal/setup/admit.go
+++ b/entry/internal/setup/admit.go
@@ -6,14 +6,14 @@
 	"time"
 )
 
-// Admit are the settings of admission.
-type Admit struct {
-	// Wait is the longest time that a request waits for its pool.
-	Wait time.Duration
-	// Target is the wait of tokens at engines to aim at, in steps.
-	Target float64
-	// Requests and Bytes bound what waits for one pool.
-	Requests, Bytes int
+// AdmissionSettings are the settings of admission.
+type AdmissionSettings struct {
+	// MaxWait is the longest time that a request waits for its pool.
+	MaxWait time.Duration
+	// TargetWait is the wait of tokens at engines to aim at, in steps.
+	TargetWait float64
+	// MaxRequests and MaxBytes bound what waits for one pool.
+	MaxRequests, MaxBytes int
 	// Reserve is the part above a pool's limit for teams below their share.
 	Reserve float64
 	// Credit is the work that a team may save up, in tokens for each unit of
@@ -21,28 +21,28 @@
 	Credit float64
 }
 
-func (a *Admit) flags(fs *flag.FlagSet) {
-	fs.DurationVar(&a.Wait, "queue-wait", 200*time.Millisecond, "longest wait of a request for its pool; a request that would wait longer is refused at once")
-	fs.IntVar(&a.Requests, "queue-requests", 1024, "most requests that wait for one pool")
-	fs.IntVar(&a.Bytes, "queue-bytes", 16<<20, "most memory that requests waiting for one pool hold, in bytes")
-	fs.Float64Var(&a.Target, "queue-target", 4, "wait of a token at engines to aim at, in steps of the engine")
+func (a *AdmissionSettings) flags(fs *flag.FlagSet) {
+	fs.DurationVar(&a.MaxWait, "queue-wait", 200*time.Millisecond, "longest wait of a request for its pool; a request that would wait longer is refused at once")
+	fs.IntVar(&a.MaxRequests, "queue-requests", 1024, "most requests that wait for one pool")
+	fs.IntVar(&a.MaxBytes, "queue-bytes", 16<<20, "most memory that requests waiting for one pool hold, in bytes")
+	fs.Float64Var(&a.TargetWait, "queue-target", 4, "wait of a token at engines to aim at, in steps of the engine")
 	fs.Float64Var(&a.Credit, "queue-credit", 500, "tokens that a team may save up, for each unit of its share, while it uses less than its share")
 	fs.Float64Var(&a.Reserve, "queue-reserve", 1, "part above a pool's limit for teams below their share")
 }
 
-func (a *Admit) check() []error {
+func (a *AdmissionSettings) check() []error {
 	var faults []error
-	if a.Wait < 0 {
-		faults = append(faults, fmt.Errorf("-queue-wait: %s is below 0", a.Wait))
+	if a.MaxWait < 0 {
+		faults = append(faults, fmt.Errorf("-queue-wait: %s is below 0", a.MaxWait))
 	}
-	if a.Requests < 0 {
-		faults = append(faults, fmt.Errorf("-queue-requests: %d is below 0", a.Requests))
+	if a.MaxRequests < 0 {
+		faults = append(faults, fmt.Errorf("-queue-requests: %d is below 0", a.MaxRequests))
 	}
-	if a.Bytes < 0 {
-		faults = append(faults, fmt.Errorf("-queue-bytes: %d is below 0", a.Bytes))
+	if a.MaxBytes < 0 {
+		faults = append(faults, fmt.Errorf("-queue-bytes: %d is below 0", a.MaxBytes))
 	}
-	if a.Target <= 0 {
-		faults = append(faults, fmt.Errorf("-queue-target: %v is not above 0", a.Target))
+	if a.TargetWait <= 0 {
+		faults = append(faults, fmt.Errorf("-queue-target: %v is not above 0", a.TargetWait))
 	}
 	if a.Reserve < 0 || a.Reserve > 4 {
 		faults = append(faults, fmt.Errorf("-queue-reserve: %v is not from 0 to 4", a.Reserve))
--- a/entry/internal/setup/claims.go
+++ b/entry/internal/setup/claims.go
@@ -9,12 +9,12 @@
 	"fuchsiashelf.dev/parts/claim"
 )
 
-// Claims are the settings of claims.
-type Claims struct {
+// ClaimSettings are the settings of claims.
+type ClaimSettings struct {
 	// Terms are the times that claims rest on.
-	claim.Terms
-	// Writes is the number of claim writes a second.
-	Writes float64
+	claim.Timing
+	// WriteRate is the number of claim writes a second.
+	WriteRate float64
 }
 
 // The defaults of the claims' settings.
@@ -25,22 +25,22 @@
 	defaultWrites = 75
 )
 
-func (c *Claims) flags(fs *flag.FlagSet) {
-	fs.DurationVar(&c.Longest, "claim-longest", defaultLongest,
+func (c *ClaimSettings) flags(fs *flag.FlagSet) {
+	fs.DurationVar(&c.MaxDeadline, "claim-longest", defaultLongest,
 		"longest deadline of a call that may not be repeated; the same on all entry hosts")
-	fs.DurationVar(&c.Expiry, "claim-expiry", claim.Margin*defaultLongest,
+	fs.DurationVar(&c.Expiry, "claim-expiry", claim.ExpiryFactor*defaultLongest,
 		"how long an id is remembered, at least 1000 times -claim-longest; the same on all entry hosts")
-	fs.Float64Var(&c.Writes, "claim-writes", defaultWrites,
+	fs.Float64Var(&c.WriteRate, "claim-writes", defaultWrites,
 		"claim writes a second of this entry host, its share of what the store takes; 0 means any number")
 }
 
-func (c *Claims) check() error {
+func (c *ClaimSettings) check() error {
 	var faults []error
-	if err := c.Terms.Check(); err != nil {
+	if err := c.Timing.Check(); err != nil {
 		faults = append(faults, fmt.Errorf("-claim-expiry: %w", err))
 	}
-	if c.Writes < 0 {
-		faults = append(faults, fmt.Errorf("-claim-writes: %g is below 0", c.Writes))
+	if c.WriteRate < 0 {
+		faults = append(faults, fmt.Errorf("-claim-writes: %g is below 0", c.WriteRate))
 	}
 	return errors.Join(faults...)
 }
--- a/entry/internal/setup/setup.go
+++ b/entry/internal/setup/setup.go
@@ -39,8 +39,8 @@
 	// Poll and PollRate say how often engines are asked for their reports.
 	Poll     time.Duration
 	PollRate float64
-	Claims   Claims
-	Admit    Admit
+	Claims   ClaimSettings
+	Admit    AdmissionSettings
 	// OrderTerm is how long one renewal of the lease of orders holds.
 	OrderTerm time.Duration
 	// Linger is how long callers are taken after the stop began.
@@ -52,15 +52,15 @@
 // leastOrderTerm leaves a few round trips to the object API within a term.
 const leastOrderTerm = time.Second
 
-// Prefix is the prefix of the environment variables.
-const Prefix = "FSENTRY"
+// EnvPrefix is the prefix of the environment variables.
+const EnvPrefix = "FSENTRY"
 
 // Parse reads flags and environment, and checks every setting. The error
 // lists all faults, each with the name of its flag.
 func Parse(args []string, stderr io.Writer) (*Settings, error) {
 	s := &Settings{}
 	fs := s.Flags(stderr)
-	if err := ff.Parse(fs, args, ff.WithEnvVarPrefix(Prefix)); err != nil {
+	if err := ff.Parse(fs, args, ff.WithEnvVarPrefix(EnvPrefix)); err != nil {
 		return nil, err
 	}
 	return s, s.check()
@@ -93,8 +93,8 @@
 	return fs
 }
 
-// Home returns the failure domain.
-func (s *Settings) Home() domain.Name {
+// LocalDomain returns the failure domain.
+func (s *Settings) LocalDomain() domain.Name {
 	return domain.Name(s.Domain)
 }
 
@@ -141,7 +141,7 @@
 	if s.Grace <= 0 {
 		faults = append(faults, fmt.Errorf("-grace: %s is not above 0", s.Grace))
 	}
-	if _, err := pick.Parse(s.Policy); err != nil {
+	if _, err := pick.ParsePolicy(s.Policy); err != nil {
 		faults = append(faults, fmt.Errorf("-policy: %w", err))
 	}
 	if s.Poll <= 0 {
--- a/entry/internal/watch/hosts.go
+++ b/entry/internal/watch/hosts.go
@@ -8,7 +8,7 @@
 	"fuchsiashelf.dev/parts/view"
 )
 
-func (f *Watch) watchHosts(ctx context.Context) {
+func (f *Watcher) watchHosts(ctx context.Context) {
 	var after uint64
 	for ctx.Err() == nil {
 		list, err := f.Store.Hosts(ctx, after)
@@ -26,7 +26,7 @@
 }
 
 // offerHosts takes a host list of a higher revision.
-func (f *Watch) offerHosts(list host.List) {
+func (f *Watcher) offerHosts(list host.List) {
 	hosts := make(map[string]host.Host, len(list.Hosts))
 	for _, h := range list.Hosts {
 		hosts[h.Name] = h
@@ -44,7 +44,7 @@
 // stopTick is how often planned stops are looked at.
 const stopTick = 500 * time.Millisecond
 
-func (f *Watch) watchStops(ctx context.Context) {
+func (f *Watcher) watchStops(ctx context.Context) {
 	tick := time.NewTicker(stopTick)
 	defer tick.Stop()
 	for {
@@ -65,7 +65,7 @@
 			leaving[name] = true
 		}
 	}
-	s.SetOut(view.HostLeaving, leaving)
+	s.SetCordoned(view.HostLeaving, leaving)
 	stopping := map[string]bool{}
 	if s.Config != nil {
 		for name, stop := range s.Config.Stops {
@@ -74,5 +74,5 @@
 			}
 		}
 	}
-	s.SetOut(view.Stopping, stopping)
+	s.SetCordoned(view.Stopping, stopping)
 }
--- a/entry/internal/watch/objects.go
+++ b/entry/internal/watch/objects.go
@@ -20,7 +20,7 @@
 
 // watchObjects takes the configuration and the teams from a watch that goes
 // on from the newest version received.
-func (f *Watch) watchObjects(ctx context.Context) {
+func (f *Watcher) watchObjects(ctx context.Context) {
 	var after uint64
 	for ctx.Err() == nil {
 		changes, err := f.Store.Watch(ctx, conf.Prefix, after)
@@ -57,7 +57,7 @@
 	}
 }
 
-func (f *Watch) take(ctx context.Context, o store.Object) {
+func (f *Watcher) take(ctx context.Context, o store.Object) {
 	switch o.Key {
 	case conf.Key:
 		c, err := conf.Decode(o.Value)
@@ -65,7 +65,7 @@
 			f.Log.Error("watch: configuration unreadable", "err", err)
 			return
 		}
-		if !f.Offer(c) && c.Revision < f.revision() {
+		if !f.Apply(c) && c.Revision < f.revision() {
 			f.compare(ctx)
 		}
 	case conf.TeamsKey:
@@ -74,8 +74,8 @@
 }
 
 // offerTeams takes a book of teams of a higher version.
-func (f *Watch) offerTeams(value []byte, version uint64) {
-	book := &team.Book{Version: version}
+func (f *Watcher) offerTeams(value []byte, version uint64) {
+	book := &team.Directory{Version: version}
 	if err := json.Unmarshal(value, book); err != nil {
 		f.Log.Error("watch: teams unreadable", "err", err)
 		return
@@ -92,7 +92,7 @@
 // restored from an older copy sends no event, and its counter soon passes the
 // old one by writes of other objects. All of them reading it each time would
 // cost each node many times what it may spend on control.
-func (f *Watch) entries() int {
+func (f *Watcher) entries() int {
 	if f.Peers == nil {
 		return 1
 	}
@@ -102,40 +102,40 @@
 // compare reads the object anew, and raises an alarm if it lacks lines that
 // are in force. An event of the watch alone does not show that, since events
 // may lag behind what peers handed on.
-func (f *Watch) compare(ctx context.Context) {
+func (f *Watcher) compare(ctx context.Context) {
 	own := f.View.Load().Config
 	o, err := f.Store.Get(ctx, conf.Key)
 	if err != nil {
 		return
 	}
 	c, err := conf.Decode(o.Value)
-	if err != nil || c.Holds(own) {
+	if err != nil || c.DescendsFrom(own) {
 		if err == nil && len(o.Value) > 0 {
-			f.Offer(c)
+			f.Apply(c)
 		}
 		return
 	}
 	metrics.GetOrRegisterCounter("watch.store_behind", nil).Inc(1)
 	f.Log.Error("watch: store lacks lines that are in force, kept them", "held", c.Revision, "in_force", own.Revision)
-	f.Trace.Add("watch", "", fmt.Sprintf("store holds revision %d, kept %d", c.Revision, own.Revision))
-	f.StillBehind()
+	f.Trace.Record("watch", "", fmt.Sprintf("store holds revision %d, kept %d", c.Revision, own.Revision))
+	f.MarkStoreStale()
 }
 
-func (f *Watch) revision() uint64 {
+func (f *Watcher) revision() uint64 {
 	if c := f.View.Load().Config; c != nil {
 		return c.Revision
 	}
 	return 0
 }
 
-// Behind receives when the store holds an older configuration than the one
+// StoreStale receives when the store holds an older configuration than the one
 // in force here, and the newer one has to be put back.
-func (f *Watch) Behind() <-chan struct{} {
+func (f *Watcher) StoreStale() <-chan struct{} {
 	return f.behind
 }
 
-// StillBehind makes Behind receive once more.
-func (f *Watch) StillBehind() {
+// MarkStoreStale makes Behind receive once more.
+func (f *Watcher) MarkStoreStale() {
 	select {
 	case f.behind <- struct{}{}:
 	default:
--- a/entry/internal/watch/prime.go
+++ b/entry/internal/watch/prime.go
@@ -23,19 +23,19 @@
 // primeWait bounds one question.
 const primeWait = time.Second
 
-// Primed reports whether this entry host has asked both the store and its
+// HasSynced reports whether this entry host has asked both the store and its
 // peers for the newest configuration, and has one. Callers that came earlier
 // could be routed by a configuration that was replaced long ago: during an
 // outage of the store the newest is known to the peers alone, and after a
 // restore from an older copy the store's is not the newest.
-func (f *Watch) Primed() bool {
+func (f *Watcher) HasSynced() bool {
 	snap := f.View.Load()
 	return f.primed.Load() && snap.Config != nil && snap.HostsRevision > 0 && snap.Teams != nil
 }
 
 // prime asks peers until one answered, or until the store answered and no
 // peer did.
-func (f *Watch) prime(ctx context.Context) {
+func (f *Watcher) prime(ctx context.Context) {
 	for ctx.Err() == nil {
 		listed := f.listed.Load() && f.View.Load().HostsRevision > 0
 		if f.askPeers(ctx) || listed {
@@ -48,7 +48,7 @@
 
 // askPeers asks some peers for what they have. It reports whether one
 // answered.
-func (f *Watch) askPeers(ctx context.Context) bool {
+func (f *Watcher) askPeers(ctx context.Context) bool {
 	if f.Peers == nil {
 		return false
 	}
@@ -72,7 +72,7 @@
 	return any
 }
 
-func (f *Watch) askPeer(ctx context.Context, h host.Host) bool {
+func (f *Watcher) askPeer(ctx context.Context, h host.Host) bool {
 	ctx, cancel := context.WithTimeout(ctx, primeWait)
 	defer cancel()
 	client, err := f.Peers.Client(ctx, h)
@@ -90,9 +90,9 @@
 }
 
 // takeReply takes what a peer has and this entry host has not.
-func (f *Watch) takeReply(reply *wire.ConfigReply) {
+func (f *Watcher) takeReply(reply *wire.ConfigReply) {
 	if len(reply.Object) > 0 {
-		f.OfferObject(reply.Object)
+		f.ApplyEncoded(reply.Object)
 	}
 	if len(reply.Teams) > 0 {
 		f.offerTeams(reply.Teams, reply.TeamsVersion)
@@ -107,9 +107,9 @@
 	}
 }
 
-// OfferObject takes a configuration in its stored form that another entry
+// ApplyEncoded takes a configuration in its stored form that another entry
 // host has in force.
-func (f *Watch) OfferObject(value []byte) bool {
+func (f *Watcher) ApplyEncoded(value []byte) bool {
 	c, err := conf.Decode(value)
 	if err != nil {
 		f.Log.Error("watch: a peer's configuration is unreadable", "err", err)
@@ -118,9 +118,9 @@
 	return f.offerOfPeer(c)
 }
 
-// World returns the host list and the teams for a peer that starts while the
+// FillReply returns the host list and the teams for a peer that starts while the
 // store is down.
-func World(s *view.Snapshot, reply *wire.ConfigReply) error {
+func FillReply(s *view.Snapshot, reply *wire.ConfigReply) error {
 	list := host.List{Revision: s.HostsRevision}
 	for _, h := range s.Hosts {
 		list.Hosts = append(list.Hosts, h)
