--- a/entry/internal/watch/watch.go
+++ b/entry/internal/watch/watch.go
@@ -36,12 +36,12 @@
 	Client(ctx context.Context, h host.Host) (wire.DRPCEntryClient, error)
 }
 
-// Watch watches the platform's service. Make it with New, set the exported
+// Watcher watches the platform's service. Make it with New, set the exported
 // fields, then Run.
-type Watch struct {
+type Watcher struct {
 	Store store.API
-	View  *view.Holder
-	Trace *trace.Line
+	View  *view.Publisher
+	Trace *trace.Recorder
 	Log   *slog.Logger
 	// Peers are asked for what they have before this entry host is ready.
 	Peers Peers
@@ -63,15 +63,15 @@
 }
 
 // New returns a watch whose fields are not set yet.
-func New() *Watch {
-	return &Watch{began: time.Now(), behind: make(chan struct{}, 1)}
+func New() *Watcher {
+	return &Watcher{began: time.Now(), behind: make(chan struct{}, 1)}
 }
 
 // retryWait is the mean pause after a failed call.
 const retryWait = 200 * time.Millisecond
 
 // Run watches until the context ends.
-func (f *Watch) Run(ctx context.Context) {
+func (f *Watcher) Run(ctx context.Context) {
 	if f.Done != nil {
 		defer close(f.Done)
 	}
@@ -86,7 +86,7 @@
 	}
 }
 
-func (f *Watch) gauges() {
+func (f *Watcher) gauges() {
 	_ = metrics.Register("watch.revision", metrics.NewFunctionalGauge(func() int64 {
 		if c := f.View.Load().Config; c != nil {
 			return int64(c.Revision)
@@ -94,14 +94,14 @@
 		return 0
 	}))
 	_ = metrics.Register("watch.age_ms", metrics.NewFunctionalGauge(func() int64 {
-		return f.Age().Milliseconds()
+		return f.Staleness().Milliseconds()
 	}))
 }
 
-// Age returns how long the object API has been silent here about the
+// Staleness returns how long the object API has been silent here about the
 // configuration; zero while the watch is up. An entry host that is cut off
 // keeps serving on what it has.
-func (f *Watch) Age() time.Duration {
+func (f *Watcher) Staleness() time.Duration {
 	heard := f.objects.heard.Load()
 	if heard == 0 {
 		return time.Since(f.began)
@@ -112,27 +112,27 @@
 	return time.Since(time.Unix(0, heard))
 }
 
-// Heard reports whether the object API ever answered here.
-func (f *Watch) Heard() bool {
+// EverConnected reports whether the object API ever answered here.
+func (f *Watcher) EverConnected() bool {
 	return f.objects.heard.Load() != 0
 }
 
-// Offer puts a configuration in force if its revision is higher than that of
+// Apply puts a configuration in force if its revision is higher than that of
 // the one that is and it holds all its lines. It reports whether it was.
-func (f *Watch) Offer(c *conf.Config) bool {
-	return f.offer(c, c.Replaces)
+func (f *Watcher) Apply(c *conf.Config) bool {
+	return f.offer(c, c.Supersedes)
 }
 
 // offerOfPeer is Offer for a configuration that is in force on another entry
 // host.
-func (f *Watch) offerOfPeer(c *conf.Config) bool {
+func (f *Watcher) offerOfPeer(c *conf.Config) bool {
 	if f.primed.Load() {
-		return f.Offer(c)
+		return f.Apply(c)
 	}
-	return f.offer(c, c.Begins)
+	return f.offer(c, c.SupersedesAtStart)
 }
 
-func (f *Watch) offer(c *conf.Config, fits func(*conf.Config) bool) bool {
+func (f *Watcher) offer(c *conf.Config, fits func(*conf.Config) bool) bool {
 	newer, diverged := false, false
 	f.View.Update(func(s *view.Snapshot) {
 		// An older copy comes from a store that was restored, a watch that
@@ -151,11 +151,11 @@
 		// older copy that lack lines in force here.
 		metrics.GetOrRegisterCounter("watch.diverged", nil).Inc(1)
 		f.Log.Error("watch: configuration lacks lines that are in force, not taken", "revision", c.Revision)
-		f.Trace.Add("watch", "", fmt.Sprintf("revision %d lacks lines in force, not taken", c.Revision))
-		f.StillBehind()
+		f.Trace.Record("watch", "", fmt.Sprintf("revision %d lacks lines in force, not taken", c.Revision))
+		f.MarkStoreStale()
 	}
 	if newer {
-		f.Trace.Add("watch", "", fmt.Sprintf("configuration in force: revision %d", c.Revision))
+		f.Trace.Record("watch", "", fmt.Sprintf("configuration in force: revision %d", c.Revision))
 		f.Log.Info("watch: configuration in force", "revision", c.Revision)
 	}
 	return newer
@@ -170,22 +170,22 @@
 }
 
 // failed notes that a call of a watch failed, and waits before the next one.
-func (f *Watch) failed(ctx context.Context, w *watch, what string, err error) {
+func (f *Watcher) failed(ctx context.Context, w *watch, what string, err error) {
 	if ctx.Err() != nil {
 		return
 	}
 	if !w.silent.Swap(true) {
 		f.Log.Warn("watch: store does not answer", "watch", what, "err", err)
-		f.Trace.Add("watch", "", "store does not answer about "+what)
+		f.Trace.Record("watch", "", "store does not answer about "+what)
 	}
 	wait.For(ctx, retryWait/2+rand.N(retryWait))
 }
 
 // answered notes that a call of a watch was answered.
-func (f *Watch) answered(w *watch, what string) {
+func (f *Watcher) answered(w *watch, what string) {
 	w.heard.Store(time.Now().UnixNano())
 	if w.silent.Swap(false) {
 		f.Log.Info("watch: store answers again", "watch", what)
-		f.Trace.Add("watch", "", "store answers again about "+what)
+		f.Trace.Record("watch", "", "store answers again about "+what)
 	}
 }
--- a/entry/internal/watch/watch_test.go
+++ b/entry/internal/watch/watch_test.go
@@ -91,17 +91,17 @@
 	return value
 }
 
-func start(c *quicktest.C, api *fakeStore, others watch.Peers) *watch.Watch {
+func start(c *quicktest.C, api *fakeStore, others watch.Peers) *watch.Watcher {
 	f := watch.New()
 	f.Store, f.Peers, f.View = api, others, view.New("e1", "a")
-	f.Log, f.Trace, f.Done = slog.New(slog.DiscardHandler), &trace.Line{}, make(chan struct{})
+	f.Log, f.Trace, f.Done = slog.New(slog.DiscardHandler), &trace.Recorder{}, make(chan struct{})
 	ctx, cancel := context.WithCancel(context.Background())
 	go f.Run(ctx)
 	c.Cleanup(func() { cancel(); <-f.Done })
 	return f
 }
 
-func until(f *watch.Watch, condition func(*view.Snapshot) bool) {
+func until(f *watch.Watcher, condition func(*view.Snapshot) bool) {
 	for {
 		changed := f.View.Changed()
 		if condition(f.View.Load()) {
@@ -137,7 +137,7 @@
 	api.watches <- store.Changes{Version: 3}
 	c.Assert(<-api.after, quicktest.Equals, uint64(0))
 	api.watches <- object(lines(c, 3), 3)
-	<-f.Behind()
+	<-f.StoreStale()
 	c.Assert(<-api.after, quicktest.Equals, uint64(3))
 	c.Assert(f.View.Load().Config.Revision, quicktest.Equals, uint64(5))
 	api.watches <- object(lines(c, 6), 4)
@@ -168,11 +168,11 @@
 	api := newStore()
 	f := start(c, api, peers{})
 	<-api.after
-	c.Assert(f.Primed(), quicktest.IsFalse)
-	c.Assert(f.Heard(), quicktest.IsFalse)
+	c.Assert(f.HasSynced(), quicktest.IsFalse)
+	c.Assert(f.EverConnected(), quicktest.IsFalse)
 	api.watches <- object(lines(c, 1), 1)
 	until(f, func(s *view.Snapshot) bool { return s.Config != nil })
-	c.Assert(f.Primed(), quicktest.IsFalse)
+	c.Assert(f.HasSynced(), quicktest.IsFalse)
 }
 
 // The platform restores the store from an older copy, and writes of other
@@ -188,6 +188,6 @@
 	<-api.after
 	api.object = store.Object{Key: conf.Key, Version: 3, Value: lines(c, 3)}
 	api.watches <- store.Changes{Version: 50}
-	<-f.Behind()
+	<-f.StoreStale()
 	c.Assert(f.View.Load().Config.Revision, quicktest.Equals, uint64(5))
 }
--- a/entry/line/line.go
+++ b/entry/line/line.go
@@ -57,23 +57,23 @@
 	since time.Time
 }
 
-// Head is what a caller of the pool reads of an answer's header.
-type Head struct {
-	// Other says that the answer belongs to another request.
-	Other bool
+// ResponseInfo is what a caller of the pool reads of an answer's header.
+type ResponseInfo struct {
+	// OtherRequest says that the answer belongs to another request.
+	OtherRequest bool
 	// Close says that the connection must not be used again, Idle for how long
 	// it may be kept.
-	Close bool
-	Idle  time.Duration
+	Close       bool
+	IdleTimeout time.Duration
 }
 
-// Answer is an answer whose header has been read.
-type Answer struct {
+// Response is an answer whose header has been read.
+type Response struct {
 	*http.Response
 	pool    *Pool
 	address string
 	conn    *conn
-	head    Head
+	head    ResponseInfo
 	stop    func() bool
 	ended   bool
 	once    sync.Once
@@ -81,22 +81,22 @@
 
 // Options of one request.
 type Options struct {
-	// Fresh is how long ago a kept connection must have been used at most.
+	// MaxIdle is how long ago a kept connection must have been used at most.
 	// Zero permits any. One that has been closed meanwhile leaves open whether
 	// the request ran.
-	Fresh time.Duration
-	// New asks for a new connection.
-	New bool
-	// Dial bounds the time to connect; zero means dialTime.
-	Dial time.Duration
-	// Head reads an answer's header.
-	Head func(*http.Response) Head
+	MaxIdle time.Duration
+	// NewConn asks for a new connection.
+	NewConn bool
+	// DialTimeout bounds the time to connect; zero means dialTime.
+	DialTimeout time.Duration
+	// Inspect reads an answer's header.
+	Inspect func(*http.Response) ResponseInfo
 }
 
 // Do writes a request and reads the header of its answer. The context ends the
 // answer too: its connection is closed then. An error is a *fault.Error:
 // NotRun if nothing was written.
-func (p *Pool) Do(ctx context.Context, address string, req *http.Request, o Options) (*Answer, error) {
+func (p *Pool) Do(ctx context.Context, address string, req *http.Request, o Options) (*Response, error) {
 	c, err := p.get(ctx, address, o)
 	if err != nil {
 		return nil, &fault.Error{Code: fault.ServerFailed, Verdict: fault.NotRun, Message: "no connection", Server: address, Cause: err}
@@ -115,7 +115,7 @@
 	return a, nil
 }
 
-func (p *Pool) exchange(c *conn, req *http.Request, o Options) (*Answer, error) {
+func (p *Pool) exchange(c *conn, req *http.Request, o Options) (*Response, error) {
 	// One write for header and body: two would be two packets.
 	bw := bufio.NewWriterSize(c.Conn, 2048+int(min(req.ContentLength, 32<<10)))
 	if err := req.Write(bw); err != nil {
@@ -132,9 +132,9 @@
 		if resp.StatusCode < http.StatusOK {
 			continue
 		}
-		head := o.Head(resp)
-		if !head.Other {
-			return &Answer{Response: resp, conn: c, head: head}, nil
+		head := o.Inspect(resp)
+		if !head.OtherRequest {
+			return &Response{Response: resp, conn: c, head: head}, nil
 		}
 		if _, err := io.Copy(io.Discard, resp.Body); err != nil {
 			return nil, err
@@ -148,7 +148,7 @@
 
 // Read reads the body. It notes the end, after which the connection may be
 // kept.
-func (a *Answer) Read(b []byte) (int, error) {
+func (a *Response) Read(b []byte) (int, error) {
 	n, err := a.Body.Read(b)
 	if err == io.EOF {
 		a.ended = true
@@ -158,7 +158,7 @@
 
 // Close gives the connection back if the answer was read to its end, and
 // closes it otherwise, which tells the backend server to stop.
-func (a *Answer) Close() {
+func (a *Response) Close() {
 	a.once.Do(func() {
 		alive := a.stop()
 		keep := alive && a.ended && !a.Response.Close && !a.head.Close && a.conn.br.Buffered() == 0
@@ -166,29 +166,29 @@
 			a.conn.Close()
 			return
 		}
-		a.pool.put(a.address, a.conn, a.head.Idle)
+		a.pool.put(a.address, a.conn, a.head.IdleTimeout)
 	})
 }
 
 // Reset closes the connection while another goroutine may be reading from it.
-func (a *Answer) Reset() {
+func (a *Response) Reset() {
 	a.conn.Close()
 }
 
 func (p *Pool) get(ctx context.Context, address string, o Options) (*conn, error) {
 	now := time.Now()
-	for !o.New {
+	for !o.NewConn {
 		c := p.pop(address)
 		if c == nil {
 			break
 		}
-		stale := now.After(c.until) || o.Fresh > 0 && now.Sub(c.since) > o.Fresh
+		stale := now.After(c.until) || o.MaxIdle > 0 && now.Sub(c.since) > o.MaxIdle
 		if !stale && quiet(c.Conn) {
 			return c, nil
 		}
 		c.Close()
 	}
-	return dial(ctx, address, cmp.Or(o.Dial, dialTime))
+	return dial(ctx, address, cmp.Or(o.DialTimeout, dialTime))
 }
 
 func (p *Pool) pop(address string) *conn {
@@ -217,9 +217,9 @@
 	p.idle[address] = append(p.idle[address], c)
 }
 
-// Forget closes the kept connections to an address, for example because the
+// CloseIdle closes the kept connections to an address, for example because the
 // server there fell silent.
-func (p *Pool) Forget(address string) {
+func (p *Pool) CloseIdle(address string) {
 	p.mu.Lock()
 	list := p.idle[address]
 	delete(p.idle, address)
@@ -229,8 +229,8 @@
 	}
 }
 
-// Sweep closes the connections that are kept beyond their time.
-func (p *Pool) Sweep(now time.Time) {
+// CloseExpired closes the connections that are kept beyond their time.
+func (p *Pool) CloseExpired(now time.Time) {
 	var old []*conn
 	p.mu.Lock()
 	for address, list := range p.idle {
@@ -254,7 +254,7 @@
 }
 
 func dial(ctx context.Context, address string, bound time.Duration) (*conn, error) {
-	d := net.Dialer{Timeout: bound, KeepAlive: -1, Control: Bound}
+	d := net.Dialer{Timeout: bound, KeepAlive: -1, Control: SetUserTimeout}
 	c, err := d.DialContext(ctx, "tcp", address)
 	if err != nil {
 		return nil, err
@@ -266,9 +266,9 @@
 // on all systems.
 const tcpUserTimeout = 0x12
 
-// Bound makes the kernel give up a connection whose sent bytes stay
+// SetUserTimeout makes the kernel give up a connection whose sent bytes stay
 // unconfirmed, for [net.Dialer.Control].
-func Bound(_, _ string, raw syscall.RawConn) error {
+func SetUserTimeout(_, _ string, raw syscall.RawConn) error {
 	var failed error
 	err := raw.Control(func(fd uintptr) {
 		failed = syscall.SetsockoptInt(int(fd), syscall.IPPROTO_TCP, tcpUserTimeout, int(silentPeer.Milliseconds()))
--- a/entry/line/line_test.go
+++ b/entry/line/line_test.go
@@ -47,7 +47,9 @@
 
 // ask sends a request and returns the body of its answer.
 func ask(t *testing.T, p *line.Pool, address, id string, o line.Options) (string, error) {
-	o.Head = func(r *http.Response) line.Head { return line.Head{Other: r.Header.Get("Id") != id} }
+	o.Inspect = func(r *http.Response) line.ResponseInfo {
+		return line.ResponseInfo{OtherRequest: r.Header.Get("Id") != id}
+	}
 	a, err := p.Do(context.Background(), address, get(address, id), o)
 	if err != nil {
 		return "", err
@@ -262,6 +264,6 @@
 	var p line.Pool
 	_, err := ask(t, &p, address, "a", line.Options{})
 	qt.Assert(t, err, qt.IsNil)
-	p.Sweep(time.Now().Add(time.Hour))
+	p.CloseExpired(time.Now().Add(time.Hour))
 	<-closed
 }
--- a/entry/placer/order.go
+++ b/entry/placer/order.go
@@ -12,16 +12,16 @@
 )
 
 // order reads what a server holds and sends it the order.
-func (p *Placer) order(ctx context.Context, e *route.Engine, o place.Order) {
+func (p *Placer) order(ctx context.Context, e *route.Engine, o place.Assignment) {
 	report, err := p.report(ctx, o.Server)
 	if err != nil {
 		return
 	}
 	if report.Busy {
-		p.Log.Info("placer: busy", "server", o.Server.ID, "orders", report.Orders)
+		p.Log.Info("placer: busy", "server", o.Server.ID, "orders", report.OrderCount)
 		return
 	}
-	if o.Server.Holds() == 0 && report.End > report.First {
+	if o.Server.LayerCount() == 0 && report.End > report.First {
 		// Its entry lags behind: it holds layers already.
 		p.settle(o.Server, report.First, report.End, time.Now().Add(heartbeats))
 		return
@@ -30,19 +30,19 @@
 		p.Log.Info("placer: kept", "server", o.Server.ID, "layer", l, "first", o.First, "end", o.End)
 		return
 	}
-	octx, cancel := context.WithTimeout(ctx, call.OrderTime)
-	taken, err := p.Engine.Place(octx, o.Server, o.First, o.End, report.Orders)
+	octx, cancel := context.WithTimeout(ctx, call.OrderTimeout)
+	taken, err := p.Engine.Place(octx, o.Server, o.First, o.End, report.OrderCount)
 	cancel()
 	p.Log.Info("placer: ordered", "server", o.Server.ID, "first", o.First, "end", o.End,
-		"held", o.Server.Holds(), "orders", report.Orders, "taken", taken.String(), "error", err)
+		"held", o.Server.LayerCount(), "orders", report.OrderCount, "taken", taken.String(), "error", err)
 	now := time.Now()
-	if taken != call.TakenBegun {
+	if taken != call.OrderStarted {
 		return
 	}
 	until := now.Add(besideOthers*loadTime(e, o.End-o.First) + heartbeats)
 	p.settle(o.Server, o.First, o.End, until)
-	if p.State.Ordered(belief.Order{ID: o.Server.ID, First: o.First, End: o.End, Until: until}, now) {
-		p.Spread()
+	if p.State.Assign(belief.Assignment{ID: o.Server.ID, First: o.First, End: o.End, Until: until}, now) {
+		p.Broadcast()
 	}
 	if o.First < o.Server.First || o.End > o.Server.End {
 		p.confirm(ctx, e, o)
@@ -51,7 +51,7 @@
 
 // report asks a server what it holds. A failure is logged.
 func (p *Placer) report(ctx context.Context, s *fleet.Server) (call.Report, error) {
-	ctx, cancel := context.WithTimeout(ctx, call.ReportTime)
+	ctx, cancel := context.WithTimeout(ctx, call.ReportTimeout)
 	defer cancel()
 	report, err := p.Engine.Report(ctx, s.Address)
 	if err != nil {
@@ -63,7 +63,7 @@
 // confirm asks a server that loads layers until it holds them, and tells the
 // others at once. Its entry shows them up to a heartbeat later, while requests
 // are refused for want of these layers.
-func (p *Placer) confirm(ctx context.Context, e *route.Engine, o place.Order) {
+func (p *Placer) confirm(ctx context.Context, e *route.Engine, o place.Assignment) {
 	wait := loadTime(e, o.End-o.First-overlap(o))
 	for range maxConfirms {
 		select {
@@ -78,15 +78,15 @@
 		}
 		now := time.Now()
 		p.Log.Info("placer: carried out", "server", o.Server.ID, "first", o.First, "end", o.End)
-		if p.State.Ordered(belief.Order{ID: o.Server.ID, First: o.First, End: o.End, Until: now.Add(shownIn), Done: true}, now) {
-			p.Spread()
+		if p.State.Assign(belief.Assignment{ID: o.Server.ID, First: o.First, End: o.End, Until: now.Add(shownIn), Done: true}, now) {
+			p.Broadcast()
 		}
 		return
 	}
 }
 
 // overlap returns how many layers of an order the server holds already.
-func overlap(o place.Order) int {
+func overlap(o place.Assignment) int {
 	return max(0, min(o.End, o.Server.End)-max(o.First, o.Server.First))
 }
 
@@ -94,12 +94,12 @@
 // order makes one give up, or the first layer that nobody does. Their entries
 // may be of before their death: the layers would be lost then, and every request
 // of the domain refused until they are loaded again.
-func (p *Placer) kept(ctx context.Context, o place.Order) (layer int, kept bool) {
-	if len(o.Rely) == 0 {
+func (p *Placer) kept(ctx context.Context, o place.Assignment) (layer int, kept bool) {
+	if len(o.Replicas) == 0 {
 		return 0, true
 	}
 	held := map[int]bool{}
-	for _, s := range o.Rely {
+	for _, s := range o.Replicas {
 		report, err := p.report(ctx, s)
 		if err != nil {
 			continue
@@ -127,5 +127,5 @@
 func (p *Placer) settle(s *fleet.Server, first, end int, until time.Time) {
 	p.mu.Lock()
 	defer p.mu.Unlock()
-	p.tell(s.ID, pending{first: first, end: end, until: until, settled: true, born: s.Born})
+	p.tell(s.ID, pending{first: first, end: end, until: until, settled: true, born: s.StartedAt})
 }
--- a/entry/placer/placer.go
+++ b/entry/placer/placer.go
@@ -60,16 +60,16 @@
 
 // Placer decides and orders. Set the exported fields before Run.
 type Placer struct {
-	State  *belief.State
-	Engine call.Engine
-	Ledger *hops.Ledger
-	// Spread sends a new order to other entry hosts.
-	Spread func()
-	// Leads reports whether this entry host is the one to place.
-	Leads func() bool
-	Log   *slog.Logger
-	// Every is the interval of decisions while nothing changes; zero means lookEvery.
-	Every time.Duration
+	State  *belief.Local
+	Engine call.EngineClient
+	Ledger *hops.LoadTracker
+	// Broadcast sends a new order to other entry hosts.
+	Broadcast func()
+	// IsLeader reports whether this entry host is the one to place.
+	IsLeader func() bool
+	Log      *slog.Logger
+	// Interval is the interval of decisions while nothing changes; zero means lookEvery.
+	Interval time.Duration
 
 	mu sync.Mutex
 	// pending holds the ranges that servers were ordered to hold, or reported, and
@@ -98,7 +98,7 @@
 
 // Run places until the context ends.
 func (p *Placer) Run(ctx context.Context) {
-	tick := time.NewTicker(cmp.Or(p.Every, lookEvery))
+	tick := time.NewTicker(cmp.Or(p.Interval, lookEvery))
 	defer tick.Stop()
 	for {
 		changed := p.State.Changed()
@@ -118,12 +118,12 @@
 	if table == nil {
 		return
 	}
-	leads := p.Leads()
+	leads := p.IsLeader()
 	if leads != p.leads {
 		p.Log.Info("placer: lead", "leads", leads)
 		p.leads = leads
 	}
-	if !leads || p.State.Asking(now) {
+	if !leads || p.State.Probing(now) {
 		return
 	}
 	view := p.State.View()
@@ -148,13 +148,13 @@
 		p.entered = map[string]time.Time{}
 	}
 	for _, s := range view.Servers {
-		if !s.Leaving && !s.Suspect {
+		if !s.Leaving && !s.Suspected {
 			seen[s.ID] = s.Domain
-			if _, known := p.seen[s.ID]; p.seen != nil && !known && s.Holds() > 0 {
+			if _, known := p.seen[s.ID]; p.seen != nil && !known && s.LayerCount() > 0 {
 				p.returned[s.Domain] = now
 			}
 		}
-		holding = holding || s.Holds() > 0
+		holding = holding || s.LayerCount() > 0
 	}
 	if !maps.Equal(seen, p.seen) {
 		p.noteChanges(seen, now)
@@ -192,17 +192,17 @@
 			moving[s.Domain] = true
 		}
 	}
-	times := place.Times{
-		Calm:  func(in domain.Name) bool { return !moving[in] && now.Sub(p.changed[in]) >= calmFor },
-		Idle:  p.idle,
-		New:   func(id string) bool { return now.Sub(p.entered[id]) < newFor },
-		Taken: func(id string) float64 { return p.Ledger.Used(id).TokenLayers },
+	times := place.Conditions{
+		Stable:      func(in domain.Name) bool { return !moving[in] && now.Sub(p.changed[in]) >= calmFor },
+		Idle:        p.idle,
+		JustStarted: func(id string) bool { return now.Sub(p.entered[id]) < newFor },
+		Reserved:    func(id string) float64 { return p.Ledger.Used(id).TokenLayers },
 	}
-	for _, o := range place.Decide(e, believed, times) {
+	for _, o := range place.Plan(e, believed, times) {
 		if now.Sub(p.returned[o.Server.Domain]) < returnTime {
 			continue
 		}
-		p.tell(o.Server.ID, pending{first: o.First, end: o.End, until: now.Add(retryDelay), born: o.Server.Born})
+		p.tell(o.Server.ID, pending{first: o.First, end: o.End, until: now.Add(retryDelay), born: o.Server.StartedAt})
 		go p.order(ctx, e, o)
 	}
 }
@@ -229,7 +229,7 @@
 	if !known {
 		return s
 	}
-	if s.Born.After(t.born) || t.settled && s.First == t.first && s.End == t.end {
+	if s.StartedAt.After(t.born) || t.settled && s.First == t.first && s.End == t.end {
 		delete(p.pending, s.ID)
 		return s
 	}
--- a/entry/placer/placer_test.go
+++ b/entry/placer/placer_test.go
@@ -23,8 +23,8 @@
 
 func (tn town) Table([]byte) (*route.Table, error) {
 	return &route.Table{Version: 1, Services: map[string]route.Service{"assist": {Name: "assist", Engine: &route.Engine{
-		Layers: 12, LayerMB: 1000, TokenBytes: 1, Step: time.Millisecond, ReadPerSec: 1000, UsualPrompt: 10, UsualAnswer: 5,
-		Cards: map[string]route.Card{"card": {MemoryMB: 9000, Pace: 1, Read: 1}},
+		Layers: 12, LayerMB: 1000, TokenBytes: 1, Step: time.Millisecond, PrefillPerSec: 1000, MeanPrompt: 10, MeanAnswer: 5,
+		Accelerators: map[string]route.Accelerator{"card": {MemoryMB: 9000, StepFactor: 1, PrefillFactor: 1}},
 	}}}}, nil
 }
 
@@ -42,13 +42,13 @@
 	return call.Report{First: e.town[address].First, End: e.town[address].End}, nil
 }
 
-func (e engines) Place(_ context.Context, _ *fleet.Server, first, end int, _ uint64) (call.Taken, error) {
+func (e engines) Place(_ context.Context, _ *fleet.Server, first, end int, _ uint64) (call.OrderResult, error) {
 	e.placed <- [2]int{first, end}
-	return call.TakenBegun, nil
+	return call.OrderStarted, nil
 }
 
-func (e engines) Reroute(context.Context, string, hops.Chain) (call.Taken, string, error) {
-	return call.TakenRefused, "", errors.New("no streams in this test")
+func (e engines) Reroute(context.Context, string, hops.Chain) (call.OrderResult, string, error) {
+	return call.OrderRejected, "", errors.New("no streams in this test")
 }
 
 // A server dies that alone held some layers of its failure domain. Until another
@@ -56,21 +56,21 @@
 // decided only at the next of the regular looks. The test has none of these.
 func TestDeathIsDecidedOnAtOnce(t *testing.T) {
 	servers := town{}
-	var items []mirror.Item
+	var items []mirror.Object
 	for i, id := range []string{"one", "two", "three"} {
-		servers[id] = fleet.Server{ID: id, Service: "assist", Address: id, Domain: "a", Card: "card", First: 4 * i, End: 4*i + 4, Born: time.Unix(1, 0)}
-		items = append(items, mirror.Item{Name: id, Revision: 1})
+		servers[id] = fleet.Server{ID: id, Service: "assist", Address: id, Domain: "a", Accelerator: "card", First: 4 * i, End: 4*i + 4, StartedAt: time.Unix(1, 0)}
+		items = append(items, mirror.Object{Name: id, Revision: 1})
 	}
 	config, known := &mirror.Mirror{Kind: "config"}, &mirror.Mirror{Kind: "servers"}
-	config.Replace([]mirror.Item{{Name: "main", Revision: 1}}, 1)
+	config.Replace([]mirror.Object{{Name: "main", Revision: 1}}, 1)
 	known.Replace(items, 1)
 	log := slog.New(slog.DiscardHandler)
-	state := &belief.State{Decoder: servers, Log: log, Home: "a", Config: config, Servers: known}
+	state := &belief.Local{Decoder: servers, Log: log, LocalDomain: "a", Config: config, Servers: known}
 	state.ReadConfig("main")
 	state.ReadServers(time.Now())
 	e := engines{servers, make(chan [2]int, 16)}
 	p := &placer.Placer{
-		State: state, Engine: e, Ledger: &hops.Ledger{}, Spread: func() {}, Leads: func() bool { return true }, Log: log, Every: time.Hour,
+		State: state, Engine: e, Ledger: &hops.LoadTracker{}, Broadcast: func() {}, IsLeader: func() bool { return true }, Log: log, Interval: time.Hour,
 	}
 	ctx, end := context.WithCancel(t.Context())
 	done := make(chan struct{})
--- a/entry/plain/plain.go
+++ b/entry/plain/plain.go
@@ -47,17 +47,17 @@
 	leastConnect = 40 * time.Millisecond
 )
 
-// Flow passes requests on. Set the exported fields before use.
-type Flow struct {
-	Codec  call.Codec
-	Pool   *line.Pool
-	State  *belief.State
-	Scores *Scores
-	Home   domain.Name
-	// Accuse asks a server that failed under a request whether it lives.
-	Accuse func(j *call.Job, address, why string)
+// Forwarder passes requests on. Set the exported fields before use.
+type Forwarder struct {
+	Codec       call.Codec
+	Pool        *line.Pool
+	State       *belief.Local
+	Stats       *Stats
+	LocalDomain domain.Name
+	// Probe asks a server that failed under a request whether it lives.
+	Probe func(j *call.Job, address, why string)
 	// Budget returns the budget of repeats of a service.
-	Budget func(service string) *retry.Share
+	Budget func(service string) *retry.WindowBudget
 }
 
 // attempt is the outcome of one sending.
@@ -67,15 +67,15 @@
 	header http.Header
 	body   []byte
 	// rest is set for an answer larger than what is held.
-	rest *line.Answer
+	rest *line.Response
 	err  *fault.Error
 }
 
 // Serve passes a request on and answers the caller.
-func (f *Flow) Serve(ctx context.Context, w http.ResponseWriter, j *call.Job) call.Outcome {
+func (f *Forwarder) Serve(ctx context.Context, w http.ResponseWriter, j *call.Job) call.Outcome {
 	out := call.Outcome{}
 	budget := f.Budget(j.Service.Name)
-	budget.Note(time.Now())
+	budget.Record(time.Now())
 	ctx, cancel := context.WithDeadlineCause(ctx, j.Deadline, context.DeadlineExceeded)
 	defer cancel()
 	avoid := map[string]bool{}
@@ -85,13 +85,13 @@
 	// that the request had not run.
 	var failure *attempt
 	fail := func(e *fault.Error) call.Outcome {
-		if failure != nil && !call.Gone(ctx) {
+		if failure != nil && !call.CallerGone(ctx) {
 			return f.deliver(w, out, j, *failure)
 		}
 		return f.fail(ctx, w, out, verdict, e)
 	}
 	for {
-		server := f.Scores.Pick(f.State.View().Service(j.Service.Name), f.Home, avoid)
+		server := f.Stats.Pick(f.State.View().Service(j.Service.Name), f.LocalDomain, avoid)
 		if server == nil {
 			return fail(&fault.Error{Code: fault.NoServer, Verdict: fault.NotRun, Message: "no backend server", RetryAfter: time.Second})
 		}
@@ -119,13 +119,13 @@
 }
 
 // another reports whether a failure response is retried on a second server.
-func (f *Flow) another(j *call.Job, a attempt, more bool, budget *retry.Share) bool {
+func (f *Forwarder) another(j *call.Job, a attempt, more bool, budget *retry.WindowBudget) bool {
 	failed := a.reply.Status >= http.StatusInternalServerError
-	return failed && more && a.rest == nil && j.Route.Repeatable() && budget.Take(time.Now())
+	return failed && more && a.rest == nil && j.Route.Repeatable() && budget.Withdraw(time.Now())
 }
 
 // again reports whether a failed sending is followed by another.
-func (f *Flow) again(ctx context.Context, j *call.Job, a attempt, sends int, budget *retry.Share) bool {
+func (f *Forwarder) again(ctx context.Context, j *call.Job, a attempt, sends int, budget *retry.WindowBudget) bool {
 	if ctx.Err() != nil {
 		return false
 	}
@@ -139,25 +139,25 @@
 	if !j.Route.Repeatable() && a.err.Verdict != fault.NotRun {
 		return false
 	}
-	return budget.Take(time.Now())
+	return budget.Withdraw(time.Now())
 }
 
 // send passes the request to one server and reads its answer.
-func (f *Flow) send(ctx context.Context, j *call.Job, server *fleet.Server, more bool) attempt {
-	done := f.Scores.Begin(server.ID)
+func (f *Forwarder) send(ctx context.Context, j *call.Job, server *fleet.Server, more bool) attempt {
+	done := f.Stats.Begin(server.ID)
 	start := time.Now()
 	a := f.exchange(ctx, j, server, more)
 	a.server = server.ID
-	failed := a.err != nil && !call.Gone(ctx) || a.err == nil && a.reply.Status >= http.StatusInternalServerError
+	failed := a.err != nil && !call.CallerGone(ctx) || a.err == nil && a.reply.Status >= http.StatusInternalServerError
 	done(time.Since(start), failed)
 	if a.err != nil && a.reply.Status == 0 && ctx.Err() == nil {
-		f.Pool.Forget(server.Address)
-		f.Accuse(j, server.Address, a.err.Error())
+		f.Pool.CloseIdle(server.Address)
+		f.Probe(j, server.Address, a.err.Error())
 	}
 	return a
 }
 
-func (f *Flow) exchange(ctx context.Context, j *call.Job, server *fleet.Server, more bool) attempt {
+func (f *Forwarder) exchange(ctx context.Context, j *call.Job, server *fleet.Server, more bool) attempt {
 	sctx, cancel := context.WithCancel(ctx)
 	if more && j.Route.Repeatable() && j.Route.Target > 0 {
 		cancel()
@@ -166,14 +166,14 @@
 	}
 	defer cancel()
 	var reply call.Reply
-	o := line.Options{Dial: connectWait(j.Route), Head: func(r *http.Response) line.Head {
-		reply = f.Codec.Reply(r)
-		return line.Head{Other: reply.ID != "" && reply.ID != j.ID, Close: reply.Leaving, Idle: reply.Idle}
+	o := line.Options{DialTimeout: connectWait(j.Route), Inspect: func(r *http.Response) line.ResponseInfo {
+		reply = f.Codec.ParseReply(r)
+		return line.ResponseInfo{OtherRequest: reply.ID != "" && reply.ID != j.ID, Close: reply.Closing, IdleTimeout: reply.IdleTimeout}
 	}}
-	if j.Route.Kind == route.Once {
-		o.Fresh = freshOnce
+	if j.Route.Kind == route.AtMostOnce {
+		o.MaxIdle = freshOnce
 	}
-	req := f.Codec.Request(j.Ask, call.Send{Server: server, Left: j.Left(), Team: j.Team, Priority: j.Priority})
+	req := f.Codec.NewRequest(j.Request, call.SendOptions{Server: server, Timeout: j.Remaining(), Team: j.Team, Priority: j.Priority})
 	answer, err := f.Pool.Do(sctx, server.Address, req, o)
 	if err != nil {
 		return attempt{err: fault.As(err)}
@@ -211,22 +211,22 @@
 var errSilent = errors.New("silent for too long")
 
 // deliver gives the caller an answer.
-func (f *Flow) deliver(w http.ResponseWriter, out call.Outcome, j *call.Job, a attempt) call.Outcome {
+func (f *Forwarder) deliver(w http.ResponseWriter, out call.Outcome, j *call.Job, a attempt) call.Outcome {
 	out.Server = a.server
-	if call.Promises(a.reply.Status) {
+	if call.StatusMeansNotRun(a.reply.Status) {
 		// This server did not say that the request had not run.
 		e := &fault.Error{Code: fault.ServerFailed, Verdict: fault.MayHaveRun, Message: "the backend server failed", Server: out.Server}
 		out.Error = e
-		out.Status = call.Refuse(w, f.Codec, e)
+		out.Status = call.WriteError(w, f.Codec, e)
 		return out
 	}
 	call.CopyHeader(w.Header(), a.header)
 	out.Status = a.reply.Status
-	out.First = time.Since(j.Arrived)
+	out.TimeToFirstByte = time.Since(j.Arrived)
 	w.WriteHeader(a.reply.Status)
 	_, err := io.Copy(w, bytes.NewReader(a.body))
 	if a.rest == nil {
-		out.Broken = err != nil
+		out.Truncated = err != nil
 		return out
 	}
 	defer a.rest.Close()
@@ -234,16 +234,16 @@
 		_, err = io.Copy(w, a.rest)
 	}
 	if err != nil {
-		out.Broken = true
+		out.Truncated = true
 	}
 	return out
 }
 
 // fail ends a request with an error response.
-func (f *Flow) fail(ctx context.Context, w http.ResponseWriter, out call.Outcome, verdict fault.Verdict, e *fault.Error) call.Outcome {
+func (f *Forwarder) fail(ctx context.Context, w http.ResponseWriter, out call.Outcome, verdict fault.Verdict, e *fault.Error) call.Outcome {
 	final := *e
 	final.Verdict = verdict
-	if call.Gone(ctx) {
+	if call.CallerGone(ctx) {
 		final.Code = fault.Cancelled
 		out.Error = &final
 		return out
@@ -255,6 +255,6 @@
 		final.RetryAfter = comeBack
 	}
 	out.Error = &final
-	out.Status = call.Refuse(w, f.Codec, &final)
+	out.Status = call.WriteError(w, f.Codec, &final)
 	return out
 }
--- a/entry/plain/scores.go
+++ b/entry/plain/scores.go
@@ -29,8 +29,8 @@
 	jitterTime = 10 * time.Millisecond
 )
 
-// Scores holds how plain servers did lately. The zero value is ready.
-type Scores struct {
+// Stats holds how plain servers did lately. The zero value is ready.
+type Stats struct {
 	mu     sync.Mutex
 	scores map[string]*score
 }
@@ -38,21 +38,21 @@
 type score struct {
 	inFlight int
 	time     time.Duration
-	failed   health.Share
+	failed   health.FailureRate
 }
 
-func (s *Scores) of(id string) *score {
+func (s *Stats) of(id string) *score {
 	if s.scores == nil {
 		s.scores = map[string]*score{}
 	}
 	if s.scores[id] == nil {
-		s.scores[id] = &score{time: usualTime, failed: health.Share{Learn: learn}}
+		s.scores[id] = &score{time: usualTime, failed: health.FailureRate{Weight: learn}}
 	}
 	return s.scores[id]
 }
 
 // Begin notes that a request goes to a server, until done is called.
-func (s *Scores) Begin(id string) (done func(took time.Duration, failed bool)) {
+func (s *Stats) Begin(id string) (done func(took time.Duration, failed bool)) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	s.of(id).inFlight++
@@ -62,12 +62,12 @@
 		sc := s.of(id)
 		sc.inFlight--
 		sc.time += time.Duration(learn * float64(took-sc.time))
-		sc.failed.Note(failed, time.Now())
+		sc.failed.Record(failed, time.Now())
 	}
 }
 
 // Pick returns the server that is expected to answer soonest, or nil.
-func (s *Scores) Pick(servers []*fleet.Server, home domain.Name, avoid map[string]bool) *fleet.Server {
+func (s *Stats) Pick(servers []*fleet.Server, home domain.Name, avoid map[string]bool) *fleet.Server {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	now := time.Now()
@@ -85,7 +85,7 @@
 	return best
 }
 
-func (s *Scores) cost(server *fleet.Server, home domain.Name, now time.Time) time.Duration {
+func (s *Stats) cost(server *fleet.Server, home domain.Name, now time.Time) time.Duration {
 	sc := s.of(server.ID)
 	failed := sc.failed.At(now)
 	load := float64(sc.inFlight) / float64(max(server.Slots, 1))
@@ -93,7 +93,7 @@
 	if server.Domain != home {
 		cost += awayTime
 	}
-	if server.Suspect {
+	if server.Suspected {
 		cost += suspectTime
 	}
 	return cost + rand.N(jitterTime)
--- a/entry/prog/admit.go
+++ b/entry/prog/admit.go
@@ -10,13 +10,13 @@
 
 // admission makes the part that holds requests back when their pool is full,
 // and lets it tell the other entry hosts what each team uses here.
-func (d *daemon) admission(holder *view.Holder, line *trace.Line, peers *mesh.Mesh) *gate.Admission {
+func (d *daemon) admission(holder *view.Publisher, line *trace.Recorder, peers *mesh.Mesh) *gate.Admission {
 	s := &d.settings.Admit
 	a := &gate.Admission{
-		View: holder, Trace: line, Target: s.Target,
-		Bounds: admit.Bounds{Wait: s.Wait, Requests: s.Requests, Bytes: s.Bytes, Reserve: s.Reserve, Credit: s.Credit},
-		Others: peers.Rates,
+		View: holder, Trace: line, TargetWait: s.TargetWait,
+		Limits:      admit.Limits{MaxWait: s.MaxWait, MaxRequests: s.MaxRequests, MaxBytes: s.MaxBytes, Headroom: s.Reserve, MaxCredit: s.Credit},
+		RemoteUsage: peers.TeamRates,
 	}
-	peers.Usages = a.Usage
+	peers.LocalRates = a.LocalUsage
 	return a
 }
--- a/entry/prog/calls.go
+++ b/entry/prog/calls.go
@@ -15,19 +15,19 @@
 )
 
 // calls makes the parts that hand calls through to plain services.
-func (d *daemon) calls(holder *view.Holder, line *trace.Line, api store.API, peers *mesh.Mesh) *pass.Pass {
-	others := &owner.Owners{View: holder, Secret: d.settings.PeerSecret, Client: peers.Client}
-	p := &pass.Pass{
+func (d *daemon) calls(holder *view.Publisher, line *trace.Recorder, api store.API, peers *mesh.Mesh) *pass.Forwarder {
+	others := &owner.Client{View: holder, Secret: d.settings.PeerSecret, Client: peers.Client}
+	p := &pass.Forwarder{
 		View: holder, Trace: line, Log: d.log,
 		Claims: &claim.Writer{
-			Store: api, Log: d.log, Writes: d.settings.Claims.Writes, Done: make(chan struct{}),
+			Store: api, Log: d.log, Writes: d.settings.Claims.WriteRate, Done: make(chan struct{}),
 		},
-		Terms:   d.settings.Claims.Terms,
-		Holder:  claim.Holder{Entry: d.settings.Name, Incarnation: rand.Uint64()},
-		Started: time.Now(),
-		Signer:  ticket.Signer{Secret: d.settings.PeerSecret},
-		Peers:   others,
-		Done:    make(chan struct{}),
+		ClaimTerms: d.settings.Claims.Timing,
+		Holder:     claim.Holder{Entry: d.settings.Name, Incarnation: rand.Uint64()},
+		Started:    time.Now(),
+		Signer:     ticket.Signer{Secret: d.settings.PeerSecret},
+		Peers:      others,
+		Done:       make(chan struct{}),
 	}
 	others.Pass = p
 	peers.Calls = others
--- a/entry/prog/desk.go
+++ b/entry/prog/desk.go
@@ -16,7 +16,7 @@
 const seatWorkers = 128
 
 // deskParts makes the parts that put the operators' lines in force.
-func (d *daemon) deskParts(holder *view.Holder, line *trace.Line, api store.API) (*watch.Watch, *mesh.Mesh, *seat.Seat, error) {
+func (d *daemon) deskParts(holder *view.Publisher, line *trace.Recorder, api store.API) (*watch.Watcher, *mesh.Mesh, *seat.Server, error) {
 	workers, err := ants.NewPool(seatWorkers)
 	if err != nil {
 		return nil, nil, nil, err
@@ -28,15 +28,15 @@
 	if err != nil {
 		return nil, nil, nil, err
 	}
-	desk := &seat.Seat{
+	desk := &seat.Server{
 		View: holder, Store: api, Watch: feeder, Mesh: peers,
 		Trace: line, Log: d.log, Secret: d.settings.DeskSecret, Workers: workers,
-		Longest: d.settings.Claims.Longest,
+		MaxCallTime: d.settings.Claims.MaxDeadline,
 	}
 	return feeder, peers, desk, nil
 }
 
 // ready says whether the balancer may send callers here.
-func (d *daemon) ready(feeder *watch.Watch) func() bool {
-	return func() bool { return !d.stopping.Load() && feeder.Primed() }
+func (d *daemon) ready(feeder *watch.Watcher) func() bool {
+	return func() bool { return !d.stopping.Load() && feeder.HasSynced() }
 }
--- a/entry/prog/guard.go
+++ b/entry/prog/guard.go
@@ -9,8 +9,8 @@
 )
 
 // guard makes the part that stops requests which crash backend servers.
-func (d *daemon) guard(holder *view.Holder, line *trace.Line, peers *mesh.Mesh) *crash.Guard {
+func (d *daemon) guard(holder *view.Publisher, line *trace.Recorder, peers *mesh.Mesh) *crash.Guard {
 	g := &crash.Guard{View: holder, Mesh: peers, Engine: &engine.Client{}, Trace: line, Log: d.log}
-	peers.Judge = g.Answer
+	peers.HandlePoison = g.HandlePoison
 	return g
 }
--- a/entry/prog/mesh.go
+++ b/entry/prog/mesh.go
@@ -10,22 +10,22 @@
 )
 
 // mesh makes the part that joins this entry host to the others.
-func (d *daemon) mesh(holder *view.Holder, line *trace.Line, feeder *watch.Watch) (*mesh.Mesh, error) {
+func (d *daemon) mesh(holder *view.Publisher, line *trace.Recorder, feeder *watch.Watcher) (*mesh.Mesh, error) {
 	config, err := d.settings.Certs.Client()
 	if err != nil {
 		return nil, err
 	}
 	m := &mesh.Mesh{
 		View: holder, Trace: line, Log: d.log, Secret: d.settings.PeerSecret, TLS: config,
-		Address: d.peers.Addr().String(), Domain: d.settings.Home(),
-		Offer:     func(value []byte, _ uint64) { feeder.OfferObject(value) },
-		Condition: mesh.Condition{Age: feeder.Age, Heard: feeder.Heard, Primed: feeder.Primed, Take: feeder.OfferObject},
+		Address: d.peers.Addr().String(), Domain: d.settings.LocalDomain(),
+		Offer: func(value []byte, _ uint64) { feeder.ApplyEncoded(value) },
+		Local: mesh.LocalState{StoreSilence: feeder.Staleness, StoreSeen: feeder.EverConnected, Synced: feeder.HasSynced, Apply: feeder.ApplyEncoded},
 	}
 	if d.settings.Seeds != "" {
 		m.Seeds = strings.Split(d.settings.Seeds, ",")
 		feeder.Seeds = m.Seeds
 	}
-	m.Make()
+	m.Init()
 	feeder.Peers = m
 	return m, nil
 }
--- a/entry/prog/order.go
+++ b/entry/prog/order.go
@@ -9,8 +9,8 @@
 )
 
 // orders makes the part that gives engines their orders.
-func (d *daemon) orders(holder *view.Holder, line *trace.Line, api store.API) *order.Orders {
-	return &order.Orders{
+func (d *daemon) orders(holder *view.Publisher, line *trace.Recorder, api store.API) *order.Controller {
+	return &order.Controller{
 		View: holder, Store: api, Engine: &engine.Client{}, Trace: line, Log: d.log,
 		Term: d.settings.OrderTerm,
 	}
--- a/entry/prog/path.go
+++ b/entry/prog/path.go
@@ -20,14 +20,14 @@
 
 // path is what carries model requests.
 type path struct {
-	relay           *relay.Relay
-	poll            *poll.Poll
+	relay           *relay.Forwarder
+	poll            *poll.Poller
 	probers, askers *ants.Pool
 }
 
 // path makes the parts that carry model requests.
-func (d *daemon) path(holder *view.Holder, line *trace.Line) (*path, error) {
-	policy, err := pick.Parse(d.settings.Policy)
+func (d *daemon) path(holder *view.Publisher, line *trace.Recorder) (*path, error) {
+	policy, err := pick.ParsePolicy(d.settings.Policy)
 	if err != nil {
 		return nil, err
 	}
@@ -41,12 +41,12 @@
 	}
 	client := &engine.Client{}
 	return &path{
-		relay: &relay.Relay{
-			View: holder, Engine: client, Trace: line, Log: d.log, Policy: policy, Probes: probers,
+		relay: &relay.Forwarder{
+			View: holder, Engine: client, Trace: line, Log: d.log, Policy: policy, ProbePool: probers,
 		},
-		poll: &poll.Poll{
+		poll: &poll.Poller{
 			View: holder, Engine: client, Trace: line, Log: d.log, Workers: askers,
-			Period: d.settings.Poll, Rate: d.settings.PollRate, Done: make(chan struct{}),
+			Interval: d.settings.Poll, MaxRate: d.settings.PollRate, Done: make(chan struct{}),
 		},
 		probers: probers, askers: askers,
 	}, nil
--- a/entry/prog/prog.go
+++ b/entry/prog/prog.go
@@ -27,7 +27,7 @@
 
 // Main runs the program until the context ends and returns its exit status.
 func Main(ctx context.Context, args []string, _ io.Reader, stdout, stderr io.Writer) int {
-	if boot.TellVersion("fsentry", args, stdout) {
+	if boot.PrintVersion("fsentry", args, stdout) {
 		return 0
 	}
 	settings, err := setup.Parse(args, stderr)
@@ -36,7 +36,7 @@
 	}
 	if err != nil {
 		fmt.Fprintln(stderr, err)
-		return boot.ExitSettings
+		return boot.ExitUsage
 	}
 	d := &daemon{settings: settings, stdout: stdout}
 	d.log = slog.New(slog.NewTextHandler(stderr, nil)).With("entry", settings.Name)
@@ -87,8 +87,8 @@
 	if err := d.listen(); err != nil {
 		return err
 	}
-	holder := view.New(d.settings.Name, d.settings.Home())
-	line := &trace.Line{Process: d.settings.Name}
+	holder := view.New(d.settings.Name, d.settings.LocalDomain())
+	line := &trace.Recorder{Process: d.settings.Name}
 	api := &store.Client{Address: d.settings.Store, Entry: d.settings.Name, Wait: watchWait}
 	feeder, peers, desk, err := d.deskParts(holder, line, api)
 	if err != nil {
@@ -102,14 +102,14 @@
 	defer path.release()
 	path.relay.Guard = d.guard(holder, line, peers)
 	calls := d.calls(holder, line, api, peers)
-	door := &gate.Gate{
+	door := &gate.Handler{
 		View:  holder,
 		Relay: path.relay,
 		Pass:  calls, Admission: d.admission(holder, line, peers),
 		Trace: line, Log: d.log, MaxBody: d.settings.MaxBody,
 		Ready: d.ready(feeder),
 	}
-	peers.Condition.Ready = door.Ready
+	peers.Local.Ready = door.Ready
 	inner, stopInner := context.WithCancel(context.Background())
 	defer stopInner()
 	var parts sync.WaitGroup
@@ -136,13 +136,13 @@
 	return err
 }
 
-func (d *daemon) serveCallers(ctx context.Context, door *gate.Gate) error {
+func (d *daemon) serveCallers(ctx context.Context, door *gate.Handler) error {
 	front := &httpd.Server{
-		Listener: d.callers, MaxBody: d.settings.MaxBody, TooLarge: door.TooLarge,
-		Linger: d.settings.Linger, Draining: door.Draining,
+		Listener: d.callers, MaxBody: d.settings.MaxBody, TooLarge: door.RejectTooLarge,
+		DrainDelay: d.settings.Linger, Draining: door.RejectDraining,
 	}
-	front.Make()
-	door.Routes(front.Hertz)
+	front.Init()
+	door.RegisterRoutes(front.Hertz)
 	go func() {
 		<-ctx.Done()
 		d.stopping.Store(true)
@@ -154,10 +154,10 @@
 // opsGrace is how long the metrics page waits for its readers at a stop.
 const opsGrace = 200 * time.Millisecond
 
-func (d *daemon) serveOps(ctx context.Context, door *gate.Gate) error {
+func (d *daemon) serveOps(ctx context.Context, door *gate.Handler) error {
 	page := &httpd.Server{Listener: d.ops}
-	page.Make()
-	door.Health(page.Hertz)
+	page.Init()
+	door.RegisterHealth(page.Hertz)
 	page.Hertz.GET("/metrics", func(_ context.Context, c *app.RequestContext) {
 		c.Header("Content-Type", "application/json")
 		metrics.WriteJSONOnce(metrics.DefaultRegistry, c)
--- a/entry/source/source.go
+++ b/entry/source/source.go
@@ -19,18 +19,18 @@
 	"fuchsiashelf.dev/parts/mirror"
 )
 
-// ErrHistory says that the changes after a revision are no longer known.
-var ErrHistory = errors.New("source: history is gone")
+// ErrCompacted says that the changes after a revision are no longer known.
+var ErrCompacted = errors.New("source: history is gone")
 
 // Store is the part of the object API that is followed.
 type Store interface {
 	// List returns all objects of a kind, and the revision of the list.
-	List(ctx context.Context, kind string) ([]mirror.Item, uint64, error)
+	List(ctx context.Context, kind string) ([]mirror.Object, uint64, error)
 	// Watch returns the changes after a revision as soon as there are any, or
 	// none when the wait ends. It fails with ErrHistory if they are forgotten.
 	Watch(ctx context.Context, kind string, after uint64, wait time.Duration) (mirror.Batch, error)
-	// Peek returns the revision of one object, perhaps seconds old.
-	Peek(ctx context.Context, kind, name string) (uint64, error)
+	// StaleRevision returns the revision of one object, perhaps seconds old.
+	StaleRevision(ctx context.Context, kind, name string) (uint64, error)
 }
 
 // Timeouts and intervals.
@@ -72,25 +72,25 @@
 
 // The roles.
 const (
-	// Main watches and distributes the changes.
-	Main Role = iota
+	// Primary watches and distributes the changes.
+	Primary Role = iota
 	// Backup watches with longer pauses.
 	Backup
-	// Relying makes no calls of its own while others watch.
-	Relying
+	// Passive makes no calls of its own while others watch.
+	Passive
 )
 
-// Follow keeps the mirror of one kind up to date. Set the exported fields
+// Watcher keeps the mirror of one kind up to date. Set the exported fields
 // before Run.
-type Follow struct {
+type Watcher struct {
 	Store  Store
 	Mirror *mirror.Mirror
 	Log    *slog.Logger
-	// Changed is called after the mirror changed.
-	Changed func()
-	// Wait is how long a watch waits. A watch may miss a change that is made while
+	// OnChange is called after the mirror changed.
+	OnChange func()
+	// WatchTimeout is how long a watch waits. A watch may miss a change that is made while
 	// the object API drops its history, so this bounds how late it is noticed.
-	Wait time.Duration
+	WatchTimeout time.Duration
 	// Role returns what this entry host does for its failure domain; nil means
 	// Main.
 	Role func() Role
@@ -100,17 +100,17 @@
 }
 
 // Run follows until the context ends.
-func (f *Follow) Run(ctx context.Context) {
+func (f *Watcher) Run(ctx context.Context) {
 	pause := firstPause
 	again := f.Mirror.Cursor() == 0
 	for ctx.Err() == nil {
-		if f.Mirror.Cursor() > 0 && f.role() == Relying {
+		if f.Mirror.Cursor() > 0 && f.role() == Passive {
 			sleep(ctx, reliesFor)
 			continue
 		}
 		err := f.step(ctx, again)
-		again = errors.Is(err, ErrHistory) || f.Mirror.Cursor() == 0
-		if err == nil || errors.Is(err, ErrHistory) {
+		again = errors.Is(err, ErrCompacted) || f.Mirror.Cursor() == 0
+		if err == nil || errors.Is(err, ErrCompacted) {
 			pause = firstPause
 			continue
 		}
@@ -124,7 +124,7 @@
 }
 
 // Restart cancels the current watch and starts a new one.
-func (f *Follow) Restart() {
+func (f *Watcher) Restart() {
 	f.mu.Lock()
 	defer f.mu.Unlock()
 	if f.cancel != nil {
@@ -132,7 +132,7 @@
 	}
 }
 
-func (f *Follow) step(ctx context.Context, whole bool) error {
+func (f *Watcher) step(ctx context.Context, whole bool) error {
 	if whole {
 		return f.list(ctx)
 	}
@@ -151,7 +151,7 @@
 		return err
 	}
 	if f.Mirror.Merge(b) {
-		f.Changed()
+		f.OnChange()
 	}
 	if len(b.Items) > 0 {
 		sleep(ctx, f.pause())
@@ -160,30 +160,30 @@
 }
 
 // wait returns how long a watch waits for changes.
-func (f *Follow) wait() time.Duration {
+func (f *Watcher) wait() time.Duration {
 	if f.role() == Backup {
-		return backupWaits * f.Wait
+		return backupWaits * f.WatchTimeout
 	}
-	return f.Wait
+	return f.WatchTimeout
 }
 
 // pause returns how long to wait after a watch that returned changes.
-func (f *Follow) pause() time.Duration {
-	pause := time.Duration(pauseShare * float64(f.Wait))
-	if f.role() == Main {
+func (f *Watcher) pause() time.Duration {
+	pause := time.Duration(pauseShare * float64(f.WatchTimeout))
+	if f.role() == Primary {
 		return pause
 	}
-	return pause + rand.N(time.Duration(backupShare*float64(f.Wait)))
+	return pause + rand.N(time.Duration(backupShare*float64(f.WatchTimeout)))
 }
 
-func (f *Follow) role() Role {
+func (f *Watcher) role() Role {
 	if f.Role == nil {
-		return Main
+		return Primary
 	}
 	return f.Role()
 }
 
-func (f *Follow) list(ctx context.Context) error {
+func (f *Watcher) list(ctx context.Context) error {
 	ctx, cancel := context.WithTimeout(ctx, listTime)
 	defer cancel()
 	if f.Mirror.Cursor() == 0 {
@@ -199,13 +199,13 @@
 	dropped, newer := f.Mirror.Replace(items, cursor)
 	f.Log.Info("store: listed", "kind", f.Mirror.Kind, "objects", len(items), "revision", cursor, "dropped", len(dropped))
 	if newer {
-		f.Changed()
+		f.OnChange()
 	}
 	return nil
 }
 
 // untilFilled cancels a list once other entry hosts have sent the objects.
-func (f *Follow) untilFilled(ctx context.Context, end context.CancelFunc) {
+func (f *Watcher) untilFilled(ctx context.Context, end context.CancelFunc) {
 	for ctx.Err() == nil {
 		if f.Mirror.Cursor() > 0 {
 			end()
@@ -215,17 +215,17 @@
 	}
 }
 
-// Pulse tells whether the object API answers. Set the exported fields before
+// Monitor tells whether the object API answers. Set the exported fields before
 // Run.
-type Pulse struct {
+type Monitor struct {
 	Store Store
 	// Kind and Name are the object that is read; Mirror is that of its kind.
 	Kind, Name string
 	Mirror     *mirror.Mirror
-	Follows    []*Follow
+	Watchers   []*Watcher
 	Log        *slog.Logger
-	// Returned is called when the object API answers again.
-	Returned func()
+	// OnRecovery is called when the object API answers again.
+	OnRecovery func()
 	// Role returns what this entry host does for its failure domain; nil means
 	// Main.
 	Role func() Role
@@ -237,14 +237,14 @@
 
 // Alive reports whether the last read was answered, and when the last answer
 // came.
-func (p *Pulse) Alive() (bool, time.Time) {
+func (p *Monitor) Alive() (bool, time.Time) {
 	p.mu.Lock()
 	defer p.mu.Unlock()
 	return p.alive, p.seen
 }
 
 // Run reads until the context ends.
-func (p *Pulse) Run(ctx context.Context) {
+func (p *Monitor) Run(ctx context.Context) {
 	p.set(true)
 	var last time.Time
 	for ctx.Err() == nil {
@@ -259,22 +259,22 @@
 
 // rests reports whether others follow for this entry host and the object API
 // answered the last read. In an outage every entry host checks for its end.
-func (p *Pulse) rests() bool {
+func (p *Monitor) rests() bool {
 	alive, _ := p.Alive()
-	return alive && p.Role != nil && p.Role() == Relying
+	return alive && p.Role != nil && p.Role() == Passive
 }
 
-func (p *Pulse) check(ctx context.Context) {
+func (p *Monitor) check(ctx context.Context) {
 	ctx, cancel := context.WithTimeout(ctx, peekTime)
 	defer cancel()
-	revision, err := p.Store.Peek(ctx, p.Kind, p.Name)
+	revision, err := p.Store.StaleRevision(ctx, p.Kind, p.Name)
 	was := p.set(err == nil)
 	switch {
 	case err != nil && was:
 		p.Log.Warn("store: lost", "error", err)
 	case err == nil && !was:
 		p.Log.Info("store: regained")
-		p.Returned()
+		p.OnRecovery()
 		p.restart()
 	case err == nil && revision > p.Mirror.Cursor():
 		p.Log.Warn("store: a watch missed a change", "revision", revision, "cursor", p.Mirror.Cursor())
@@ -282,13 +282,13 @@
 	}
 }
 
-func (p *Pulse) restart() {
-	for _, f := range p.Follows {
+func (p *Monitor) restart() {
+	for _, f := range p.Watchers {
 		f.Restart()
 	}
 }
 
-func (p *Pulse) set(alive bool) (was bool) {
+func (p *Monitor) set(alive bool) (was bool) {
 	p.mu.Lock()
 	defer p.mu.Unlock()
 	was = p.alive
--- a/entry/source/source_test.go
+++ b/entry/source/source_test.go
@@ -18,12 +18,12 @@
 // store answers by functions.
 type store struct {
 	mu    sync.Mutex
-	list  func() ([]mirror.Item, uint64, error)
+	list  func() ([]mirror.Object, uint64, error)
 	watch func(ctx context.Context, after uint64) (mirror.Batch, error)
 	peek  func() (uint64, error)
 }
 
-func (s *store) List(context.Context, string) ([]mirror.Item, uint64, error) {
+func (s *store) List(context.Context, string) ([]mirror.Object, uint64, error) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	return s.list()
@@ -33,15 +33,15 @@
 	return s.watch(ctx, after)
 }
 
-func (s *store) Peek(context.Context, string, string) (uint64, error) {
+func (s *store) StaleRevision(context.Context, string, string) (uint64, error) {
 	return s.peek()
 }
 
-func follow(t *testing.T, s source.Store) (*source.Follow, chan struct{}) {
+func follow(t *testing.T, s source.Store) (*source.Watcher, chan struct{}) {
 	changed := make(chan struct{}, 100)
-	f := &source.Follow{
+	f := &source.Watcher{
 		Store: s, Mirror: &mirror.Mirror{Kind: "k"}, Log: slog.New(slog.DiscardHandler),
-		Changed: func() { changed <- struct{}{} }, Wait: 10 * time.Second,
+		OnChange: func() { changed <- struct{}{} }, WatchTimeout: 10 * time.Second,
 	}
 	ctx, end := context.WithCancel(context.Background())
 	done := make(chan struct{})
@@ -61,15 +61,15 @@
 func TestForgottenHistoryIsListedAnew(t *testing.T) {
 	revision := uint64(5)
 	s := &store{}
-	s.list = func() ([]mirror.Item, uint64, error) {
+	s.list = func() ([]mirror.Object, uint64, error) {
 		revision += 5
-		return []mirror.Item{{Name: "a", Revision: revision}}, revision, nil
+		return []mirror.Object{{Name: "a", Revision: revision}}, revision, nil
 	}
 	first := true
 	s.watch = func(ctx context.Context, after uint64) (mirror.Batch, error) {
 		if first {
 			first = false
-			return mirror.Batch{}, source.ErrHistory
+			return mirror.Batch{}, source.ErrCompacted
 		}
 		<-ctx.Done()
 		return mirror.Batch{}, ctx.Err()
@@ -83,7 +83,7 @@
 // A watch falls silent for good, without an end of its connection. Nobody would
 // notice for as long as it may wait; a peek that shows something newer does.
 func TestSilentWatchIsBegunAnew(t *testing.T) {
-	s := &store{list: func() ([]mirror.Item, uint64, error) { return nil, 5, nil }, peek: func() (uint64, error) { return 9, nil }}
+	s := &store{list: func() ([]mirror.Object, uint64, error) { return nil, 5, nil }, peek: func() (uint64, error) { return 9, nil }}
 	watches := make(chan struct{}, 100)
 	s.watch = func(ctx context.Context, after uint64) (mirror.Batch, error) {
 		watches <- struct{}{}
@@ -91,12 +91,12 @@
 			<-ctx.Done()
 			return mirror.Batch{}, ctx.Err()
 		}
-		return mirror.Batch{Kind: "k", After: after, Cursor: 9, Items: []mirror.Item{{Name: "a", Revision: 9}}}, nil
+		return mirror.Batch{Kind: "k", After: after, Cursor: 9, Items: []mirror.Object{{Name: "a", Revision: 9}}}, nil
 	}
 	f, changed := follow(t, s)
 	<-changed
-	p := &source.Pulse{
-		Store: s, Kind: "k", Name: "a", Mirror: f.Mirror, Follows: []*source.Follow{f}, Log: slog.New(slog.DiscardHandler), Returned: func() {},
+	p := &source.Monitor{
+		Store: s, Kind: "k", Name: "a", Mirror: f.Mirror, Watchers: []*source.Watcher{f}, Log: slog.New(slog.DiscardHandler), OnRecovery: func() {},
 	}
 	ctx, end := context.WithCancel(context.Background())
 	defer end()
@@ -117,9 +117,9 @@
 		}
 		return 0, nil
 	}}
-	p := &source.Pulse{
+	p := &source.Monitor{
 		Store: s, Mirror: &mirror.Mirror{}, Log: slog.New(slog.DiscardHandler),
-		Returned: func() { returned <- struct{}{} },
+		OnRecovery: func() { returned <- struct{}{} },
 	}
 	ctx, end := context.WithCancel(context.Background())
 	defer end()
@@ -132,7 +132,7 @@
 // hung is a store whose lists never end.
 type hung struct{ store }
 
-func (h *hung) List(ctx context.Context, _ string) ([]mirror.Item, uint64, error) {
+func (h *hung) List(ctx context.Context, _ string) ([]mirror.Object, uint64, error) {
 	<-ctx.Done()
 	return nil, 0, ctx.Err()
 }
@@ -148,7 +148,7 @@
 		return mirror.Batch{}, ctx.Err()
 	}}}
 	f, _ := follow(t, s)
-	f.Mirror.Replace([]mirror.Item{{Name: "a", Revision: 7}}, 7)
+	f.Mirror.Replace([]mirror.Object{{Name: "a", Revision: 7}}, 7)
 	qt.Assert(t, <-watched, qt.Equals, uint64(7))
 }
 
@@ -158,16 +158,16 @@
 func TestDeafWatchIsBegunAnewSoon(t *testing.T) {
 	watched := make(chan uint64, 10)
 	s := &store{
-		list: func() ([]mirror.Item, uint64, error) { return nil, 5, nil },
+		list: func() ([]mirror.Object, uint64, error) { return nil, 5, nil },
 		watch: func(ctx context.Context, after uint64) (mirror.Batch, error) {
 			watched <- after
 			<-ctx.Done()
 			return mirror.Batch{}, ctx.Err()
 		},
 	}
-	f := &source.Follow{
-		Store: s, Mirror: &mirror.Mirror{Kind: "k"}, Log: slog.New(slog.DiscardHandler), Changed: func() {},
-		Wait: time.Millisecond,
+	f := &source.Watcher{
+		Store: s, Mirror: &mirror.Mirror{Kind: "k"}, Log: slog.New(slog.DiscardHandler), OnChange: func() {},
+		WatchTimeout: time.Millisecond,
 	}
 	ctx, end := context.WithCancel(t.Context())
 	done := make(chan struct{})
@@ -185,19 +185,19 @@
 // Guards against calls to the object API that grow with the number of entry
 // hosts: each change, and each second at rest, would cost as many as there are.
 func TestCallsAtRest(t *testing.T) {
-	for _, role := range []source.Role{source.Main, source.Relying} {
+	for _, role := range []source.Role{source.Primary, source.Passive} {
 		synctest.Test(t, func(t *testing.T) {
 			peeks := 0
-			p := &source.Pulse{
+			p := &source.Monitor{
 				Store: &store{peek: func() (uint64, error) { peeks++; return 0, nil }}, Mirror: &mirror.Mirror{},
-				Log: slog.New(slog.DiscardHandler), Returned: func() {}, Role: func() source.Role { return role },
+				Log: slog.New(slog.DiscardHandler), OnRecovery: func() {}, Role: func() source.Role { return role },
 			}
 			ctx, end := context.WithCancel(t.Context())
 			go p.Run(ctx)
 			time.Sleep(time.Minute)
 			end()
 			synctest.Wait()
-			if role == source.Relying {
+			if role == source.Passive {
 				qt.Check(t, peeks <= 15, qt.IsTrue, qt.Commentf("%d peeks a minute", peeks))
 				return
 			}
@@ -213,12 +213,12 @@
 		const followers, changes, gap = 2, 40, 250 * time.Millisecond
 		c := &changing{changed: make(chan struct{})}
 		ctx, end := context.WithCancel(t.Context())
-		var list []*source.Follow
+		var list []*source.Watcher
 		for i := range followers {
-			f := &source.Follow{Store: c, Mirror: &mirror.Mirror{Kind: "k"}, Log: slog.New(slog.DiscardHandler), Wait: 2 * time.Second}
+			f := &source.Watcher{Store: c, Mirror: &mirror.Mirror{Kind: "k"}, Log: slog.New(slog.DiscardHandler), WatchTimeout: 2 * time.Second}
 			f.Role = func() source.Role { return source.Role(i) }
 			// What one hears is handed to the others at once.
-			f.Changed = func() {
+			f.OnChange = func() {
 				for _, other := range list {
 					if b, _ := f.Mirror.Since(other.Mirror.Cursor()); other != f && b.Cursor > other.Mirror.Cursor() {
 						other.Mirror.Merge(b)
@@ -269,10 +269,10 @@
 	return c.calls
 }
 
-func (c *changing) List(context.Context, string) ([]mirror.Item, uint64, error) {
+func (c *changing) List(context.Context, string) ([]mirror.Object, uint64, error) {
 	c.mu.Lock()
 	defer c.mu.Unlock()
-	return []mirror.Item{{Name: "a", Revision: c.revision}}, c.revision, nil
+	return []mirror.Object{{Name: "a", Revision: c.revision}}, c.revision, nil
 }
 
 func (c *changing) Watch(ctx context.Context, _ string, after uint64, wait time.Duration) (mirror.Batch, error) {
@@ -290,10 +290,10 @@
 	}
 	c.mu.Lock()
 	defer c.mu.Unlock()
-	return mirror.Batch{Kind: "k", After: after, Cursor: c.revision, Items: []mirror.Item{{Name: "a", Revision: c.revision}}}, nil
+	return mirror.Batch{Kind: "k", After: after, Cursor: c.revision, Items: []mirror.Object{{Name: "a", Revision: c.revision}}}, nil
 }
 
-func (c *changing) Peek(context.Context, string, string) (uint64, error) {
+func (c *changing) StaleRevision(context.Context, string, string) (uint64, error) {
 	return 0, nil
 }
 
@@ -312,12 +312,12 @@
 // Guards against calls of backups that only ask whether there is nothing new, and
 // against a main follower whose deaf watch is noticed late.
 func TestBackupWaitsLonger(t *testing.T) {
-	for role, want := range map[source.Role]time.Duration{source.Main: time.Second, source.Backup: 3 * time.Second} {
+	for role, want := range map[source.Role]time.Duration{source.Primary: time.Second, source.Backup: 3 * time.Second} {
 		s := &waiting{waits: make(chan time.Duration, 1)}
 		m := &mirror.Mirror{Kind: "k"}
 		m.Replace(nil, 5)
-		f := &source.Follow{
-			Store: s, Mirror: m, Log: slog.New(slog.DiscardHandler), Changed: func() {}, Wait: time.Second,
+		f := &source.Watcher{
+			Store: s, Mirror: m, Log: slog.New(slog.DiscardHandler), OnChange: func() {}, WatchTimeout: time.Second,
 			Role: func() source.Role { return role },
 		}
 		ctx, end := context.WithCancel(t.Context())
--- a/entry/stream/accuse.go
+++ b/entry/stream/accuse.go
@@ -12,17 +12,17 @@
 	"fuchsiashelf.dev/parts/probe"
 )
 
-// Accuse checks a server that seems to have failed by a request for its report. One
+// Probe checks a server that seems to have failed by a request for its report. One
 // that does not answer is suspected, and checked again until it answers or its entry
 // is gone.
-func (w *Watch) Accuse(address, why string) {
+func (w *Monitor) Probe(address, why string) {
 	w.accuse(address, why, link{})
 }
 
-// AccuseUnder does so for a server that failed while it ran a request. If it
+// ProbeFor does so for a server that failed while it ran a request. If it
 // died, that is noted against the request.
-func (w *Watch) AccuseUnder(j *call.Job, address, why string) {
-	s := w.State.View().At(address)
+func (w *Monitor) ProbeFor(j *call.Job, address, why string) {
+	s := w.State.View().ByAddress(address)
 	if s == nil {
 		return
 	}
@@ -33,14 +33,14 @@
 	if w.under[s.ID] == nil {
 		w.under[s.ID] = map[poison.Fingerprint]bool{}
 	}
-	w.under[s.ID][j.Print] = true
+	w.under[s.ID][j.Fingerprint] = true
 	w.mu.Unlock()
 	w.accuse(address, why, link{})
 }
 
 // settle ends the case of an accused server. If it died, that is noted against
 // all requests that it failed under.
-func (w *Watch) settle(id string, died bool, now time.Time) {
+func (w *Monitor) settle(id string, died bool, now time.Time) {
 	w.mu.Lock()
 	prints := w.under[id]
 	delete(w.under, id)
@@ -49,7 +49,7 @@
 		return
 	}
 	for print := range prints {
-		w.Tally.Died(print, id, now)
+		w.Crashes.RecordCrash(print, id, now)
 	}
 }
 
@@ -57,8 +57,8 @@
 // and the two are in different failure domains, these are cut off from each
 // other. Without the question a plain crash would look the same, and no chain
 // could cross to where its layers are held.
-func (w *Watch) accuse(address, why string, by link) {
-	s := w.State.View().At(address)
+func (w *Monitor) accuse(address, why string, by link) {
+	s := w.State.View().ByAddress(address)
 	if s == nil {
 		return
 	}
@@ -72,7 +72,7 @@
 
 // claim reports whether the caller is to check an accused server. Each is checked by
 // one goroutine at a time.
-func (w *Watch) claim(address string) bool {
+func (w *Monitor) claim(address string) bool {
 	w.mu.Lock()
 	defer w.mu.Unlock()
 	if w.probed == nil {
@@ -87,8 +87,8 @@
 
 // suspect avoids a server that has left questions unanswered, and asks it
 // again until it answers or its entry is gone.
-func (w *Watch) suspect(address, why string, err error) {
-	s := w.State.View().At(address)
+func (w *Monitor) suspect(address, why string, err error) {
+	s := w.State.View().ByAddress(address)
 	if s == nil {
 		return
 	}
@@ -100,16 +100,16 @@
 
 // doubt notes that a server did not answer. It reports whether its entry is
 // still there.
-func (w *Watch) doubt(id, address, why string, err error, now time.Time) bool {
+func (w *Monitor) doubt(id, address, why string, err error, now time.Time) bool {
 	// Only a process that is gone refuses connections at once. One behind a
 	// cut link does not answer either, and no request is to blame.
 	w.settle(id, found(err) == probe.Gone, now)
-	if s := w.State.View().At(address); s == nil || s.ID != id {
+	if s := w.State.View().ByAddress(address); s == nil || s.ID != id {
 		return false
 	}
 	if w.State.Suspect(id, now.Add(belief.SuspectFor), now) {
 		w.Log.Warn("servers: suspected", "server", id, "address", address, "why", why, "error", err)
-		w.Spread()
+		w.Broadcast()
 	}
 	return true
 }
@@ -117,7 +117,7 @@
 // check polls an accused server until it answers or its entry is gone. The first
 // probes, as many as mean that it is dead, have a short timeout: until a death is
 // known, requests go to the server, and its layers are not loaded elsewhere.
-func (w *Watch) check(id, address, why string, by link) {
+func (w *Monitor) check(id, address, why string, by link) {
 	defer func() {
 		w.mu.Lock()
 		delete(w.probed, address)
@@ -125,8 +125,8 @@
 	}()
 	misses := 0
 	for range maxProbes {
-		wait := call.ReportTime
-		if misses < probe.MissesUntilDead {
+		wait := call.ReportTimeout
+		if misses < probe.FailureThreshold {
 			wait = w.bound()
 		}
 		err := w.question(address, wait)
@@ -136,21 +136,21 @@
 			time.Sleep(recheckAfter)
 			continue
 		case err == nil:
-			if misses < probe.MissesUntilDead && by.from != by.to {
-				w.State.CutOff(by.from, by.to, now)
+			if misses < probe.FailureThreshold && by.from != by.to {
+				w.State.MarkUnreachable(by.from, by.to, now)
 			}
 			w.answered(id, address, now)
 			return
 		}
 		misses++
-		if misses < probe.MissesUntilDead && found(err) != probe.Gone {
+		if misses < probe.FailureThreshold && found(err) != probe.Gone {
 			continue
 		}
 		if !w.doubt(id, address, why, err, now) {
 			return
 		}
 		pause := w.recheckEvery(address)
-		if misses <= probe.MissesUntilDead {
+		if misses <= probe.FailureThreshold {
 			w.leave(address, found(err))
 			pause = recheckAfter
 		}
@@ -161,9 +161,9 @@
 // recheckEvery returns how often a suspected server is asked again. Every entry
 // host asks for itself, so servers of other failure domains that serve none of
 // its streams are asked only as often as keeps them suspected.
-func (w *Watch) recheckEvery(address string) time.Duration {
-	s := w.State.View().At(address)
-	if s == nil || s.Domain == w.Home {
+func (w *Monitor) recheckEvery(address string) time.Duration {
+	s := w.State.View().ByAddress(address)
+	if s == nil || s.Domain == w.LocalDomain {
 		return probeEvery
 	}
 	w.mu.Lock()
@@ -177,7 +177,7 @@
 }
 
 // question asks a server for its report. An answer that it has none is one.
-func (w *Watch) question(address string, wait time.Duration) error {
+func (w *Monitor) question(address string, wait time.Duration) error {
 	if _, err := w.ask(context.Background(), address, wait); !lives(err) {
 		return err
 	}
@@ -185,8 +185,8 @@
 }
 
 // answered ends the suspicion against a server.
-func (w *Watch) answered(id, address string, now time.Time) {
-	w.State.Clear(id, now)
+func (w *Monitor) answered(id, address string, now time.Time) {
+	w.State.ClearSuspicion(id, now)
 	w.settle(id, false, now)
 	w.mu.Lock()
 	defer w.mu.Unlock()
@@ -197,7 +197,7 @@
 }
 
 // found returns what follows for streams from a server's failure to answer.
-func found(err error) probe.Finding {
+func found(err error) probe.State {
 	if errors.Is(err, syscall.ECONNREFUSED) {
 		return probe.Gone
 	}
@@ -207,6 +207,6 @@
 // lives reports whether a server answered a request for its report. Plain servers
 // answer that they have none.
 func lives(err error) bool {
-	var none *call.NoReport
+	var none *call.NoReportError
 	return err == nil || errors.As(err, &none)
 }
--- a/entry/stream/accuse_test.go
+++ b/entry/stream/accuse_test.go
@@ -12,7 +12,7 @@
 func TestDistantServersAreAskedLessOften(t *testing.T) {
 	w, servers := watched(&engines{}, 0)
 	qt.Check(t, w.recheckEvery("middle"), qt.Equals, probeEvery)
-	w.Home = "b"
+	w.LocalDomain = "b"
 	qt.Check(t, w.recheckEvery("middle"), qt.Equals, probeAway)
 	l := w.stream(servers, "r1", time.Second)
 	qt.Check(t, w.recheckEvery("middle"), qt.Equals, probeEvery)
--- a/entry/stream/bounds.go
+++ b/entry/stream/bounds.go
@@ -48,18 +48,18 @@
 
 func notableWait(r *route.Route) time.Duration { return share(r.Target, defaultTarget, notableShare) }
 
-func silentEvent(r *route.Route) time.Duration { return share(r.Gap, defaultGap, silentShare) }
+func silentEvent(r *route.Route) time.Duration { return share(r.MaxGap, defaultGap, silentShare) }
 
 func silentStart(r *route.Route) time.Duration { return share(r.Target, defaultTarget, startShare) }
 
 func longestWait(r *route.Route) time.Duration { return share(r.Target, defaultTarget, roomShare) }
 
-func linkWait(r *route.Route) time.Duration { return share(r.Gap, defaultGap, linkShare) }
+func linkWait(r *route.Route) time.Duration { return share(r.MaxGap, defaultGap, linkShare) }
 
 func rerouteWait(r *route.Route) time.Duration {
-	return share(r.Silence, defaultSilence, rerouteShare)
+	return share(r.CallerTimeout, defaultSilence, rerouteShare)
 }
 
 func restartWait(r *route.Route) time.Duration {
-	return share(r.Silence, defaultSilence, restartAfter)
+	return share(r.CallerTimeout, defaultSilence, restartAfter)
 }
--- a/entry/stream/bounds_test.go
+++ b/entry/stream/bounds_test.go
@@ -15,10 +15,10 @@
 // wait, or let requests wait for room beyond the time in which the first event
 // counts.
 func TestWaitsFollowTheRoute(t *testing.T) {
-	quick := &route.Route{Target: 200 * time.Millisecond, Gap: 100 * time.Millisecond, Silence: 2 * time.Second}
-	slow := &route.Route{Target: 2 * time.Second, Gap: time.Second, Silence: 8 * time.Second}
+	quick := &route.Route{Target: 200 * time.Millisecond, MaxGap: 100 * time.Millisecond, CallerTimeout: 2 * time.Second}
+	slow := &route.Route{Target: 2 * time.Second, MaxGap: time.Second, CallerTimeout: 8 * time.Second}
 	for _, r := range []*route.Route{quick, slow, chat, {}} {
-		target, gap, bears := r.Target, r.Gap, r.Silence
+		target, gap, bears := r.Target, r.MaxGap, r.CallerTimeout
 		if target == 0 {
 			target, gap = defaultTarget, defaultGap
 		}
@@ -27,7 +27,7 @@
 		}
 		qt.Check(t, longestWait(r) < target, qt.IsTrue)
 		qt.Check(t, silentStart(r) < target, qt.IsTrue)
-		qt.Check(t, silentEvent(r)+probe.ShortWait < gap, qt.IsTrue)
+		qt.Check(t, silentEvent(r)+probe.MinTimeout < gap, qt.IsTrue)
 		qt.Check(t, linkWait(r) < gap, qt.IsTrue)
 		qt.Check(t, restartWait(r) < rerouteWait(r) && rerouteWait(r) < bears, qt.IsTrue)
 	}
--- a/entry/stream/choose.go
+++ b/entry/stream/choose.go
@@ -11,16 +11,16 @@
 )
 
 // query describes the choice of a chain for a new run of a job.
-func (f *Flow) query(j *call.Job) *hops.Query {
-	q := f.Watch.query(j)
+func (f *Forwarder) query(j *call.Job) *hops.Query {
+	q := f.Monitor.query(j)
 	q.Delay = func(id string) float64 { return f.delay(j, id) }
 	return q
 }
 
 // delay returns the cost, in seconds, of starting a chain for a job at a server
 // where requests wait or fail.
-func (f *Flow) delay(j *call.Job, id string) float64 {
-	return hops.StartCost(f.Watch.Starts.Wait(id, time.Now()), firstTarget(j.Route)) + f.Failures.Risk(id)
+func (f *Forwarder) delay(j *call.Job, id string) float64 {
+	return hops.StartCost(f.Monitor.Starts.Wait(id, time.Now()), firstTarget(j.Route)) + f.Failures.ExpectedDelay(id)
 }
 
 // choose finds a chain. A request for which there is no room now is queued, or
@@ -29,17 +29,17 @@
 	if r.began {
 		return r.reroute(ctx)
 	}
-	if !r.Turns.Busy() {
+	if !r.Queue.HasWaiters() {
 		if chain, e := r.look(); chain != nil || e != nil {
 			return chain, e
 		}
 	}
-	place, after := r.Turns.Join(r.job.Priority, longestWait(r.job.Route))
+	place, after := r.Queue.Enqueue(r.job.Priority, longestWait(r.job.Route))
 	if place == nil {
 		return r.lookOrRefuse(after)
 	}
 	chain, e := r.wait(ctx, place)
-	r.Turns.Leave(place, chain != nil, time.Now())
+	r.Queue.Remove(place, chain != nil, time.Now())
 	return chain, e
 }
 
@@ -84,7 +84,7 @@
 	if chain := r.pick(q); chain != nil {
 		return chain, nil
 	}
-	q.Crowded = true
+	q.Overcommit = true
 	if q.Pick() == nil {
 		return r.lastResort(q)
 	}
@@ -95,19 +95,19 @@
 // for the prompt.
 func (r *run) pick(q *hops.Query) hops.Chain {
 	chain := q.Pick()
-	if chain != nil && !r.Watch.mayCross(r.job, chain.Crossings()) {
-		q.Within = true
+	if chain != nil && !r.Monitor.mayCross(r.job, chain.Crossings()) {
+		q.SingleDomain = true
 		chain = q.Pick()
-		q.Within = false
+		q.SingleDomain = false
 	}
 	return chain
 }
 
 // wait waits in the queue for room.
-func (r *run) wait(ctx context.Context, place *turns.Ticket) (hops.Chain, *fault.Error) {
-	until := time.Now().Add(min(longestWait(r.job.Route), r.job.Left()/2))
+func (r *run) wait(ctx context.Context, place *turns.Waiter) (hops.Chain, *fault.Error) {
+	until := time.Now().Add(min(longestWait(r.job.Route), r.job.Remaining()/2))
 	for time.Now().Add(waitStep).Before(until) {
-		if r.Turns.Mine(place) {
+		if r.Queue.AtHead(place) {
 			if chain, e := r.look(); chain != nil || e != nil {
 				return chain, e
 			}
@@ -128,7 +128,7 @@
 // lastResort finds a chain through servers that are suspected, where no other
 // holds all layers: a suspicion may be wrong.
 func (r *run) lastResort(q *hops.Query) (hops.Chain, *fault.Error) {
-	q.Suspects, q.Crowded = true, false
+	q.AllowSuspected, q.Overcommit = true, false
 	if chain := q.Pick(); chain != nil {
 		return chain, nil
 	}
--- a/entry/stream/fail.go
+++ b/entry/stream/fail.go
@@ -23,21 +23,21 @@
 
 // refused handles the word of a server that it did not run the request.
 func (r *run) refused(first string, reply call.Reply) *fault.Error {
-	at := reply.Fault
+	at := reply.RefusedBy
 	if at == "" {
 		at = first
 	}
 	r.avoid[at] = true
 	server := ""
-	if s := r.State.View().At(at); s != nil {
+	if s := r.State.View().ByAddress(at); s != nil {
 		server = s.ID
-		if r.Ledger.Refused(s.ID, time.Now()) {
-			r.Watch.Spread()
+		if r.Ledger.RecordRefusal(s.ID, time.Now()) {
+			r.Monitor.Broadcast()
 		}
 	}
 	if at != first {
 		// It may be full, or dead: the first server does not say which.
-		r.Watch.Accuse(at, "a chain is refused for it")
+		r.Monitor.Probe(at, "a chain is refused for it")
 	}
 	r.Log.Info("stream: refused by a server", "request", r.job.ID, "status", reply.Status, "server", server, "address", at, "first", r.out.Server)
 	return &fault.Error{Code: fault.ServerRefused, Verdict: fault.NotRun, Message: "a backend server refused", Server: at, RetryAfter: comeBack}
@@ -45,10 +45,10 @@
 
 // failed handles a server's own failure. It is kept, and delivered if no other
 // chain does better before the caller has seen anything of an answer.
-func (r *run) failed(answer *line.Answer, reply call.Reply) *fault.Error {
+func (r *run) failed(answer *line.Response, reply call.Reply) *fault.Error {
 	body, err := io.ReadAll(io.LimitReader(answer, readSize))
 	r.avoid[answer.Request.URL.Host] = true
-	if err == nil && !call.Promises(reply.Status) {
+	if err == nil && !call.StatusMeansNotRun(reply.Status) {
 		r.failure = &failure{header: answer.Header, status: reply.Status, body: body}
 	}
 	return &fault.Error{Code: fault.ServerFailed, Verdict: fault.MayHaveRun, Message: "the backend server failed", Server: r.out.Server, Cause: err}
@@ -60,13 +60,13 @@
 	r.w.WriteHeader(r.failure.status)
 	r.out.Status = r.failure.status
 	if _, err := r.w.Write(r.failure.body); err != nil {
-		r.out.Broken = true
+		r.out.Truncated = true
 	}
 	return r.out
 }
 
 // broken explains an answer that ended early.
-func (r *run) broken(ctx context.Context, answer *line.Answer, err error) *fault.Error {
+func (r *run) broken(ctx context.Context, answer *line.Response, err error) *fault.Error {
 	answer.Reset()
 	if r.events.gap {
 		err = errors.New("an event is missing")
@@ -85,19 +85,19 @@
 // blame avoids the first server of a failed attempt, and suspects it unless
 // the attempt was ended from this side.
 func (r *run) blame(ctx context.Context, address string, e *fault.Error) {
-	if call.Gone(ctx) || errors.Is(context.Cause(ctx), context.DeadlineExceeded) {
+	if call.CallerGone(ctx) || errors.Is(context.Cause(ctx), context.DeadlineExceeded) {
 		return
 	}
 	r.avoid[address] = true
-	r.Pool.Forget(address)
+	r.Pool.CloseIdle(address)
 	if context.Cause(ctx) == nil {
-		r.Watch.AccuseUnder(r.job, address, e.Error())
+		r.Monitor.ProbeFor(r.job, address, e.Error())
 	}
 }
 
 // again reports whether another chain is tried.
 func (r *run) again(ctx context.Context, e *fault.Error) bool {
-	if ctx.Err() != nil || e.Code == fault.Cancelled || r.Watch.Tally.Convicted(r.job.Print, time.Now()) {
+	if ctx.Err() != nil || e.Code == fault.Cancelled || r.Monitor.Crashes.Blocked(r.job.Fingerprint, time.Now()) {
 		return false
 	}
 	if e.Code == fault.NoCover || e.Code == fault.Overloaded {
@@ -110,7 +110,7 @@
 		return false
 	}
 	r.verdict = r.verdict.Weaken(e.Verdict)
-	allowed := r.reserved.Swap(false) || r.budget.Take(time.Now())
+	allowed := r.reserved.Swap(false) || r.budget.Withdraw(time.Now())
 	r.Log.Info("stream: tried again", "request", r.job.ID, "server", r.out.Server, "chain", r.out.Chain,
 		"allowed", allowed, "sends", r.out.Sends, "events", r.events.count, "error", e)
 	return allowed
@@ -126,7 +126,7 @@
 		if !r.job.Route.Repeatable() || !r.mayRun(ran, sends) {
 			return false
 		}
-		if !r.budget.Take(time.Now()) {
+		if !r.budget.Withdraw(time.Now()) {
 			return false
 		}
 		r.reserved.Store(true)
@@ -147,8 +147,8 @@
 	view := r.State.View()
 	n := 0
 	for _, s := range ran {
-		now := view.At(s.Address)
-		if now != nil && now.ID == s.ID && !now.Suspect {
+		now := view.ByAddress(s.Address)
+		if now != nil && now.ID == s.ID && !now.Suspected {
 			n++
 		}
 	}
@@ -163,7 +163,7 @@
 	final := *e
 	final.Verdict = r.verdict.Weaken(e.Verdict)
 	r.out.Error = &final
-	if call.Gone(ctx) {
+	if call.CallerGone(ctx) {
 		final.Code = fault.Cancelled
 		return r.out
 	}
@@ -175,9 +175,9 @@
 	}
 	if r.began {
 		// The caller has half an answer: it must not look complete.
-		r.out.Broken = true
+		r.out.Truncated = true
 		return r.out
 	}
-	r.out.Status = call.Refuse(r.w, r.Codec, &final)
+	r.out.Status = call.WriteError(r.w, r.Codec, &final)
 	return r.out
 }
--- a/entry/stream/failures.go
+++ b/entry/stream/failures.go
@@ -21,11 +21,11 @@
 // the first one answers for the chain. The zero value is ready.
 type Failures struct {
 	mu     sync.Mutex
-	shares map[string]*health.Share
+	shares map[string]*health.FailureRate
 }
 
-// Note takes the outcome of an answer.
-func (f *Failures) Note(id string, failed bool, now time.Time) {
+// Record takes the outcome of an answer.
+func (f *Failures) Record(id string, failed bool, now time.Time) {
 	f.mu.Lock()
 	defer f.mu.Unlock()
 	s := f.shares[id]
@@ -34,16 +34,16 @@
 	}
 	if s == nil {
 		if f.shares == nil {
-			f.shares = map[string]*health.Share{}
+			f.shares = map[string]*health.FailureRate{}
 		}
-		s = &health.Share{Learn: learnFailures}
+		s = &health.FailureRate{Weight: learnFailures}
 		f.shares[id] = s
 	}
-	s.Note(failed, now)
+	s.Record(failed, now)
 }
 
-// Risk returns the seconds that starting a chain at a server may cost.
-func (f *Failures) Risk(id string) float64 {
+// ExpectedDelay returns the seconds that starting a chain at a server may cost.
+func (f *Failures) ExpectedDelay(id string) float64 {
 	f.mu.Lock()
 	defer f.mu.Unlock()
 	s := f.shares[id]
@@ -53,8 +53,8 @@
 	return failureSeconds * s.At(time.Now())
 }
 
-// Sweep forgets servers that have not failed for long.
-func (f *Failures) Sweep(now time.Time) {
+// Expire forgets servers that have not failed for long.
+func (f *Failures) Expire(now time.Time) {
 	f.mu.Lock()
 	defer f.mu.Unlock()
 	for id, s := range f.shares {
--- a/entry/stream/flow.go
+++ b/entry/stream/flow.go
@@ -2,7 +2,7 @@
 // series of events, back to the callers as they arrive.
 //
 // An answer outlives the servers that give it. If a server in the midst of a
-// chain fails, the first one lives and holds on; the [Watch] notices the
+// chain fails, the first one lives and holds on; the [Monitor] notices the
 // silence and gives the request another way behind the first server. If the
 // first server fails, a resumable stream restarts on another chain after the last
 // event that the caller has, within the same answer. Only whole events
@@ -43,25 +43,25 @@
 	waitStep = 20 * time.Millisecond
 )
 
-// Flow passes requests on. Set the exported fields before use.
-type Flow struct {
-	Codec  call.Codec
-	Pool   *line.Pool
-	State  *belief.State
-	Ledger *hops.Ledger
-	Watch  *Watch
-	Turns  *turns.Queue
+// Forwarder passes requests on. Set the exported fields before use.
+type Forwarder struct {
+	Codec   call.Codec
+	Pool    *line.Pool
+	State   *belief.Local
+	Ledger  *hops.LoadTracker
+	Monitor *Monitor
+	Queue   *turns.Queue
 	// Failures holds which servers fail requests.
-	Failures *Failures
-	Home     domain.Name
-	Log      *slog.Logger
-	// Budget returns the budget of repeats of a service.
-	Budget func(service string) *retry.Share
+	Failures    *Failures
+	LocalDomain domain.Name
+	Log         *slog.Logger
+	// RetryBudget returns the budget of repeats of a service.
+	RetryBudget func(service string) *retry.WindowBudget
 }
 
 // run is one request on its way.
 type run struct {
-	*Flow
+	*Forwarder
 	job    *call.Job
 	w      http.ResponseWriter
 	out    call.Outcome
@@ -75,7 +75,7 @@
 	ran []*fleet.Server
 	// reserved says that the watch has reserved the next run.
 	reserved atomic.Bool
-	budget   *retry.Share
+	budget   *retry.WindowBudget
 	// passed is when the caller got the last event.
 	passed time.Time
 	// failure is what a server that failed answered.
@@ -83,12 +83,12 @@
 }
 
 // Serve passes a request on and answers the caller.
-func (f *Flow) Serve(ctx context.Context, w http.ResponseWriter, j *call.Job) call.Outcome {
-	budget := f.Budget(j.Service.Name)
-	budget.Note(time.Now())
+func (f *Forwarder) Serve(ctx context.Context, w http.ResponseWriter, j *call.Job) call.Outcome {
+	budget := f.RetryBudget(j.Service.Name)
+	budget.Record(time.Now())
 	ctx, cancel := context.WithDeadlineCause(ctx, j.Deadline, context.DeadlineExceeded)
 	defer cancel()
-	r := &run{Flow: f, job: j, w: w, avoid: map[string]bool{}, verdict: fault.NotRun, budget: budget}
+	r := &run{Forwarder: f, job: j, w: w, avoid: map[string]bool{}, verdict: fault.NotRun, budget: budget}
 	r.events.last = j.LastEvent
 	for {
 		chain, err := r.choose(ctx)
@@ -109,17 +109,17 @@
 	first := chain[0].Server
 	actx, cancel := context.WithCancelCause(ctx)
 	defer cancel(nil)
-	live := r.Watch.add(r.job, chain, cancel, r.reserve(first))
-	defer r.Watch.remove(live)
-	start := r.Watch.Starts.Begin(first.ID, notableWait(r.job.Route), time.Now())
-	defer r.Watch.Starts.End(start)
+	live := r.Monitor.add(r.job, chain, cancel, r.reserve(first))
+	defer r.Monitor.remove(live)
+	start := r.Monitor.Starts.Track(first.ID, notableWait(r.job.Route), time.Now())
+	defer r.Monitor.Starts.Untrack(start)
 	var reply call.Reply
-	o := line.Options{Fresh: fresh, Head: func(resp *http.Response) line.Head {
-		reply = r.Codec.Reply(resp)
-		return line.Head{Other: reply.ID != "" && reply.ID != r.job.ID, Close: reply.Leaving, Idle: reply.Idle}
+	o := line.Options{MaxIdle: fresh, Inspect: func(resp *http.Response) line.ResponseInfo {
+		reply = r.Codec.ParseReply(resp)
+		return line.ResponseInfo{OtherRequest: reply.ID != "" && reply.ID != r.job.ID, Close: reply.Closing, IdleTimeout: reply.IdleTimeout}
 	}}
-	req := r.Codec.Request(r.job.Ask, call.Send{
-		Server: first, Chain: chain, Left: r.job.Left(), Team: r.job.Team,
+	req := r.Codec.NewRequest(r.job.Request, call.SendOptions{
+		Server: first, Chain: chain, Timeout: r.job.Remaining(), Team: r.job.Team,
 		Priority: r.job.Priority, LastEvent: r.events.last,
 	})
 	r.out.Sends++
@@ -140,18 +140,18 @@
 	}
 	r.ran = append(r.ran, first)
 	if reply.Status != http.StatusOK {
-		r.Failures.Note(first.ID, reply.Status >= http.StatusInternalServerError, time.Now())
+		r.Failures.Record(first.ID, reply.Status >= http.StatusInternalServerError, time.Now())
 		return r.failed(answer, reply)
 	}
 	failure := r.relay(actx, answer, live, start)
 	if failure == nil || failure.Code == fault.BrokenAnswer && context.Cause(actx) == nil {
-		r.Failures.Note(first.ID, failure != nil, time.Now())
+		r.Failures.Record(first.ID, failure != nil, time.Now())
 	}
 	return failure
 }
 
 // relay passes the events of an answer on until its end.
-func (r *run) relay(ctx context.Context, answer *line.Answer, live *live, start *hops.Start) *fault.Error {
+func (r *run) relay(ctx context.Context, answer *line.Response, live *live, start *hops.PendingStart) *fault.Error {
 	r.events.resume()
 	r.begin(answer)
 	flush := http.NewResponseController(r.w)
@@ -160,8 +160,8 @@
 		n, err := answer.Read(buffer)
 		if n > 0 {
 			if live.touch() {
-				r.Watch.Starts.Began(start, time.Now())
-				r.Ledger.Accepted(live.parts())
+				r.Monitor.Starts.RecordFirstEvent(start, time.Now())
+				r.Ledger.RecordAccepted(live.parts())
 			}
 			if whole := r.events.add(buffer[:n]); len(whole) > 0 {
 				if e := r.pass(whole, flush); e != nil {
@@ -180,7 +180,7 @@
 }
 
 // begin gives the caller the header of the first run's answer.
-func (r *run) begin(answer *line.Answer) {
+func (r *run) begin(answer *line.Response) {
 	if r.began {
 		return
 	}
@@ -192,10 +192,10 @@
 // pass gives whole events to the caller.
 func (r *run) pass(whole []byte, flush *http.ResponseController) *fault.Error {
 	now := time.Now()
-	if r.out.First == 0 {
-		r.out.First = now.Sub(r.job.Arrived)
+	if r.out.TimeToFirstByte == 0 {
+		r.out.TimeToFirstByte = now.Sub(r.job.Arrived)
 	} else {
-		r.out.Gap = max(r.out.Gap, now.Sub(r.passed))
+		r.out.LongestGap = max(r.out.LongestGap, now.Sub(r.passed))
 	}
 	r.passed = now
 	r.out.Events = r.events.count
--- a/entry/stream/live.go
+++ b/entry/stream/live.go
@@ -74,7 +74,7 @@
 // take, and than the mean interval. A stream that had one meanwhile works; one whose
 // next event is not due yet must not be rerouted for a lost check.
 func (l *live) overdue(now time.Time) bool {
-	return l.silence(now) > max(probe.ShortWait, time.Duration(l.usual.Load()))
+	return l.silence(now) > max(probe.MinTimeout, time.Duration(l.usual.Load()))
 }
 
 // servers returns the addresses of the chain.
@@ -110,7 +110,7 @@
 
 // move reserves another chain for the stream. The answer to an order to change its
 // chain may arrive after its end; a reservation made then would never be released.
-func (l *live) move(ledger *hops.Ledger, chain hops.Chain) {
+func (l *live) move(ledger *hops.LoadTracker, chain hops.Chain) {
 	l.mu.Lock()
 	defer l.mu.Unlock()
 	if l.ended {
@@ -122,5 +122,5 @@
 }
 
 func tokens(j *call.Job) int {
-	return j.Prompt + j.Answer(j.Service.Engine)
+	return j.PromptTokens + j.ExpectedTokens(j.Service.Engine)
 }
--- a/entry/stream/live_test.go
+++ b/entry/stream/live_test.go
@@ -16,10 +16,10 @@
 // is taken. Room that was booked for it then would never come free: after some
 // hours of such streams everybody would be refused.
 func TestNoRoomIsBookedForAnEndedStream(t *testing.T) {
-	ledger := &hops.Ledger{}
-	w := &Watch{Ledger: ledger}
+	ledger := &hops.LoadTracker{}
+	w := &Monitor{Ledger: ledger}
 	chain := hops.Chain{{Server: &fleet.Server{ID: "i-1"}, First: 0, End: 4}}
-	j := &call.Job{Ask: &call.Ask{Prompt: 10, Hint: 5}, Route: chat, Service: &route.Service{Engine: &route.Engine{}}}
+	j := &call.Job{Request: &call.Request{PromptTokens: 10, TokensHint: 5}, Route: chat, Service: &route.Service{Engine: &route.Engine{}}}
 	_, cancel := context.WithCancelCause(context.Background())
 	l := w.add(j, chain, cancel, nil)
 	qt.Assert(t, ledger.Used("i-1"), qt.Equals, hops.Usage{TokenLayers: 60, Requests: 1, Starts: 1})
--- a/entry/stream/repair.go
+++ b/entry/stream/repair.go
@@ -11,7 +11,7 @@
 )
 
 // reroute gives each stalled stream of a first server another way.
-func (w *Watch) reroute(address string, stalled []call.Stalled) {
+func (w *Monitor) reroute(address string, stalled []call.Stalled) {
 	at := map[string]string{}
 	for _, s := range stalled {
 		at[s.ID] = s.Address
@@ -50,7 +50,7 @@
 // without another chain behind its first server restarts elsewhere if it can, and
 // otherwise stays as it is: the servers that it waits for are checked again soon, by
 // when a chain may exist.
-func (w *Watch) repair(l *live, failed string) {
+func (w *Monitor) repair(l *live, failed string) {
 	l.mu.Lock()
 	chain := l.chain
 	if l.busy || !chain.Has(failed) || time.Since(l.repaired) < repairEvery {
@@ -81,7 +81,7 @@
 
 // detoured orders other chains behind the first server of a stream, and reports
 // whether the stream continues on one.
-func (w *Watch) detoured(l *live, chain hops.Chain, avoid map[string]bool) bool {
+func (w *Monitor) detoured(l *live, chain hops.Chain, avoid map[string]bool) bool {
 	for range maxReroutes {
 		next := w.detour(l, chain, avoid)
 		if next == nil || !w.mayCross(l.job, next.Crossings()-chain.Crossings()) {
@@ -91,11 +91,11 @@
 		// moment, and would all choose the same other one.
 		l.move(w.Ledger, next)
 		taken, at := w.order(l, next)
-		if taken == call.TakenBegun {
+		if taken == call.OrderStarted {
 			return true
 		}
 		l.move(w.Ledger, chain)
-		if taken != call.TakenConflict || at == "" {
+		if taken != call.OrderConflict || at == "" {
 			// The first server does not answer, or does not have the request.
 			return false
 		}
@@ -108,68 +108,68 @@
 // domain, for which a run is reserved then. Loading the missing layers takes longer
 // than the longest pause that is on time, and the link between domains carries few
 // prompts in that time; reading the tokens again needs neither.
-func (w *Watch) restartElsewhere(l *live, chain hops.Chain, avoid map[string]bool) bool {
+func (w *Monitor) restartElsewhere(l *live, chain hops.Chain, avoid map[string]bool) bool {
 	if l.restart == nil {
 		return false
 	}
 	avoid[chain[0].Server.Address] = true
 	q := w.query(l.job)
-	q.Avoid, q.Within = avoid, true
+	q.Avoid, q.SingleDomain = avoid, true
 	return q.Pick() != nil && l.restart()
 }
 
 // blocksLoad reports whether a stalled stream keeps a server from loading the layers
 // that it and others wait for: the server first lets all requests end that pass
 // through the layers it gives up, and this one never will.
-func (w *Watch) blocksLoad(l *live, chain hops.Chain) bool {
+func (w *Monitor) blocksLoad(l *live, chain hops.Chain) bool {
 	s := draining(w.State.View(), chain)
-	return s != nil && s.Moves && l.silent(time.Now())
+	return s != nil && s.AwaitsReload && l.silent(time.Now())
 }
 
 // mayCross reports whether a request may use the link between failure domains
 // so many times more now.
-func (w *Watch) mayCross(j *call.Job, crossings int) bool {
+func (w *Monitor) mayCross(j *call.Job, crossings int) bool {
 	if crossings <= 0 {
 		return true
 	}
-	transfer := time.Duration(crossings) * hops.Transfer(j.Service.Engine, j.Prompt)
-	hosts := w.Hosts()
+	transfer := time.Duration(crossings) * hops.TransferTime(j.Service.Engine, j.PromptTokens)
+	hosts := w.EntryHosts()
 	w.mu.Lock()
 	defer w.mu.Unlock()
-	return w.pipe.Take(transfer, linkWait(j.Route), hosts, time.Now())
+	return w.pipe.Reserve(transfer, linkWait(j.Route), hosts, time.Now())
 }
 
 // detour finds another chain behind the same first part.
-func (w *Watch) detour(l *live, chain hops.Chain, avoid map[string]bool) hops.Chain {
+func (w *Monitor) detour(l *live, chain hops.Chain, avoid map[string]bool) hops.Chain {
 	if avoid[chain[0].Server.Address] {
 		return nil
 	}
-	kept := map[string]hops.Part{}
+	kept := map[string]hops.Stage{}
 	for _, p := range chain[1:] {
 		kept[p.Server.Address] = p
 	}
 	q := w.query(l.job)
-	q.Avoid, q.Start, q.Kept = avoid, &chain[0], kept
+	q.Avoid, q.FixedFirst, q.Cached = avoid, &chain[0], kept
 	return q.Pick()
 }
 
 // query describes the choice of a chain for a job.
-func (w *Watch) query(j *call.Job) *hops.Query {
+func (w *Monitor) query(j *call.Job) *hops.Query {
 	return &hops.Query{
-		Engine: j.Service.Engine, Servers: w.State.View().Service(j.Service.Name), Home: w.Home,
-		Prompt: j.Prompt, Answer: j.Answer(j.Service.Engine), Used: w.Ledger.Used, Cut: w.State.Cut,
+		Engine: j.Service.Engine, Servers: w.State.View().Service(j.Service.Name), LocalDomain: w.LocalDomain,
+		Prompt: j.PromptTokens, Answer: j.ExpectedTokens(j.Service.Engine), Used: w.Ledger.Used, Partitioned: w.State.Unreachable,
 	}
 }
 
 // order tells the first server of the new chain. It returns which server is in
 // the way of it, if one is.
-func (w *Watch) order(l *live, next hops.Chain) (taken call.Taken, at string) {
-	ctx, cancel := context.WithTimeout(context.Background(), call.OrderTime)
+func (w *Monitor) order(l *live, next hops.Chain) (taken call.OrderResult, at string) {
+	ctx, cancel := context.WithTimeout(context.Background(), call.OrderTimeout)
 	defer cancel()
 	silence := l.silence(time.Now())
 	taken, at, err := w.Engine.Reroute(ctx, l.job.ID, next)
 	w.Log.Info("watch: rerouted", "request", l.job.ID, "chain", next.String(), "taken", taken.String(), "at", at, "silence", silence, "error", err)
-	if taken == call.TakenBegun {
+	if taken == call.OrderStarted {
 		l.last.Store(time.Now().UnixNano())
 	}
 	return taken, at
@@ -178,7 +178,7 @@
 // drain reroutes streams around a server that is leaving, before it cuts them off,
 // or around one that loads missing layers as soon as they have gone. Streams through
 // a server that only gives up replicated layers are left to end.
-func (w *Watch) drain(now time.Time) {
+func (w *Monitor) drain(now time.Time) {
 	view := w.State.View()
 	w.mu.Lock()
 	defer w.mu.Unlock()
@@ -200,7 +200,7 @@
 
 // pace returns the interval between two streams that are rerouted around a server.
 func pace(s *fleet.Server) time.Duration {
-	if s.Moves {
+	if s.AwaitsReload {
 		return moveEvery
 	}
 	return drainEvery
@@ -209,11 +209,11 @@
 // draining returns a server of a chain, not the first, that the stream should leave.
 func draining(view *fleet.View, chain hops.Chain) *fleet.Server {
 	for _, p := range chain[1:] {
-		s := view.At(p.Server.Address)
+		s := view.ByAddress(p.Server.Address)
 		if s == nil || s.ID != p.Server.ID {
 			continue
 		}
-		if s.Leaving || s.Moves && (s.First > p.First || s.End < p.End) {
+		if s.Leaving || s.AwaitsReload && (s.First > p.First || s.End < p.End) {
 			return s
 		}
 	}
--- a/entry/stream/repair_test.go
+++ b/entry/stream/repair_test.go
@@ -17,19 +17,19 @@
 )
 
 // addServer adds a server to those that a watch knows.
-func addServer(w *Watch, servers fixed, s fleet.Server) {
+func addServer(w *Monitor, servers fixed, s fleet.Server) {
 	servers[s.ID] = s
-	w.State.Servers.Merge(mirror.Batch{After: 1, Cursor: 2, Items: []mirror.Item{{Name: s.ID, Revision: 2}}})
+	w.State.Servers.Merge(mirror.Batch{After: 1, Cursor: 2, Items: []mirror.Object{{Name: s.ID, Revision: 2}}})
 	w.State.ReadServers(time.Now())
 }
 
 // lacking returns a watch over a failure domain in which nobody else holds what
 // the server in the midst of chains does, beside a domain that holds all layers
 // and that the servers of the first one do not reach.
-func lacking(e *engines) (*Watch, fixed) {
+func lacking(e *engines) (*Monitor, fixed) {
 	w, servers := watched(e, 0)
-	addServer(w, servers, fleet.Server{ID: "away", Service: "assist", Address: "away", Domain: "b", Card: "card", First: 0, End: layers, Born: time.Unix(1, 0)})
-	w.State.CutOff("a", "b", time.Now())
+	addServer(w, servers, fleet.Server{ID: "away", Service: "assist", Address: "away", Domain: "b", Accelerator: "card", First: 0, End: layers, StartedAt: time.Unix(1, 0)})
+	w.State.MarkUnreachable("a", "b", time.Now())
 	return w, servers
 }
 
@@ -60,8 +60,8 @@
 // Guards against three orders in turn, of half a second each, to a first server
 // that does not answer any.
 func TestSilentFirstServerIsOrderedOnce(t *testing.T) {
-	for _, taken := range []call.Taken{call.TakenUnknown, call.TakenAbsent, call.TakenConflict} {
-		e := &engines{taken: map[string]call.Taken{"r": taken}}
+	for _, taken := range []call.OrderResult{call.OrderUnknown, call.OrderNotFound, call.OrderConflict} {
+		e := &engines{taken: map[string]call.OrderResult{"r": taken}}
 		w, servers := watched(e, 1)
 		l := w.stream(servers, "r", silentEvent(chat)+time.Millisecond)
 		ended := make(chan error, 1)
@@ -92,8 +92,8 @@
 		{"not resumable", route.Route{Kind: route.Stream, Attempts: 2}, nil, 0, 1, false},
 		{"sent too often", route.Route{Kind: route.Stream, Resumable: true, Attempts: 9}, nil, maxSends, 1, false},
 	} {
-		budget := &retry.Share{Slack: func() float64 { return test.slack }, Window: time.Second}
-		r := &run{Flow: &Flow{State: w.State}, job: &call.Job{Ask: &call.Ask{}, Route: &test.route}, ran: test.ran, budget: budget}
+		budget := &retry.WindowBudget{MinRetries: func() float64 { return test.slack }, Window: time.Second}
+		r := &run{Forwarder: &Forwarder{State: w.State}, job: &call.Job{Request: &call.Request{}, Route: &test.route}, ran: test.ran, budget: budget}
 		r.out.Sends = test.sends
 		qt.Check(t, r.reserve(chain[0].Server)(), qt.Equals, test.allowed, qt.Commentf(test.name))
 		qt.Check(t, r.reserved.Load(), qt.Equals, test.allowed, qt.Commentf(test.name))
@@ -105,17 +105,17 @@
 func TestNobodyIsRefusedBesideRoom(t *testing.T) {
 	w, servers := watched(&engines{}, 1)
 	j := w.stream(servers, "other", 0).job
-	f := &Flow{State: w.State, Ledger: w.Ledger, Watch: w, Turns: &turns.Queue{}, Failures: &Failures{}, Home: "a"}
+	f := &Forwarder{State: w.State, Ledger: w.Ledger, Monitor: w, Queue: &turns.Queue{}, Failures: &Failures{}, LocalDomain: "a"}
 	for {
-		if place, _ := f.Turns.Join(0, time.Second); place == nil {
+		if place, _ := f.Queue.Enqueue(0, time.Second); place == nil {
 			break
 		}
 	}
-	r := &run{Flow: f, job: j}
+	r := &run{Forwarder: f, job: j}
 	chain, e := r.choose(t.Context())
 	qt.Assert(t, e == nil, qt.IsTrue, qt.Commentf("%v", e))
-	qt.Assert(t, chain.Tiles(layers), qt.IsTrue)
-	w.Ledger.Tell("full", map[string]hops.Usage{"middle": {TokenLayers: 1e12, Requests: 1}, "other-0": {TokenLayers: 1e12, Requests: 1}})
+	qt.Assert(t, chain.Complete(layers), qt.IsTrue)
+	w.Ledger.SetRemote("full", map[string]hops.Usage{"middle": {TokenLayers: 1e12, Requests: 1}, "other-0": {TokenLayers: 1e12, Requests: 1}})
 	_, e = r.choose(t.Context())
 	qt.Assert(t, e, qt.IsNotNil)
 	qt.Assert(t, e.Code, qt.Equals, fault.Overloaded)
--- a/entry/stream/watch.go
+++ b/entry/stream/watch.go
@@ -65,33 +65,33 @@
 	errLag    = errors.New("stream: this entry host lagged")
 )
 
-// Watch looks after the streams under way. Set the exported fields before Run.
-type Watch struct {
-	Engine call.Engine
-	State  *belief.State
-	Ledger *hops.Ledger
+// Monitor looks after the streams under way. Set the exported fields before Run.
+type Monitor struct {
+	Engine call.EngineClient
+	State  *belief.Local
+	Ledger *hops.LoadTracker
 	// Starts holds how long requests wait for their first event at a server.
-	Starts *hops.Starts
-	Home   domain.Name
-	Log    *slog.Logger
-	// Tally holds the requests under which servers died.
-	Tally *poison.Tally
-	// Spread sends a new suspicion or a long wait to other entry hosts.
-	Spread func()
+	Starts      *hops.StartLatency
+	LocalDomain domain.Name
+	Log         *slog.Logger
+	// Crashes holds the requests under which servers died.
+	Crashes *poison.Counter
+	// Broadcast sends a new suspicion or a long wait to other entry hosts.
+	Broadcast func()
 
-	// Hosts returns how many entry hosts there are, this one among them.
-	Hosts func() int
-	// Forget drops the kept connections to an address: those that fell silent
+	// EntryHosts returns how many entry hosts there are, this one among them.
+	EntryHosts func() int
+	// DropConns drops the kept connections to an address: those that fell silent
 	// without a reset would make a server that lives look dead.
-	Forget func(address string)
+	DropConns func(address string)
 
 	mu    sync.Mutex
 	lives map[*live]struct{}
 	// book decides which servers of silent streams are asked, and wait how long.
-	book probe.Book
-	wait probe.Wait
+	book probe.Scheduler
+	wait probe.Timeout
 	// pipe counts the answers that are led across failure domains.
-	pipe hops.Pipe
+	pipe hops.LinkBudget
 	// probed holds the addresses of accused servers that are being asked.
 	probed map[string]bool
 	// healthy holds when an accused server last answered.
@@ -105,7 +105,7 @@
 	swept, lagged time.Time
 }
 
-func (w *Watch) add(j *call.Job, chain hops.Chain, cancel context.CancelCauseFunc, restart func() bool) *live {
+func (w *Monitor) add(j *call.Job, chain hops.Chain, cancel context.CancelCauseFunc, restart func() bool) *live {
 	l := &live{job: j, chain: chain, cancel: cancel, restart: restart, release: w.Ledger.Reserve(chain, tokens(j))}
 	l.last.Store(time.Now().UnixNano())
 	w.mu.Lock()
@@ -117,7 +117,7 @@
 	return l
 }
 
-func (w *Watch) remove(l *live) {
+func (w *Monitor) remove(l *live) {
 	w.mu.Lock()
 	delete(w.lives, l)
 	w.mu.Unlock()
@@ -128,14 +128,14 @@
 }
 
 // Streams returns the number of streams under way.
-func (w *Watch) Streams() int {
+func (w *Monitor) Streams() int {
 	w.mu.Lock()
 	defer w.mu.Unlock()
 	return len(w.lives)
 }
 
 // Run looks after the streams until the context ends.
-func (w *Watch) Run(ctx context.Context) {
+func (w *Monitor) Run(ctx context.Context) {
 	tick := time.NewTicker(sweepEvery)
 	defer tick.Stop()
 	for {
@@ -146,16 +146,16 @@
 			now := time.Now()
 			w.sweep(ctx, now)
 			w.drain(now)
-			if w.Starts.Announce(now) {
+			if w.Starts.ShouldBroadcast(now) {
 				w.Log.Info("watch: requests wait for their first event", "waits", w.Starts.Waits(now))
-				w.Spread()
+				w.Broadcast()
 			}
 		}
 	}
 }
 
 // sweep asks the servers of silent streams whether they live.
-func (w *Watch) sweep(ctx context.Context, now time.Time) {
+func (w *Monitor) sweep(ctx context.Context, now time.Time) {
 	w.mu.Lock()
 	defer w.mu.Unlock()
 	late := !w.swept.IsZero() && now.Sub(w.swept) > schedulerLag
@@ -178,33 +178,33 @@
 	streams := make([]probe.Stream, 0, len(w.lives))
 	for l := range w.lives {
 		streams = append(streams, probe.Stream{
-			Servers: l.servers(), Silent: l.silent(now), Pause: l.silence(now), Usual: time.Duration(l.usual.Load()),
+			Servers: l.servers(), Silent: l.silent(now), Pause: l.silence(now), TypicalGap: time.Duration(l.usual.Load()),
 		})
 	}
-	for _, address := range w.book.Ask(streams, now) {
+	for _, address := range w.book.Next(streams, now) {
 		go w.inquire(ctx, address)
 	}
 }
 
 // inquire asks a server for its report. One that does not answer is left by
 // the streams that pass through it.
-func (w *Watch) inquire(ctx context.Context, address string) {
+func (w *Monitor) inquire(ctx context.Context, address string) {
 	report, err := w.ask(ctx, address, w.bound())
 	if errors.Is(err, errLag) {
 		w.mu.Lock()
-		w.book.Void(address)
+		w.book.Discard(address)
 		w.mu.Unlock()
 		return
 	}
 	w.mu.Lock()
-	finding := w.book.Answer(address, err == nil, found(err) == probe.Gone)
+	finding := w.book.Record(address, err == nil, found(err) == probe.Gone)
 	w.mu.Unlock()
 	if err == nil {
 		w.take(address, report)
 		return
 	}
 	w.Log.Warn("watch: no report", "address", address, "finding", finding.String(), "error", err)
-	w.Forget(address)
+	w.DropConns(address)
 	if finding.Dead() {
 		w.suspect(address, "no report", err)
 	}
@@ -212,15 +212,15 @@
 }
 
 // bound returns how long a server is waited for.
-func (w *Watch) bound() time.Duration {
+func (w *Monitor) bound() time.Duration {
 	w.mu.Lock()
 	defer w.mu.Unlock()
-	return w.wait.Bound()
+	return w.wait.Current()
 }
 
 // ask asks a server for its report. The error is errLag if this entry host lagged
 // meanwhile, so that nothing follows from the silence.
-func (w *Watch) ask(ctx context.Context, address string, wait time.Duration) (call.Report, error) {
+func (w *Monitor) ask(ctx context.Context, address string, wait time.Duration) (call.Report, error) {
 	ctx, cancel := context.WithTimeout(ctx, wait)
 	defer cancel()
 	start := time.Now()
@@ -229,10 +229,10 @@
 	w.mu.Lock()
 	defer w.mu.Unlock()
 	if lives(err) {
-		w.wait.Answered(took, wait <= w.wait.Bound())
+		w.wait.Record(took, wait <= w.wait.Current())
 		return report, err
 	}
-	late := probe.Held(wait, took) || w.lagged.After(start) || !w.swept.IsZero() && time.Since(w.swept) > schedulerLag
+	late := probe.Stalled(wait, took) || w.lagged.After(start) || !w.swept.IsZero() && time.Since(w.swept) > schedulerLag
 	if late && found(err) != probe.Gone {
 		return report, errLag
 	}
@@ -240,20 +240,20 @@
 }
 
 // take takes over what a server reports of itself.
-func (w *Watch) take(address string, r call.Report) {
+func (w *Monitor) take(address string, r call.Report) {
 	now := time.Now()
-	s := w.State.View().At(address)
+	s := w.State.View().ByAddress(address)
 	if s == nil {
 		return
 	}
-	if s.Born.Unix() > 0 && r.Born.After(s.Born) {
+	if s.StartedAt.Unix() > 0 && r.StartedAt.After(s.StartedAt) {
 		w.Log.Warn("watch: server restarted", "server", s.ID, "address", address)
 		w.State.Suspect(s.ID, now.Add(propagation), now)
 		w.leave(address, probe.Gone)
 		return
 	}
-	if w.State.Paced(s.ID, r.Slowness, now) {
-		w.Spread()
+	if w.State.RecordSlowness(s.ID, r.Slowness, now) {
+		w.Broadcast()
 	}
 	w.reroute(address, r.Stalled)
 }
@@ -262,7 +262,7 @@
 // of which it is the first. A server that is only unreachable from here may still
 // serve its peers, and one that ends may close its port before it has served its
 // last stream, so streams that still have events stay.
-func (w *Watch) leave(address string, f probe.Finding) {
+func (w *Monitor) leave(address string, f probe.State) {
 	now := time.Now()
 	var list []*live
 	w.mu.Lock()
--- a/entry/stream/watch_test.go
+++ b/entry/stream/watch_test.go
@@ -29,7 +29,7 @@
 	// born holds when an address started, if not long ago.
 	born map[string]time.Time
 	// taken holds what becomes of an order for a request, if it is not begun.
-	taken map[string]call.Taken
+	taken map[string]call.OrderResult
 	// hold, if set, keeps orders waiting until it is closed.
 	hold chan struct{}
 
@@ -46,14 +46,14 @@
 	if until, bounded := ctx.Deadline(); bounded {
 		e.waits = append(e.waits, time.Until(until))
 	}
-	return call.Report{Born: e.born[address]}, e.fails[address]
+	return call.Report{StartedAt: e.born[address]}, e.fails[address]
 }
 
-func (e *engines) Place(context.Context, *fleet.Server, int, int, uint64) (call.Taken, error) {
-	return call.TakenRefused, nil
+func (e *engines) Place(context.Context, *fleet.Server, int, int, uint64) (call.OrderResult, error) {
+	return call.OrderRejected, nil
 }
 
-func (e *engines) Reroute(_ context.Context, id string, c hops.Chain) (call.Taken, string, error) {
+func (e *engines) Reroute(_ context.Context, id string, c hops.Chain) (call.OrderResult, string, error) {
 	if e.hold != nil {
 		<-e.hold
 	}
@@ -64,11 +64,11 @@
 	if taken, other := e.taken[id]; other {
 		return taken, "", nil
 	}
-	return call.TakenBegun, "", nil
+	return call.OrderStarted, "", nil
 }
 
 // chat is the route of the streams of these tests.
-var chat = &route.Route{Target: 500 * time.Millisecond, Gap: 250 * time.Millisecond}
+var chat = &route.Route{Target: 500 * time.Millisecond, MaxGap: 250 * time.Millisecond}
 
 // layers of the model of these tests.
 const layers = 12
@@ -86,12 +86,12 @@
 
 // watched returns a watch over a first server, one in the midst of chains, and
 // others that hold the same layers as that one.
-func watched(e *engines, others int) (*Watch, fixed) {
+func watched(e *engines, others int) (*Monitor, fixed) {
 	e.rerouted = map[string]hops.Chain{}
 	e.told = make(chan struct{}, 16)
 	servers := fixed{}
 	add := func(id string, first, end int) {
-		servers[id] = fleet.Server{ID: id, Service: "assist", Address: id, Domain: "a", Card: "card", First: first, End: end, Born: time.Unix(1, 0)}
+		servers[id] = fleet.Server{ID: id, Service: "assist", Address: id, Domain: "a", Accelerator: "card", First: first, End: end, StartedAt: time.Unix(1, 0)}
 	}
 	add("first", 0, 4)
 	add("middle", 4, 12)
@@ -99,29 +99,29 @@
 		add(fmt.Sprintf("other-%d", i), 4, 12)
 	}
 	m := &mirror.Mirror{Kind: "servers"}
-	var items []mirror.Item
+	var items []mirror.Object
 	for id := range servers {
-		items = append(items, mirror.Item{Name: id, Revision: 1})
+		items = append(items, mirror.Object{Name: id, Revision: 1})
 	}
 	m.Replace(items, 1)
 	log := slog.New(slog.DiscardHandler)
-	s := &belief.State{Decoder: servers, Log: log, Home: "a", Servers: m}
+	s := &belief.Local{Decoder: servers, Log: log, LocalDomain: "a", Servers: m}
 	s.ReadServers(time.Now())
-	return &Watch{
-		Engine: e, State: s, Ledger: &hops.Ledger{}, Starts: &hops.Starts{}, Home: "a", Log: log, Tally: &poison.Tally{},
-		Spread: func() {}, Hosts: func() int { return 1 }, Forget: func(string) {},
+	return &Monitor{
+		Engine: e, State: s, Ledger: &hops.LoadTracker{}, Starts: &hops.StartLatency{}, LocalDomain: "a", Log: log, Crashes: &poison.Counter{},
+		Broadcast: func() {}, EntryHosts: func() int { return 1 }, DropConns: func(string) {},
 	}, servers
 }
 
 // stream adds a stream whose last event came some time ago.
-func (w *Watch) stream(servers fixed, id string, silence time.Duration) *live {
+func (w *Monitor) stream(servers fixed, id string, silence time.Duration) *live {
 	e := &route.Engine{
-		Layers: layers, LayerMB: 1, TokenBytes: 1, Stride: 1, ReadPerSec: 1000, Step: time.Millisecond,
-		Cards: map[string]route.Card{"card": {MemoryMB: 100, Pace: 1, Read: 1}},
+		Layers: layers, LayerMB: 1, TokenBytes: 1, StepsPerPass: 1, PrefillPerSec: 1000, Step: time.Millisecond,
+		Accelerators: map[string]route.Accelerator{"card": {MemoryMB: 100, StepFactor: 1, PrefillFactor: 1}},
 	}
 	first, middle := servers["first"], servers["middle"]
 	chain := hops.Chain{{Server: &first, First: 0, End: 4}, {Server: &middle, First: 4, End: 12}}
-	j := &call.Job{Ask: &call.Ask{ID: id, Prompt: 10, Hint: 5}, Route: chat, Service: &route.Service{Name: "assist", Engine: e}}
+	j := &call.Job{Request: &call.Request{ID: id, PromptTokens: 10, TokensHint: 5}, Route: chat, Service: &route.Service{Name: "assist", Engine: e}}
 	l := w.add(j, chain, func(error) {}, nil)
 	l.touch()
 	l.last.Store(time.Now().Add(-silence).UnixNano())
@@ -143,7 +143,7 @@
 	for _, id := range []string{"silent", "still-comes"} {
 		qt.Check(t, e.rerouted[id].String(), qt.Equals, "first=0-4 other-0=4-12")
 	}
-	qt.Check(t, w.State.View().At("middle").Suspect, qt.IsTrue)
+	qt.Check(t, w.State.View().ByAddress("middle").Suspected, qt.IsTrue)
 }
 
 // A server crashes and is back within a heartbeat, under its ID and address. It
@@ -165,7 +165,7 @@
 	e := &engines{fails: map[string]error{"middle": syscall.ECONNREFUSED}}
 	w, servers := watched(e, 1)
 	w.stream(servers, "r", 0)
-	w.Accuse("middle", "another entry host suspects it")
+	w.Probe("middle", "another entry host suspects it")
 	<-e.told
 	qt.Assert(t, e.rerouted["r"].String(), qt.Equals, "first=0-4 other-0=4-12")
 }
@@ -177,14 +177,14 @@
 	e := &engines{fails: map[string]error{"middle": context.DeadlineExceeded}}
 	w, servers := watched(e, 1)
 	w.stream(servers, "r", silentEvent(chat)+time.Millisecond)
-	w.Accuse("middle", "another entry host suspects it")
+	w.Probe("middle", "another entry host suspects it")
 	<-e.told
-	qt.Check(t, w.State.View().At("middle").Suspect, qt.IsTrue)
+	qt.Check(t, w.State.View().ByAddress("middle").Suspected, qt.IsTrue)
 	e.mu.Lock()
 	defer e.mu.Unlock()
-	qt.Assert(t, e.waits, qt.HasLen, probe.MissesUntilDead)
+	qt.Assert(t, e.waits, qt.HasLen, probe.FailureThreshold)
 	for _, wait := range e.waits {
-		qt.Check(t, wait <= probe.ShortWait, qt.IsTrue, qt.Commentf("%v", wait))
+		qt.Check(t, wait <= probe.MinTimeout, qt.IsTrue, qt.Commentf("%v", wait))
 	}
 }
 
@@ -211,7 +211,7 @@
 	due, early := w.stream(servers, "due", 90*time.Millisecond), w.stream(servers, "early", 50*time.Millisecond)
 	due.usual.Store(int64(80 * time.Millisecond))
 	early.usual.Store(int64(80 * time.Millisecond))
-	w.leave("middle", probe.Doubtful)
+	w.leave("middle", probe.Suspected)
 	<-e.told
 	qt.Check(t, e.rerouted["due"].String(), qt.Equals, "first=0-4 other-0=4-12")
 	qt.Check(t, e.rerouted["early"], qt.IsNil)
@@ -259,10 +259,10 @@
 	w, servers := watched(e, 1)
 	w.stream(servers, "r", 0)
 	until := time.Now().Add(time.Hour)
-	w.State.Ordered(belief.Order{ID: "middle", First: 6, End: 12, Until: until}, time.Now())
+	w.State.Assign(belief.Assignment{ID: "middle", First: 6, End: 12, Until: until}, time.Now())
 	w.drain(time.Now())
 	qt.Assert(t, w.drained.IsZero(), qt.IsTrue)
-	w.State.Ordered(belief.Order{ID: "middle", First: 0, End: 6, Until: until}, time.Now())
+	w.State.Assign(belief.Assignment{ID: "middle", First: 0, End: 6, Until: until}, time.Now())
 	w.drain(time.Now())
 	<-e.told
 	qt.Assert(t, e.rerouted["r"].String(), qt.Equals, "first=0-4 other-0=4-12")
@@ -278,7 +278,7 @@
 	next := servers["middle"]
 	next.ID, next.Address, next.First, next.End = "next", "next", 8, 12
 	servers["next"] = next
-	w.State.Servers.Merge(mirror.Batch{After: 1, Cursor: 2, Items: []mirror.Item{{Name: "next", Revision: 2}}})
+	w.State.Servers.Merge(mirror.Batch{After: 1, Cursor: 2, Items: []mirror.Object{{Name: "next", Revision: 2}}})
 	w.State.ReadServers(time.Now())
 	l := w.stream(servers, "r", silentEvent(chat)+time.Millisecond)
 	first, middle := servers["first"], servers["middle"]
@@ -288,7 +288,7 @@
 	w.repair(l, "middle")
 	qt.Assert(t, ended, qt.HasLen, 0)
 	l.repaired = time.Time{}
-	w.State.Ordered(belief.Order{ID: "next", First: 4, End: 10, Until: time.Now().Add(time.Hour)}, time.Now())
+	w.State.Assign(belief.Assignment{ID: "next", First: 4, End: 10, Until: time.Now().Add(time.Hour)}, time.Now())
 	w.repair(l, "middle")
 	qt.Assert(t, <-ended, qt.Equals, errNoWay)
 }
@@ -302,7 +302,7 @@
 	first, middle := servers["first"], servers["middle"]
 	old := middle
 	old.ID = "middle-before"
-	r := &run{Flow: &Flow{State: w.State}, ran: []*fleet.Server{&first, &middle, &old}}
+	r := &run{Forwarder: &Forwarder{State: w.State}, ran: []*fleet.Server{&first, &middle, &old}}
 	qt.Assert(t, r.runs(r.ran), qt.Equals, 2)
 	now := time.Now()
 	w.State.Suspect("first", now.Add(time.Hour), now)
@@ -313,15 +313,15 @@
 // report to give and says so. Taken for dead, it would be left out for two
 // seconds, and the few others would have to refuse what it could have served.
 func TestServerWithoutReportIsNotSuspected(t *testing.T) {
-	e := &engines{fails: map[string]error{"middle": &call.NoReport{Status: 400}}}
+	e := &engines{fails: map[string]error{"middle": &call.NoReportError{Status: 400}}}
 	w, _ := watched(e, 1)
-	w.Accuse("middle", "it failed a payment")
+	w.Probe("middle", "it failed a payment")
 	until(t, func() bool {
 		w.mu.Lock()
 		defer w.mu.Unlock()
 		return !w.healthy["middle"].IsZero()
 	})
-	qt.Assert(t, w.State.View().At("middle").Suspect, qt.IsFalse)
+	qt.Assert(t, w.State.View().ByAddress("middle").Suspected, qt.IsFalse)
 }
 
 // until waits for a condition that another goroutine brings about.
--- a/load/internal/call/call.go
+++ b/load/internal/call/call.go
@@ -10,13 +10,13 @@
 	"fuchsiashelf.dev/load/internal/plan"
 )
 
-// Grade says what became of a call.
-type Grade uint8
+// Result says what became of a call.
+type Result uint8
 
 // The grades.
 const (
-	// Whole: the caller got its own whole and correct answer.
-	Whole Grade = iota
+	// Complete: the caller got its own whole and correct answer.
+	Complete Result = iota
 	// Refused: an error came and no part of an answer.
 	Refused
 	// Failed: an error came after a part of the answer.
@@ -29,15 +29,15 @@
 
 // Outcome is what became of one call.
 type Outcome struct {
-	Grade Grade
+	Result Result
 	// Code and Verdict are those of an error.
 	Code, Verdict string
 	// Entry is the entry host that was called.
 	Entry string
 }
 
-// Watch is told of each token as it arrives.
-type Watch interface {
+// TokenObserver is told of each token as it arrives.
+type TokenObserver interface {
 	Token(at time.Time)
 }
 
@@ -74,7 +74,7 @@
 }}
 
 // Do makes the call of a shot and judges the answer.
-func (c *Caller) Do(ctx context.Context, shot plan.Shot, watch Watch) Outcome {
+func (c *Caller) Do(ctx context.Context, shot plan.Arrival, watch TokenObserver) Outcome {
 	ctx, cancel := context.WithTimeout(ctx, c.Timeout)
 	defer cancel()
 	entry := c.Entries[shot.Serial%len(c.Entries)]
--- a/load/internal/call/call_test.go
+++ b/load/internal/call/call_test.go
@@ -46,18 +46,18 @@
 		status     int
 		want       call.Outcome
 	}{
-		{"whole", events(tokens[0], tokens[1], end), 200, call.Outcome{Grade: call.Whole}},
-		{"cut", events(tokens[0], tokens[1]), 200, call.Outcome{Grade: call.Lost}},
-		{"short", events(tokens[0], event("end", `{"count":1}`)), 200, call.Outcome{Grade: call.Wrong}},
-		{"crossed", events(event("token", `{"index":0,"token":"x"}`), tokens[1], end), 200, call.Outcome{Grade: call.Wrong}},
-		{"doubled", events(tokens[0], tokens[0], tokens[1], end), 200, call.Outcome{Grade: call.Wrong}},
+		{"whole", events(tokens[0], tokens[1], end), 200, call.Outcome{Result: call.Complete}},
+		{"cut", events(tokens[0], tokens[1]), 200, call.Outcome{Result: call.Lost}},
+		{"short", events(tokens[0], event("end", `{"count":1}`)), 200, call.Outcome{Result: call.Wrong}},
+		{"crossed", events(event("token", `{"index":0,"token":"x"}`), tokens[1], end), 200, call.Outcome{Result: call.Wrong}},
+		{"doubled", events(tokens[0], tokens[0], tokens[1], end), 200, call.Outcome{Result: call.Wrong}},
 		{
 			"failed", events(tokens[0], event("error", `{"code":"server-failed","verdict":"may-have-run"}`)), 200,
-			call.Outcome{Grade: call.Failed, Code: "server-failed", Verdict: "may-have-run"},
+			call.Outcome{Result: call.Failed, Code: "server-failed", Verdict: "may-have-run"},
 		},
 		{
 			"refused", `{"code":"overloaded","verdict":"not-run"}`, 503,
-			call.Outcome{Grade: call.Refused, Code: "overloaded", Verdict: "not-run"},
+			call.Outcome{Result: call.Refused, Code: "overloaded", Verdict: "not-run"},
 		},
 	} {
 		t.Run(test.name, func(t *testing.T) {
@@ -70,7 +70,7 @@
 			defer s.Close()
 			entry := s.Listener.Addr().String()
 			caller := &call.Caller{Entries: []string{entry}, Service: "assist", Layers: layers, Timeout: time.Minute}
-			got := caller.Do(context.Background(), plan.Shot{Team: "cantata", Prompt: "p", Tokens: 2}, &watch{})
+			got := caller.Do(context.Background(), plan.Arrival{Team: "cantata", Prompt: "p", Tokens: 2}, &watch{})
 			test.want.Entry = entry
 			c.Assert(got, qt.Equals, test.want)
 		})
@@ -92,8 +92,8 @@
 		Entries: []string{s.Listener.Addr().String()}, Timeout: time.Minute,
 		Plain: call.Plain{Method: http.MethodPost, URI: "/booking/x", ID: true},
 	}
-	shot := plan.Shot{Plain: true, Team: "cantata", Serial: 3}
-	c.Assert(caller.Do(context.Background(), shot, &watch{}).Grade, qt.Equals, call.Whole)
+	shot := plan.Arrival{Plain: true, Team: "cantata", Serial: 3}
+	c.Assert(caller.Do(context.Background(), shot, &watch{}).Result, qt.Equals, call.Complete)
 	mine = false
-	c.Assert(caller.Do(context.Background(), shot, &watch{}).Grade, qt.Equals, call.Wrong)
+	c.Assert(caller.Do(context.Background(), shot, &watch{}).Result, qt.Equals, call.Wrong)
 }
--- a/load/internal/call/generate.go
+++ b/load/internal/call/generate.go
@@ -31,20 +31,20 @@
 	Verdict string `json:"verdict"`
 }
 
-func (c *Caller) generate(ctx context.Context, entry string, shot plan.Shot, watch Watch) Outcome {
+func (c *Caller) generate(ctx context.Context, entry string, shot plan.Arrival, watch TokenObserver) Outcome {
 	value, err := json.Marshal(body{c.Service, shot.Prompt, shot.Tokens})
 	if err != nil {
-		return Outcome{Grade: Lost, Code: err.Error()}
+		return Outcome{Result: Lost, Code: err.Error()}
 	}
 	url := "http://" + entry + "/v1/generate"
 	req, err := http.NewRequestWithContext(ctx, http.MethodPost, url, bytes.NewReader(value))
 	if err != nil {
-		return Outcome{Grade: Lost, Code: err.Error()}
+		return Outcome{Result: Lost, Code: err.Error()}
 	}
 	req.Header.Set("Authorization", bearer(shot.Team))
 	resp, err := client.Do(req)
 	if err != nil {
-		return Outcome{Grade: Lost}
+		return Outcome{Result: Lost}
 	}
 	defer resp.Body.Close()
 	if resp.StatusCode != http.StatusOK {
@@ -59,16 +59,16 @@
 	var e event
 	value, err := io.ReadAll(resp.Body)
 	if err != nil || json.Unmarshal(value, &e) != nil || e.Code == "" {
-		return Outcome{Grade: Lost}
+		return Outcome{Result: Lost}
 	}
-	return Outcome{Grade: Refused, Code: e.Code, Verdict: e.Verdict}
+	return Outcome{Result: Refused, Code: e.Code, Verdict: e.Verdict}
 }
 
 // reading is the state of an answer under way.
 type reading struct {
-	shot   plan.Shot
+	shot   plan.Arrival
 	layers int
-	watch  Watch
+	watch  TokenObserver
 
 	tokens int
 	done   bool
@@ -82,13 +82,13 @@
 	resp.SetBodyStream(stream, -1)
 	events, err := sse.NewReader(resp)
 	if err != nil {
-		return Outcome{Grade: Lost}
+		return Outcome{Result: Lost}
 	}
 	e := sse.NewEvent()
 	defer e.Release()
 	for !r.done {
 		if err := events.Read(e); err != nil {
-			return Outcome{Grade: Lost}
+			return Outcome{Result: Lost}
 		}
 		r.take(e)
 	}
@@ -99,24 +99,24 @@
 func (r *reading) take(e *sse.Event) {
 	var data event
 	if err := json.Unmarshal(e.Data, &data); err != nil {
-		r.end(Outcome{Grade: Wrong})
+		r.end(Outcome{Result: Wrong})
 		return
 	}
 	switch e.Type {
 	case "token":
 		r.watch.Token(time.Now())
 		if data.Index != r.tokens || !r.right(data) {
-			r.end(Outcome{Grade: Wrong})
+			r.end(Outcome{Result: Wrong})
 		}
 		r.tokens++
 	case "end":
 		if data.Count != r.shot.Tokens || r.tokens != r.shot.Tokens {
-			r.end(Outcome{Grade: Wrong})
+			r.end(Outcome{Result: Wrong})
 			return
 		}
-		r.end(Outcome{Grade: Whole})
+		r.end(Outcome{Result: Complete})
 	case "error":
-		r.end(Outcome{Grade: Failed, Code: data.Code, Verdict: data.Verdict})
+		r.end(Outcome{Result: Failed, Code: data.Code, Verdict: data.Verdict})
 	}
 }
 
@@ -125,7 +125,7 @@
 	if r.layers == 0 {
 		return true
 	}
-	return token.Start(r.shot.Prompt, data.Index).Run(0, r.layers).Text() == data.Token
+	return token.Start(r.shot.Prompt, data.Index).Apply(0, r.layers).Token() == data.Token
 }
 
 func (r *reading) end(o Outcome) {
--- a/load/internal/call/plain.go
+++ b/load/internal/call/plain.go
@@ -17,12 +17,12 @@
 	Body string `json:"body"`
 }
 
-func (c *Caller) plain(ctx context.Context, entry string, shot plan.Shot, watch Watch) Outcome {
+func (c *Caller) plain(ctx context.Context, entry string, shot plan.Arrival, watch TokenObserver) Outcome {
 	mark := fmt.Sprintf("call %d of %s", shot.Serial, shot.Team)
 	url := "http://" + entry + c.Plain.URI
 	req, err := http.NewRequestWithContext(ctx, c.Plain.Method, url, strings.NewReader(mark))
 	if err != nil {
-		return Outcome{Grade: Lost, Code: err.Error()}
+		return Outcome{Result: Lost, Code: err.Error()}
 	}
 	// A body that cannot be read twice keeps net/http from resending.
 	req.GetBody = nil
@@ -32,7 +32,7 @@
 	}
 	resp, err := client.Do(req)
 	if err != nil {
-		return Outcome{Grade: Lost}
+		return Outcome{Result: Lost}
 	}
 	defer resp.Body.Close()
 	if resp.StatusCode != http.StatusOK {
@@ -41,11 +41,11 @@
 	var got echo
 	value, err := io.ReadAll(resp.Body)
 	if err != nil {
-		return Outcome{Grade: Lost}
+		return Outcome{Result: Lost}
 	}
 	watch.Token(time.Now())
 	if json.Unmarshal(value, &got) != nil || got.Body != mark {
-		return Outcome{Grade: Wrong}
+		return Outcome{Result: Wrong}
 	}
-	return Outcome{Grade: Whole}
+	return Outcome{Result: Complete}
 }
--- a/load/internal/drive/drive.go
+++ b/load/internal/drive/drive.go
@@ -20,10 +20,10 @@
 
 // Run is one load run. Set the exported fields, then call Do.
 type Run struct {
-	Plan    *plan.Plan
-	Caller  *call.Caller
-	Tally   *tally.Tally
-	Strikes []strike.Strike
+	Plan   *plan.Plan
+	Caller *call.Caller
+	Tally  *tally.Recorder
+	Faults []strike.Fault
 	// MaxOpen is the most calls open at once; a shot beyond is skipped and
 	// counted as such, so that a system that stands still can't exhaust the
 	// machine.
@@ -66,7 +66,7 @@
 
 // shoot sends the shots, each at its time.
 func (r *Run) shoot(ctx, calls context.Context) {
-	for shot := range r.Plan.Shots() {
+	for shot := range r.Plan.Arrivals() {
 		if !until(ctx, r.began.Add(shot.At)) {
 			return
 		}
@@ -75,10 +75,10 @@
 			r.Tally.Skip()
 		}
 	}
-	until(ctx, r.began.Add(r.Plan.Until))
+	until(ctx, r.began.Add(r.Plan.Duration))
 }
 
-func (r *Run) one(ctx context.Context, shot plan.Shot) {
+func (r *Run) one(ctx context.Context, shot plan.Arrival) {
 	s := r.Tally.Open(shot, time.Now())
 	o := r.Caller.Do(ctx, shot, s)
 	s.Close(o, time.Now())
@@ -93,12 +93,12 @@
 
 // strike begins the faults.
 func (r *Run) strike(ctx context.Context) {
-	for _, s := range r.Strikes {
+	for _, s := range r.Faults {
 		if !until(ctx, r.began.Add(s.At)) {
 			return
 		}
 		r.Tally.Fault(s.String(), time.Now())
-		if err := s.Do(ctx); err != nil {
+		if err := s.Inject(ctx); err != nil {
 			fmt.Fprintf(r.Log, "fsload: fault %s: %v\n", s, err)
 		}
 	}
@@ -118,8 +118,8 @@
 		case <-tick.C:
 			now := r.Tally.Report()
 			fmt.Fprintf(r.Log, "fsload: %s of %s, open %d, whole %d, refused %d, bad %d\n",
-				time.Since(r.began).Round(time.Second), r.Plan.Until, r.pool.Running(),
-				now.Whole, now.Refused, now.Failed+now.Lost+now.Wrong)
+				time.Since(r.began).Round(time.Second), r.Plan.Duration, r.pool.Running(),
+				now.Complete, now.Refused, now.Failed+now.Lost+now.Wrong)
 		}
 	}
 }
--- a/load/internal/plan/mix.go
+++ b/load/internal/plan/mix.go
@@ -7,14 +7,14 @@
 	"strings"
 )
 
-// Part is one alternative of a mix.
-type Part struct {
+// Choice is one alternative of a mix.
+type Choice struct {
 	Name   string
 	Weight float64
 }
 
 // Mix is a set of alternatives that are drawn by weight.
-type Mix []Part
+type Mix []Choice
 
 // ParseMix reads "cantata:10,lyra:1"; a part without a weight weighs 1.
 func ParseMix(text string) (Mix, error) {
@@ -28,7 +28,7 @@
 		if name == "" || err != nil || value <= 0 {
 			return nil, fmt.Errorf("mix: %q is not NAME or NAME:WEIGHT", part)
 		}
-		m = append(m, Part{Name: name, Weight: value})
+		m = append(m, Choice{Name: name, Weight: value})
 	}
 	return m, nil
 }
--- a/load/internal/plan/plan.go
+++ b/load/internal/plan/plan.go
@@ -13,8 +13,8 @@
 	"time"
 )
 
-// Shot is one request to send.
-type Shot struct {
+// Arrival is one request to send.
+type Arrival struct {
 	// Serial counts the shots of a run, from 1.
 	Serial int
 	// At is when to send it, from the start of the run.
@@ -35,8 +35,8 @@
 	Seed uint64
 	// Ramp gives the arrival rate over time.
 	Ramp Ramp
-	// Until is the length of the run.
-	Until time.Duration
+	// Duration is the length of the run.
+	Duration time.Duration
 	// Limit is the most shots; zero means no limit.
 	Limit int
 	// Teams are drawn by weight.
@@ -49,14 +49,14 @@
 	Prompts int
 }
 
-// Shots returns the shots of the run in the order of their times.
-func (p *Plan) Shots() iter.Seq[Shot] {
-	return func(yield func(Shot) bool) {
+// Arrivals returns the shots of the run in the order of their times.
+func (p *Plan) Arrivals() iter.Seq[Arrival] {
+	return func(yield func(Arrival) bool) {
 		draw := rand.New(rand.NewPCG(p.Seed, 0))
 		at := time.Duration(0)
 		for serial := 1; p.Limit == 0 || serial <= p.Limit; serial++ {
 			at = p.next(draw, at)
-			if at >= p.Until || !yield(p.shot(draw, serial, at)) {
+			if at >= p.Duration || !yield(p.shot(draw, serial, at)) {
 				return
 			}
 		}
@@ -69,19 +69,19 @@
 func (p *Plan) next(draw *rand.Rand, at time.Duration) time.Duration {
 	peak := p.Ramp.Peak()
 	if peak <= 0 {
-		return p.Until
+		return p.Duration
 	}
-	for at < p.Until {
+	for at < p.Duration {
 		at += time.Duration(draw.ExpFloat64() / peak * float64(time.Second))
 		if draw.Float64()*peak < p.Ramp.Rate(at) {
 			return at
 		}
 	}
-	return p.Until
+	return p.Duration
 }
 
-func (p *Plan) shot(draw *rand.Rand, serial int, at time.Duration) Shot {
-	return Shot{
+func (p *Plan) shot(draw *rand.Rand, serial int, at time.Duration) Arrival {
+	return Arrival{
 		Serial: serial, At: at,
 		Team:   p.Teams.draw(draw),
 		Plain:  draw.Float64() < p.PlainShare,
--- a/load/internal/plan/plan_test.go
+++ b/load/internal/plan/plan_test.go
@@ -18,23 +18,23 @@
 	c.Assert(err, qt.IsNil)
 	sizes, err := plan.ParseSizes("16:3,64:1")
 	c.Assert(err, qt.IsNil)
-	return &plan.Plan{Seed: 7, Ramp: ramp, Until: 100 * time.Second, Teams: teams, Sizes: sizes, Prompts: 5}
+	return &plan.Plan{Seed: 7, Ramp: ramp, Duration: 100 * time.Second, Teams: teams, Sizes: sizes, Prompts: 5}
 }
 
 func TestShotsRepeatWithTheSeed(t *testing.T) {
 	c := qt.New(t)
 	p := newPlan(c, "20")
-	first, second := slices.Collect(p.Shots()), slices.Collect(p.Shots())
+	first, second := slices.Collect(p.Arrivals()), slices.Collect(p.Arrivals())
 	c.Assert(first, qt.DeepEquals, second)
 	p.Seed++
-	c.Assert(slices.Collect(p.Shots()), qt.Not(qt.DeepEquals), first)
+	c.Assert(slices.Collect(p.Arrivals()), qt.Not(qt.DeepEquals), first)
 }
 
 func TestShotsFollowRateAndWeights(t *testing.T) {
 	c := qt.New(t)
 	p := newPlan(c, "0s:0,100s:40")
-	shots := slices.Collect(p.Shots())
-	half := slices.IndexFunc(shots, func(s plan.Shot) bool { return s.At > 50*time.Second })
+	shots := slices.Collect(p.Arrivals())
+	half := slices.IndexFunc(shots, func(s plan.Arrival) bool { return s.At > 50*time.Second })
 	// A ramp from 0 to 40 sends 2,000, a quarter of them in the first half.
 	c.Assert(len(shots) > 1850 && len(shots) < 2150, qt.IsTrue, qt.Commentf("%d", len(shots)))
 	c.Assert(half > 420 && half < 580, qt.IsTrue, qt.Commentf("%d", half))
@@ -51,7 +51,7 @@
 	c := qt.New(t)
 	p := newPlan(c, "1000")
 	p.Limit = 17
-	c.Assert(slices.Collect(p.Shots()), qt.HasLen, 17)
+	c.Assert(slices.Collect(p.Arrivals()), qt.HasLen, 17)
 }
 
 func TestRampStaysBetweenItsPoints(t *testing.T) {
--- a/load/internal/strike/strike.go
+++ b/load/internal/strike/strike.go
@@ -13,8 +13,8 @@
 	"time"
 )
 
-// Strike is one fault at one moment.
-type Strike struct {
+// Fault is one fault at one moment.
+type Fault struct {
 	// At is when the fault begins, from the start of the run.
 	At time.Duration
 	// Control is the address of the stand-in's control listener, or pid:N for
@@ -26,20 +26,20 @@
 	Kind, Value string
 }
 
-// Heal is the kind that switches all faults of a stand-in off.
-const Heal = "heal"
+// ClearFaults is the kind that switches all faults of a stand-in off.
+const ClearFaults = "heal"
 
 // Parse reads "10s ADDRESS KIND [VALUE]".
-func Parse(text string) (Strike, error) {
+func Parse(text string) (Fault, error) {
 	words := strings.Fields(text)
 	if len(words) < 3 || len(words) > 4 {
-		return Strike{}, fmt.Errorf("fault: %q is not TIME ADDRESS KIND [VALUE]", text)
+		return Fault{}, fmt.Errorf("fault: %q is not TIME ADDRESS KIND [VALUE]", text)
 	}
 	at, err := time.ParseDuration(words[0])
 	if err != nil {
-		return Strike{}, fmt.Errorf("fault: %q is not a duration", words[0])
+		return Fault{}, fmt.Errorf("fault: %q is not a duration", words[0])
 	}
-	s := Strike{At: at, Control: words[1], Kind: words[2]}
+	s := Fault{At: at, Control: words[1], Kind: words[2]}
 	if len(words) == 4 {
 		s.Value = words[3]
 	}
@@ -48,7 +48,7 @@
 
 // String returns the strike without its address, which varies from run to
 // run.
-func (s Strike) String() string {
+func (s Fault) String() string {
 	return strings.TrimSpace(fmt.Sprintf("%s %s %s", s.At, s.Kind, s.Value))
 }
 
@@ -64,9 +64,9 @@
 	"CONT": syscall.SIGCONT, "TERM": syscall.SIGTERM,
 }
 
-// Do begins the fault. A stand-in that dies of it may not answer, so an error
+// Inject begins the fault. A stand-in that dies of it may not answer, so an error
 // is for the log only.
-func (s Strike) Do(ctx context.Context) error {
+func (s Fault) Inject(ctx context.Context) error {
 	if pid, found := strings.CutPrefix(s.Control, processPrefix); found {
 		return s.signal(pid)
 	}
@@ -76,7 +76,7 @@
 // processPrefix marks a process in place of a control listener.
 const processPrefix = "pid:"
 
-func (s Strike) signal(process string) error {
+func (s Fault) signal(process string) error {
 	pid, err := strconv.Atoi(process)
 	if err != nil || pid <= 1 {
 		return fmt.Errorf("strike: %q is no process", process)
@@ -89,13 +89,13 @@
 }
 
 // call switches the fault on over the control listener.
-func (s Strike) call(ctx context.Context) error {
+func (s Fault) call(ctx context.Context) error {
 	value, err := json.Marshal(body{s.Kind, s.Value})
 	if err != nil {
 		return err
 	}
 	method := http.MethodPost
-	if s.Kind == Heal {
+	if s.Kind == ClearFaults {
 		method = http.MethodDelete
 	}
 	req, err := http.NewRequestWithContext(ctx, method, "http://"+s.Control+"/fault", bytes.NewReader(value))
--- a/load/internal/tally/tally.go
+++ b/load/internal/tally/tally.go
@@ -16,12 +16,12 @@
 	"fuchsiashelf.dev/load/internal/plan"
 )
 
-// Tally adds up a run. Set the exported fields, then Start.
-type Tally struct {
-	// Warm is the first part of the run, whose calls are not counted.
-	Warm time.Duration
-	// Until is the length of the run.
-	Until time.Duration
+// Recorder adds up a run. Set the exported fields, then Start.
+type Recorder struct {
+	// Warmup is the first part of the run, whose calls are not counted.
+	Warmup time.Duration
+	// Duration is the length of the run.
+	Duration time.Duration
 	// Tick is the length of one row of the time series.
 	Tick time.Duration
 
@@ -83,39 +83,39 @@
 }
 
 // Start begins the run.
-func (t *Tally) Start(now time.Time) {
+func (t *Recorder) Start(now time.Time) {
 	t.began = now
 	t.all = newGroup()
 	t.teams = map[string]*group{}
 	t.late = newHistogram()
-	t.ticks = make([]tick, t.Until/t.Tick+1)
+	t.ticks = make([]tick, t.Duration/t.Tick+1)
 	for i := range t.ticks {
 		t.ticks[i].first = hdrhistogram.New(lowest, highest, 2)
 	}
 }
 
 // Fault notes that a fault begins.
-func (t *Tally) Fault(what string, now time.Time) {
+func (t *Recorder) Fault(what string, now time.Time) {
 	t.mu.Lock()
 	defer t.mu.Unlock()
 	t.faults = append(t.faults, &fault{what: what, at: now})
 }
 
 // Skip notes a shot that was not sent, since too many calls were open.
-func (t *Tally) Skip() {
+func (t *Recorder) Skip() {
 	t.mu.Lock()
 	defer t.mu.Unlock()
 	t.skipped++
 }
 
 // counted reports whether a moment lies in the part that is counted.
-func (t *Tally) counted(at time.Time) bool {
+func (t *Recorder) counted(at time.Time) bool {
 	since := at.Sub(t.began)
-	return since >= t.Warm && since < t.Until
+	return since >= t.Warmup && since < t.Duration
 }
 
 // row returns the row of the time series of a moment, or nil after the end.
-func (t *Tally) row(at time.Time) *tick {
+func (t *Recorder) row(at time.Time) *tick {
 	i := int(at.Sub(t.began) / t.Tick)
 	if i < 0 || i >= len(t.ticks) {
 		return nil
@@ -124,7 +124,7 @@
 }
 
 // team returns the group of a team.
-func (t *Tally) team(name string) *group {
+func (t *Recorder) team(name string) *group {
 	g := t.teams[name]
 	if g == nil {
 		g = newGroup()
@@ -134,7 +134,7 @@
 }
 
 // Open notes that the call of a shot is sent now.
-func (t *Tally) Open(shot plan.Shot, now time.Time) *Stream {
+func (t *Recorder) Open(shot plan.Arrival, now time.Time) *Stream {
 	t.mu.Lock()
 	defer t.mu.Unlock()
 	s := &Stream{tally: t, shot: shot, meant: t.began.Add(shot.At)}
@@ -157,8 +157,8 @@
 
 // Stream is one call under way. It implements call.Watch.
 type Stream struct {
-	tally *Tally
-	shot  plan.Shot
+	tally *Recorder
+	shot  plan.Arrival
 	meant time.Time
 	last  time.Time
 	times []time.Time
@@ -199,7 +199,7 @@
 
 // stalled notes the time to the next token for each fault that began between
 // two tokens of a stream.
-func (t *Tally) stalled(last, at time.Time) {
+func (t *Recorder) stalled(last, at time.Time) {
 	for _, f := range t.faults {
 		if f.at.After(last) && !f.at.After(at) {
 			f.stalls = append(f.stalls, at.Sub(f.at))
@@ -212,13 +212,13 @@
 	t := s.tally
 	t.mu.Lock()
 	defer t.mu.Unlock()
-	if o.Grade == call.Whole {
+	if o.Result == call.Complete {
 		s.count()
 	} else {
 		s.cut(now)
 	}
 	if r := t.row(now); r != nil {
-		r.note(o.Grade)
+		r.note(o.Result)
 	}
 	if t.counted(s.meant) {
 		s.both(func(g *group) { g.note(o, now.Sub(s.meant)) })
@@ -251,9 +251,9 @@
 	}
 }
 
-func (r *tick) note(grade call.Grade) {
+func (r *tick) note(grade call.Result) {
 	switch grade {
-	case call.Whole:
+	case call.Complete:
 		r.whole++
 	case call.Refused:
 		r.refused++
@@ -266,8 +266,8 @@
 	if o.Code != "" {
 		g.codes[o.Code+" "+o.Verdict]++
 	}
-	switch o.Grade {
-	case call.Whole:
+	switch o.Result {
+	case call.Complete:
 		g.whole++
 		record(g.total, took)
 	case call.Refused:
--- a/load/internal/tally/tally_test.go
+++ b/load/internal/tally/tally_test.go
@@ -18,14 +18,14 @@
 	return began.Add(time.Duration(ms) * time.Millisecond)
 }
 
-func newTally() *tally.Tally {
-	t := &tally.Tally{Warm: time.Second, Until: 3 * time.Second, Tick: 500 * time.Millisecond}
+func newTally() *tally.Recorder {
+	t := &tally.Recorder{Warmup: time.Second, Duration: 3 * time.Second, Tick: 500 * time.Millisecond}
 	t.Start(began)
 	return t
 }
 
-func shot(ms int) plan.Shot {
-	return plan.Shot{At: time.Duration(ms) * time.Millisecond, Team: "cantata", Tokens: 2}
+func shot(ms int) plan.Arrival {
+	return plan.Arrival{At: time.Duration(ms) * time.Millisecond, Team: "cantata", Tokens: 2}
 }
 
 // A sender that falls behind sends a call late. The caller of a real service
@@ -37,12 +37,12 @@
 	s := sums.Open(shot(1500), at(1900))
 	s.Token(at(2000))
 	s.Token(at(2030))
-	s.Close(call.Outcome{Grade: call.Whole}, at(2040))
+	s.Close(call.Outcome{Result: call.Complete}, at(2040))
 	r := sums.Report()
 	c.Assert(r.First.Max > 499 && r.First.Max < 501, qt.IsTrue, qt.Commentf("%v", r.First))
 	c.Assert(r.Late.Max > 399 && r.Late.Max < 401, qt.IsTrue)
 	c.Assert(r.Gap.Max > 29 && r.Gap.Max < 31, qt.IsTrue)
-	c.Assert(r.Whole, qt.Equals, 1)
+	c.Assert(r.Complete, qt.Equals, 1)
 	c.Assert(r.TokensPerSecond, qt.Equals, 1.0)
 }
 
@@ -53,9 +53,9 @@
 	sums := newTally()
 	s := sums.Open(shot(1500), at(1500))
 	s.Token(at(1600))
-	s.Close(call.Outcome{Grade: call.Failed, Code: "server-failed", Verdict: "may-have-run"}, at(1700))
+	s.Close(call.Outcome{Result: call.Failed, Code: "server-failed", Verdict: "may-have-run"}, at(1700))
 	sums.Open(shot(1600), at(1600)).Close(
-		call.Outcome{Grade: call.Refused, Code: "overloaded", Verdict: "not-run"}, at(1601))
+		call.Outcome{Result: call.Refused, Code: "overloaded", Verdict: "not-run"}, at(1601))
 	r := sums.Report()
 	c.Assert(r.TokensPerSecond, qt.Equals, 0.0)
 	c.Assert(r.Failed, qt.Equals, 1)
@@ -69,7 +69,7 @@
 	s := sums.Open(shot(900), at(900))
 	s.Token(at(950))
 	s.Token(at(1050))
-	s.Close(call.Outcome{Grade: call.Whole}, at(1100))
+	s.Close(call.Outcome{Result: call.Complete}, at(1100))
 	r := sums.Report()
 	c.Assert(r.Offered, qt.Equals, 0)
 	c.Assert(r.TokensPerSecond, qt.Equals, 0.5)
@@ -86,11 +86,11 @@
 	sums.Fault("2s kill", at(2000))
 	open.Token(at(2080))
 	open.Token(at(2090))
-	dead.Close(call.Outcome{Grade: call.Lost}, at(2200))
+	dead.Close(call.Outcome{Result: call.Lost}, at(2200))
 	later.Token(at(2110))
 	later.Token(at(2120))
 	r := sums.Report()
-	c.Assert(r.Faults, qt.DeepEquals, []tally.Stalls{{
+	c.Assert(r.Faults, qt.DeepEquals, []tally.FaultImpact{{
 		What: "2s kill", AtMs: 2000, NextMs: []float64{80}, Ended: 1,
 	}})
 	var text strings.Builder
--- a/load/internal/tally/write.go
+++ b/load/internal/tally/write.go
@@ -12,12 +12,12 @@
 // Text writes the report for people.
 func (r *Report) Text(w io.Writer) {
 	fmt.Fprintf(w, "counted %.1f s: offered %d, whole %d, refused %d, failed %d, lost %d, wrong %d, skipped %d\n",
-		r.Seconds, r.Offered, r.Whole, r.Refused, r.Failed, r.Lost, r.Wrong, r.Skipped)
-	fmt.Fprintf(w, "goodput %.1f answers/s, %.1f tokens/s\n", r.WholePerSecond, r.TokensPerSecond)
+		r.Seconds, r.Offered, r.Complete, r.Refused, r.Failed, r.Lost, r.Wrong, r.Skipped)
+	fmt.Fprintf(w, "goodput %.1f answers/s, %.1f tokens/s\n", r.CompletePerSecond, r.TokensPerSecond)
 	fmt.Fprintf(w, "%-14s %8s %9s %9s %9s %9s\n", "ms", "count", "p50", "p95", "p99", "max")
 	for _, line := range []struct {
 		name string
-		s    Spread
+		s    Quantiles
 	}{
 		{"first token", r.First},
 		{"gap", r.Gap},
@@ -35,7 +35,7 @@
 	for _, name := range slices.Sorted(maps.Keys(r.Teams)) {
 		f := r.Teams[name]
 		fmt.Fprintf(w, "team %s: offered %d, whole %d, refused %d, first token p95 %.2f ms\n",
-			name, f.Offered, f.Whole, f.Refused, f.First.P95)
+			name, f.Offered, f.Complete, f.Refused, f.First.P95)
 	}
 	for _, f := range r.Faults {
 		fmt.Fprintf(w, "fault %s: %d streams went on, %d ended\n", f.What, len(f.NextMs), f.Ended)
@@ -49,7 +49,7 @@
 	decimal := func(v float64) string { return strconv.FormatFloat(v, 'f', 3, 64) }
 	for _, row := range r.Series {
 		rows = append(rows, []string{
-			decimal(row.AtMs), strconv.Itoa(row.Offered), strconv.Itoa(row.Tokens), strconv.Itoa(row.Whole),
+			decimal(row.AtMs), strconv.Itoa(row.Offered), strconv.Itoa(row.Tokens), strconv.Itoa(row.Complete),
 			strconv.Itoa(row.Refused), strconv.Itoa(row.Bad), decimal(row.FirstP50), decimal(row.FirstP95),
 		})
 	}
--- a/load/prog/prog.go
+++ b/load/prog/prog.go
@@ -19,7 +19,7 @@
 // Main runs the program and returns its exit status. The status is 1 if an
 // answer was wrong, since no load excuses that.
 func Main(ctx context.Context, args []string, _ io.Reader, stdout, stderr io.Writer) int {
-	if boot.TellVersion("fsload", args, stdout) {
+	if boot.PrintVersion("fsload", args, stdout) {
 		return 0
 	}
 	s, err := parse(args, stderr)
@@ -28,7 +28,7 @@
 	}
 	if err != nil {
 		fmt.Fprintln(stderr, err)
-		return boot.ExitSettings
+		return boot.ExitUsage
 	}
 	report, err := s.run(stderr).Do(ctx)
 	if err == nil {
--- a/load/prog/settings.go
+++ b/load/prog/settings.go
@@ -29,11 +29,11 @@
 }
 
 // faults is a flag that may be given more than once.
-type faults []strike.Strike
+type faults []strike.Fault
 
 // String implements flag.Value.
 func (f *faults) String() string {
-	return fmt.Sprint([]strike.Strike(*f))
+	return fmt.Sprint([]strike.Fault(*f))
 }
 
 // Set implements flag.Value.
@@ -60,7 +60,7 @@
 	fs.SetOutput(stderr)
 	fs.StringVar(&s.entries, "entries", "", "callers' host:port of entry hosts, with commas (required)")
 	fs.StringVar(&s.rate, "rate", "10", "requests per second, or points of a ramp: 0s:10,30s:100")
-	fs.DurationVar(&s.plan.Until, "duration", 10*time.Second, "length of the run")
+	fs.DurationVar(&s.plan.Duration, "duration", 10*time.Second, "length of the run")
 	fs.IntVar(&s.plan.Limit, "max-requests", 1_000_000, "most requests")
 	fs.IntVar(&s.maxOpen, "max-open", 4096, "most requests open at once; more are skipped and counted")
 	fs.DurationVar(&s.warm, "warm", time.Second, "first part of the run, not counted")
@@ -111,10 +111,10 @@
 	take("teams", err)
 	s.plan.Sizes, err = plan.ParseSizes(s.tokens)
 	take("tokens", err)
-	if s.plan.Until <= 0 || s.warm < 0 || s.warm >= s.plan.Until {
+	if s.plan.Duration <= 0 || s.warm < 0 || s.warm >= s.plan.Duration {
 		bad("duration", "must be above 0 and above -warm")
 	}
-	if s.tick <= 0 || s.plan.Until/max(s.tick, 1) > maxTicks {
+	if s.tick <= 0 || s.plan.Duration/max(s.tick, 1) > maxTicks {
 		bad("tick", "gives no rows, or more than %d", maxTicks)
 	}
 	if s.plan.PlainShare < 0 || s.plan.PlainShare > 1 {
@@ -133,8 +133,8 @@
 	s.caller.Timeout = s.timeout
 	return &drive.Run{
 		Plan: &s.plan, Caller: &s.caller,
-		Tally:   &tally.Tally{Warm: s.warm, Until: s.plan.Until, Tick: s.tick},
-		Strikes: s.faults, MaxOpen: s.maxOpen, Drain: s.drain,
+		Tally:  &tally.Recorder{Warmup: s.warm, Duration: s.plan.Duration, Tick: s.tick},
+		Faults: s.faults, MaxOpen: s.maxOpen, Drain: s.drain,
 		Progress: s.progress, Log: log,
 	}
 }
--- a/parts/admit/admit.go
+++ b/parts/admit/admit.go
@@ -9,11 +9,11 @@
 // So a refusal costs the caller no time, and a refused request has never left
 // for a backend server.
 //
-// A [Limit] follows what the engines report on each token: how long it waited
+// A [Limiter] follows what the engines report on each token: how long it waited
 // for its turn against how long it ran.
 //
 // Queue and Limit are pure state machines that get the time as an argument; a
-// [Door] is the shell that the request path calls.
+// [Controller] is the shell that the request path calls.
 package admit
 
 import (
@@ -22,8 +22,8 @@
 	"fuchsiashelf.dev/parts/fault"
 )
 
-// Ask is a request that asks to run.
-type Ask struct {
+// Request is a request that asks to run.
+type Request struct {
 	// Team is who asks.
 	Team string
 	// Weight is the team's share when the pool is full; at least 1.
@@ -34,29 +34,29 @@
 	Bytes int
 	// Deadline is when the caller stops waiting.
 	Deadline time.Time
-	// Needs is how long the request runs by current figures, or zero if that
+	// RunTime is how long the request runs by current figures, or zero if that
 	// is not known.
-	Needs time.Duration
+	RunTime time.Duration
 }
 
-// Bounds are the bounds of one queue. The zero value bounds nothing and lets
+// Limits are the bounds of one queue. The zero value bounds nothing and lets
 // no request wait.
-type Bounds struct {
-	// Wait is the longest time that a request is let wait for its turn.
-	Wait time.Duration
-	// Requests is the most requests that wait.
-	Requests int
-	// Bytes is the most memory that waiting requests hold.
-	Bytes int
-	// Reserve is the room above the limit, as a part of it, for teams with
+type Limits struct {
+	// MaxWait is the longest time that a request is let wait for its turn.
+	MaxWait time.Duration
+	// MaxRequests is the most requests that wait.
+	MaxRequests int
+	// MaxBytes is the most memory that waiting requests hold.
+	MaxBytes int
+	// Headroom is the room above the limit, as a part of it, for teams with
 	// credit left. Without it they would wait until a request of a team that
 	// uses more than its share comes to its end.
-	Reserve float64
-	// Credit is how much work a team may save up for each unit of its weight
+	Headroom float64
+	// MaxCredit is how much work a team may save up for each unit of its weight
 	// while it uses less than its share. Requests come in bursts; without
 	// credit a team that keeps to its share on average waits behind one that
 	// always sends too much.
-	Credit float64
+	MaxCredit float64
 }
 
 // retryFloor is the least time after which a refused caller may come back.
--- a/parts/admit/door.go
+++ b/parts/admit/door.go
@@ -10,42 +10,42 @@
 	"fuchsiashelf.dev/parts/fault"
 )
 
-// Door is the queue of one pool for the request path. Set the exported fields
+// Controller is the queue of one pool for the request path. Set the exported fields
 // before first use.
 //
 // Decisions are made under one short lock for each pool: a request takes it
 // twice, for well under a microsecond each (see BenchmarkDoor), against the
 // hundreds of microseconds that it costs otherwise.
-type Door struct {
-	Bounds Bounds
-	// Limit adapts how many requests run at once.
-	Limit Limit
-	// Measure returns the mean wait of the latest tokens, in units of their
+type Controller struct {
+	Limits Limits
+	// Limiter adapts how many requests run at once.
+	Limiter Limiter
+	// MeasureWait returns the mean wait of the latest tokens, in units of their
 	// run time, and false if there are none. The limit follows it. Without it
 	// the limit stays.
-	Measure  func(now time.Time) (float64, bool)
-	mu       sync.Mutex
-	once     sync.Once
-	queue    Queue
-	measured time.Time
-	wait     float64
+	MeasureWait func(now time.Time) (float64, bool)
+	mu          sync.Mutex
+	once        sync.Once
+	queue       Queue
+	measured    time.Time
+	wait        float64
 	// gap is the mean time between two tokens in nanoseconds, as a float's
 	// bits; zero while it is not known.
 	gap atomic.Uint64
 }
 
-func (d *Door) start() {
-	d.queue = Queue{Bounds: d.Bounds, Limit: d.Limit.Value}
+func (d *Controller) start() {
+	d.queue = Queue{Limits: d.Limits, Limit: d.Limiter.Value}
 }
 
 // Grant is the leave to run. The zero value holds no place.
 type Grant struct {
-	door *Door
+	door *Controller
 	item *Item
 }
 
-// Leave gives the place back, once the request has ended.
-func (g Grant) Leave() {
+// Release gives the place back, once the request has ended.
+func (g Grant) Release() {
 	if g.door != nil {
 		g.door.leave(g.item)
 	}
@@ -56,13 +56,13 @@
 	return g.item != nil && g.item.Credit
 }
 
-// Enter returns when the request may run. The caller leaves the grant when it
+// Admit returns when the request may run. The caller leaves the grant when it
 // has ended. The error is always NotRun: the request was never let run.
-func (d *Door) Enter(ctx context.Context, ask Ask) (Grant, *fault.Error) {
-	ask.Needs = time.Duration(math.Float64frombits(d.gap.Load()) * ask.Cost)
+func (d *Controller) Admit(ctx context.Context, ask Request) (Grant, *fault.Error) {
+	ask.RunTime = time.Duration(math.Float64frombits(d.gap.Load()) * ask.Cost)
 	d.mu.Lock()
 	d.once.Do(d.start)
-	item, e := d.queue.Arrive(time.Now(), ask)
+	item, e := d.queue.Submit(time.Now(), ask)
 	if e != nil {
 		d.mu.Unlock()
 		return Grant{}, e
@@ -81,7 +81,7 @@
 
 // ObserveGap takes the mean gap between the tokens of one answer. With it, a
 // request that can't end before its deadline is refused on arrival.
-func (d *Door) ObserveGap(gap time.Duration) {
+func (d *Controller) ObserveGap(gap time.Duration) {
 	for {
 		old := d.gap.Load()
 		next := math.Float64frombits(old)
@@ -101,8 +101,8 @@
 const patience = 3
 
 // await waits for the turn of a request.
-func (d *Door) await(ctx context.Context, item *Item) (Grant, *fault.Error) {
-	timer := time.NewTimer(min(time.Until(item.Deadline), patience*d.Bounds.Wait))
+func (d *Controller) await(ctx context.Context, item *Item) (Grant, *fault.Error) {
+	timer := time.NewTimer(min(time.Until(item.Deadline), patience*d.Limits.MaxWait))
 	defer timer.Stop()
 	e := &fault.Error{Code: fault.Cancelled, Verdict: fault.NotRun, Message: "the caller left while it waited"}
 	select {
@@ -114,9 +114,9 @@
 	}
 	d.mu.Lock()
 	var next []*Item
-	if !d.queue.Leave(item) {
+	if !d.queue.Cancel(item) {
 		// It was let run at the same moment, and goes without running.
-		next = d.queue.Drop(time.Now(), item)
+		next = d.queue.Abort(time.Now(), item)
 	}
 	d.mu.Unlock()
 	wake(next)
@@ -130,7 +130,7 @@
 }
 
 // leave notes the end of a request and wakes those that may run now.
-func (d *Door) leave(item *Item) {
+func (d *Controller) leave(item *Item) {
 	now := time.Now()
 	d.mu.Lock()
 	d.adapt(now)
@@ -141,20 +141,20 @@
 
 // adapt lets the limit follow the pool. It measures no more often than the
 // limit may change.
-func (d *Door) adapt(now time.Time) {
-	if d.Measure == nil || now.Sub(d.measured) < Settle {
+func (d *Controller) adapt(now time.Time) {
+	if d.MeasureWait == nil || now.Sub(d.measured) < MinAdaptInterval {
 		return
 	}
 	d.measured = now
-	wait, known := d.Measure(now)
+	wait, known := d.MeasureWait(now)
 	d.wait = wait
-	if known && d.Limit.Adapt(now, wait, d.queue.Running()) {
-		d.queue.Limit = d.Limit.Value
+	if known && d.Limiter.Adapt(now, wait, d.queue.Running()) {
+		d.queue.Limit = d.Limiter.Value
 	}
 }
 
-// Load is what a door holds.
-type Load struct {
+// Stats is what a door holds.
+type Stats struct {
 	// Limit is how many requests run at once at most.
 	Limit            float64
 	Running, Waiting int
@@ -163,10 +163,10 @@
 	Wait float64
 }
 
-// Load returns what the door holds now.
-func (d *Door) Load() Load {
+// Stats returns what the door holds now.
+func (d *Controller) Stats() Stats {
 	d.mu.Lock()
 	defer d.mu.Unlock()
 	d.once.Do(d.start)
-	return Load{Limit: d.queue.Limit, Running: d.queue.Running(), Waiting: d.queue.Waiting(), Wait: d.wait}
+	return Stats{Limit: d.queue.Limit, Running: d.queue.Running(), Waiting: d.queue.Waiting(), Wait: d.wait}
 }
--- a/parts/admit/door_test.go
+++ b/parts/admit/door_test.go
@@ -14,15 +14,15 @@
 	"fuchsiashelf.dev/parts/fault"
 )
 
-func newDoor(limit float64) *admit.Door {
-	return &admit.Door{
-		Bounds: admit.Bounds{Wait: time.Hour, Requests: 1000, Bytes: 1 << 20},
-		Limit:  admit.Limit{Target: 1.5, Least: limit, Most: limit, Value: limit},
+func newDoor(limit float64) *admit.Controller {
+	return &admit.Controller{
+		Limits:  admit.Limits{MaxWait: time.Hour, MaxRequests: 1000, MaxBytes: 1 << 20},
+		Limiter: admit.Limiter{Target: 1.5, Min: limit, Max: limit, Value: limit},
 	}
 }
 
-func soon(team string) admit.Ask {
-	return admit.Ask{Team: team, Weight: 1, Cost: 1, Deadline: time.Now().Add(time.Hour)}
+func soon(team string) admit.Request {
+	return admit.Request{Team: team, Weight: 1, Cost: 1, Deadline: time.Now().Add(time.Hour)}
 }
 
 // Many callers at once, some of which give up while they wait. Never do more
@@ -40,12 +40,12 @@
 			if i%5 == 0 {
 				go cancel()
 			}
-			grant, e := d.Enter(ctx, soon("a"))
+			grant, e := d.Admit(ctx, soon("a"))
 			if e != nil {
 				c.Check(e.Verdict, qt.Equals, fault.NotRun)
 				return
 			}
-			defer grant.Leave()
+			defer grant.Release()
 			now := running.Add(1)
 			defer running.Add(-1)
 			for old := most.Load(); now > old && !most.CompareAndSwap(old, now); old = most.Load() {
@@ -56,21 +56,21 @@
 	callers.Wait()
 	c.Assert(most.Load() <= 3, qt.IsTrue)
 	c.Assert(ran.Load() >= 160, qt.IsTrue)
-	c.Assert(d.Load(), qt.Equals, admit.Load{Limit: 3})
+	c.Assert(d.Stats(), qt.Equals, admit.Stats{Limit: 3})
 }
 
 func TestDoorRefusesAtTheDeadline(t *testing.T) {
 	c := qt.New(t)
 	d := newDoor(1)
-	grant, e := d.Enter(context.Background(), soon("a"))
+	grant, e := d.Admit(context.Background(), soon("a"))
 	c.Assert(e == nil, qt.IsTrue)
-	defer grant.Leave()
+	defer grant.Release()
 	late := soon("b")
 	late.Deadline = time.Now().Add(time.Millisecond)
-	_, e = d.Enter(context.Background(), late)
+	_, e = d.Admit(context.Background(), late)
 	c.Assert(e.Code, qt.Equals, fault.Deadline)
 	c.Assert(e.Verdict, qt.Equals, fault.NotRun)
-	c.Assert(d.Load(), qt.Equals, admit.Load{Limit: 1, Running: 1})
+	c.Assert(d.Stats(), qt.Equals, admit.Stats{Limit: 1, Running: 1})
 }
 
 func BenchmarkDoor(b *testing.B) {
@@ -79,12 +79,12 @@
 	b.ReportAllocs()
 	b.RunParallel(func(pb *testing.PB) {
 		for pb.Next() {
-			grant, e := d.Enter(context.Background(), a)
+			grant, e := d.Admit(context.Background(), a)
 			if e != nil {
 				b.Error(e)
 				return
 			}
-			grant.Leave()
+			grant.Release()
 		}
 	})
 }
--- a/parts/admit/limit.go
+++ b/parts/admit/limit.go
@@ -2,7 +2,7 @@
 
 import "time"
 
-// Limit adapts how many requests of a pool run at once to what the engines
+// Limiter adapts how many requests of a pool run at once to what the engines
 // report on each token.
 //
 // An engine works in steps; a token that finds the engine below its capacity
@@ -11,11 +11,11 @@
 // once make all of them slower and none of the hardware faster. So the wait
 // of a token in units of its run time tells how full the pool is, whatever
 // the speeds of its servers and the delays of its links.
-type Limit struct {
+type Limiter struct {
 	// Target is the wait to aim at, in units of the run time.
 	Target float64
-	// Least and Most bound the limit.
-	Least, Most float64
+	// Min and Max bound the limit.
+	Min, Max float64
 	// Value is the limit; it starts where it is set.
 	Value float64
 
@@ -35,14 +35,14 @@
 	farBelow    = 0.6
 )
 
-// Settle is the least time between two changes of the limit.
-const Settle = 250 * time.Millisecond
+// MinAdaptInterval is the least time between two changes of the limit.
+const MinAdaptInterval = 250 * time.Millisecond
 
 // Adapt changes the limit by the mean wait of the latest tokens, in units of
 // their run time, and by how many requests run. It reports whether the limit
 // has changed.
-func (l *Limit) Adapt(now time.Time, wait float64, running int) bool {
-	if now.Sub(l.settled) < Settle {
+func (l *Limiter) Adapt(now time.Time, wait float64, running int) bool {
+	if now.Sub(l.settled) < MinAdaptInterval {
 		return false
 	}
 	next := l.Value
@@ -56,7 +56,7 @@
 		}
 		next = max(next*step, next+1)
 	}
-	next = min(max(next, l.Least), l.Most)
+	next = min(max(next, l.Min), l.Max)
 	if next == l.Value {
 		return false
 	}
@@ -67,13 +67,13 @@
 // cut returns the limit of a pool that is too full. What runs now makes the
 // wait, so the limit goes towards the part of it that would make the target;
 // a limit below that has not taken effect yet, and stays.
-func (l *Limit) cut(wait, running float64) float64 {
+func (l *Limiter) cut(wait, running float64) float64 {
 	fits := running * l.Target / wait
 	return min(l.Value, max(fits, deepest*l.Value))
 }
 
 // binds reports whether the limit holds requests back, or nearly so. A limit
 // of a few requests does as soon as one less than it runs.
-func (l *Limit) binds(running int) bool {
+func (l *Limiter) binds(running int) bool {
 	return float64(running) >= min(nearBinding*l.Value, l.Value-1)
 }
--- a/parts/admit/limit_test.go
+++ b/parts/admit/limit_test.go
@@ -19,10 +19,10 @@
 func TestLimitFindsTheCapacity(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		full := rapid.Float64Range(4, 400).Draw(t, "full")
-		l := &admit.Limit{Target: 1.5, Least: 1, Most: 1e4, Value: rapid.Float64Range(1, 1000).Draw(t, "start")}
+		l := &admit.Limiter{Target: 1.5, Min: 1, Max: 1e4, Value: rapid.Float64Range(1, 1000).Draw(t, "start")}
 		now := start
 		for range 400 {
-			now = now.Add(admit.Settle)
+			now = now.Add(admit.MinAdaptInterval)
 			l.Adapt(now, waitAt(l.Value, full), int(l.Value))
 		}
 		got := waitAt(l.Value, full)
@@ -37,7 +37,7 @@
 // the limit shrink, they would be refused while there is room.
 func TestLimitOfAnIdlePoolStays(t *testing.T) {
 	c := qt.New(t)
-	l := &admit.Limit{Target: 1.5, Least: 1, Most: 100, Value: 50}
+	l := &admit.Limiter{Target: 1.5, Min: 1, Max: 100, Value: 50}
 	for i := range 100 {
 		now := start.Add(time.Duration(i) * time.Second)
 		c.Assert(l.Adapt(now, float64(i%4)*0.5, 10), qt.IsFalse)
@@ -50,11 +50,11 @@
 // comes down to where it holds the pool at its target.
 func TestLimitAboveTheCapacityComesDown(t *testing.T) {
 	c := qt.New(t)
-	l := &admit.Limit{Target: 1.5, Least: 1, Most: 1000, Value: 1000}
+	l := &admit.Limiter{Target: 1.5, Min: 1, Max: 1000, Value: 1000}
 	const demand, full = 100, 20
 	now := start
 	for range 100 {
-		now = now.Add(admit.Settle)
+		now = now.Add(admit.MinAdaptInterval)
 		running := min(int(l.Value), demand)
 		l.Adapt(now, waitAt(float64(running), full), running)
 	}
@@ -65,7 +65,7 @@
 // each report of them cut again, the limit would fall far below the capacity.
 func TestLimitIsCutOnceForTheSameRequests(t *testing.T) {
 	c := qt.New(t)
-	l := &admit.Limit{Target: 1.5, Least: 1, Most: 1000, Value: 100}
+	l := &admit.Limiter{Target: 1.5, Min: 1, Max: 1000, Value: 100}
 	for i := range 50 {
 		l.Adapt(start.Add(time.Duration(i+1)*time.Second), 3, 100)
 	}
--- a/parts/admit/part.go
+++ b/parts/admit/part.go
@@ -5,17 +5,17 @@
 	"time"
 )
 
-// Fleet is what one entry host knows of the others when it divides a team's
+// Peers is what one entry host knows of the others when it divides a team's
 // limit.
-type Fleet struct {
+type Peers struct {
 	// Listed is the number of entry hosts that the platform lists, this one
 	// included.
 	Listed int
-	// Reached is how many of them are known to be alive, this one included.
-	Reached int
-	// Others returns the requests per second of a team that the other entry
+	// Alive is how many of them are known to be alive, this one included.
+	Alive int
+	// Rate returns the requests per second of a team that the other entry
 	// hosts have told of; nil if nothing is told.
-	Others func(team string) float64
+	Rate func(team string) float64
 }
 
 // idleShare is the part of an even share that is added to what each entry host
@@ -23,7 +23,7 @@
 // through before the others have heard of them.
 const idleShare = 0.1
 
-// Part returns how much of a team's limit one entry host lets through, in
+// LocalRate returns how much of a team's limit one entry host lets through, in
 // requests per second. Own and others are what is asked for here and on all
 // others that can be reached, refused requests included.
 //
@@ -33,7 +33,7 @@
 // of hosts that know the same add up to the limit. Hosts that can't be reached
 // keep their even part, so that the two sides of a partition stay within the
 // limit together.
-func Part(limit, own, others float64, reached, listed int) float64 {
+func LocalRate(limit, own, others float64, reached, listed int) float64 {
 	listed = max(listed, 1)
 	reached = min(max(reached, 1), listed)
 	even := limit / float64(listed)
--- a/parts/admit/part_test.go
+++ b/parts/admit/part_test.go
@@ -26,7 +26,7 @@
 				total += d
 			}
 			for _, d := range side {
-				sum += admit.Part(limit, d, total-d, len(side), len(demands))
+				sum += admit.LocalRate(limit, d, total-d, len(side), len(demands))
 			}
 		}
 		if sum > limit*1.000001 {
@@ -42,12 +42,12 @@
 	c := qt.New(t)
 	d := quota.Quota{Rate: 100, Burst: 10}
 	count := func(others func(string) float64) int {
-		r := &admit.Rates{}
-		fleet := admit.Fleet{Listed: 4, Reached: 4, Others: others}
+		r := &admit.RateLimiter{}
+		fleet := admit.Peers{Listed: 4, Alive: 4, Rate: others}
 		now := time.Now()
 		passed := 0
 		for i := range 800 {
-			if r.Take(now.Add(time.Duration(i)*time.Second/80), "cantata", d, fleet) == nil && i >= 400 {
+			if r.Allow(now.Add(time.Duration(i)*time.Second/80), "cantata", d, fleet) == nil && i >= 400 {
 				passed++
 			}
 		}
@@ -63,10 +63,10 @@
 // would leave room for requests that never come.
 func TestUsageOfAQuietTeamEnds(t *testing.T) {
 	c := qt.New(t)
-	r := &admit.Rates{}
+	r := &admit.RateLimiter{}
 	now := time.Now()
 	for i := range 300 {
-		r.Take(now.Add(time.Duration(i)*10*time.Millisecond), "cantata", quota.Quota{Rate: 10}, admit.Fleet{Listed: 1, Reached: 1})
+		r.Allow(now.Add(time.Duration(i)*10*time.Millisecond), "cantata", quota.Quota{Rate: 10}, admit.Peers{Listed: 1, Alive: 1})
 	}
 	now = now.Add(3 * time.Second)
 	c.Assert(r.Usage(now)["cantata"] > 50, qt.IsTrue)
--- a/parts/admit/queue.go
+++ b/parts/admit/queue.go
@@ -9,7 +9,7 @@
 // Queue decides for one pool. Set the exported fields before first use. It
 // is not safe for several goroutines.
 type Queue struct {
-	Bounds Bounds
+	Limits Limits
 	// Limit is how many requests run at once.
 	Limit float64
 
@@ -34,7 +34,7 @@
 
 // Item is a request that waits or runs.
 type Item struct {
-	Ask
+	Request
 	// Running says that the request was let run.
 	Running bool
 	// Credit says that its team had credit left when it was let run.
@@ -51,16 +51,16 @@
 // Waiting returns how many requests wait.
 func (q *Queue) Waiting() int { return q.waiting }
 
-// Arrive takes a request in, running or waiting, or refuses it.
-func (q *Queue) Arrive(now time.Time, ask Ask) (*Item, *fault.Error) {
+// Submit takes a request in, running or waiting, or refuses it.
+func (q *Queue) Submit(now time.Time, ask Request) (*Item, *fault.Error) {
 	ask.Weight, ask.Cost = max(ask.Weight, 1), max(ask.Cost, 1)
 	l := q.line(&ask)
 	left := ask.Deadline.Sub(now)
-	if ask.Needs > left {
+	if ask.RunTime > left {
 		q.forget(ask.Team)
 		return nil, tooLate("runs longer than its deadline allows", 0)
 	}
-	item := &Item{Ask: ask, arrived: now}
+	item := &Item{Request: ask, arrived: now}
 	if len(l.items) == 0 && q.room(q.start(l)) {
 		q.tag(l, item)
 		q.run(now, l, item)
@@ -78,16 +78,16 @@
 }
 
 // refuse returns why a request must not wait, or nil.
-func (q *Queue) refuse(l *line, ask *Ask, left time.Duration) *fault.Error {
+func (q *Queue) refuse(l *line, ask *Request, left time.Duration) *fault.Error {
 	wait := q.wait(l)
 	switch {
-	case wait > q.Bounds.Wait:
+	case wait > q.Limits.MaxWait:
 		return overloaded("too many requests of the team wait", wait)
-	case wait+ask.Needs > left:
+	case wait+ask.RunTime > left:
 		return tooLate("waits longer than its deadline allows", wait)
-	case q.waiting >= q.Bounds.Requests:
+	case q.waiting >= q.Limits.MaxRequests:
 		return overloaded("too many requests wait", wait)
-	case q.bytes+ask.Bytes > q.Bounds.Bytes:
+	case q.bytes+ask.Bytes > q.Limits.MaxBytes:
 		return overloaded("the waiting requests hold too much memory", wait)
 	}
 	return nil
@@ -116,7 +116,7 @@
 // was empty starts at the virtual time, less the credit: a team saves up no
 // more than that while it sends little.
 func (q *Queue) start(l *line) float64 {
-	return max(q.virtual-q.Bounds.Credit, l.finish)
+	return max(q.virtual-q.Limits.MaxCredit, l.finish)
 }
 
 // weights returns the weight of all lines in which requests wait, with l.
@@ -131,13 +131,13 @@
 }
 
 // line returns the line of a team, with its weight up to date.
-func (q *Queue) line(ask *Ask) *line {
+func (q *Queue) line(ask *Request) *line {
 	if q.teams == nil {
 		q.teams = map[string]*line{}
 	}
 	l := q.teams[ask.Team]
 	if l == nil {
-		l = &line{finish: q.virtual - q.Bounds.Credit}
+		l = &line{finish: q.virtual - q.Limits.MaxCredit}
 		q.teams[ask.Team] = l
 	}
 	l.weight = ask.Weight
@@ -155,7 +155,7 @@
 // left.
 func (q *Queue) room(start float64) bool {
 	running := float64(q.running)
-	return running < q.Limit || running < q.Limit*(1+q.Bounds.Reserve) && start < q.virtual
+	return running < q.Limit || running < q.Limit*(1+q.Limits.Headroom) && start < q.virtual
 }
 
 func (q *Queue) run(now time.Time, l *line, item *Item) {
@@ -170,12 +170,12 @@
 // may run now.
 func (q *Queue) Done(now time.Time, item *Item) []*Item {
 	q.pace.add(now.Sub(item.began), item.Cost)
-	return q.Drop(now, item)
+	return q.Abort(now, item)
 }
 
-// Drop is Done for a request that was let run and was not started, so that
+// Abort is Done for a request that was let run and was not started, so that
 // its time tells nothing.
-func (q *Queue) Drop(now time.Time, item *Item) []*Item {
+func (q *Queue) Abort(now time.Time, item *Item) []*Item {
 	q.running--
 	q.teams[item.Team].running--
 	next := q.Dispatch(now)
@@ -226,9 +226,9 @@
 	return i.Team < other.Team
 }
 
-// Leave takes a waiting request out, and reports whether it still waited. One
+// Cancel takes a waiting request out, and reports whether it still waited. One
 // that was let run meanwhile stays in, until Done.
-func (q *Queue) Leave(item *Item) bool {
+func (q *Queue) Cancel(item *Item) bool {
 	if item.Running {
 		return false
 	}
@@ -259,7 +259,7 @@
 // would pile up.
 func (q *Queue) forget(team string) {
 	l := q.teams[team]
-	if l != nil && l.running == 0 && len(l.items) == 0 && l.finish <= q.virtual-q.Bounds.Credit {
+	if l != nil && l.running == 0 && len(l.items) == 0 && l.finish <= q.virtual-q.Limits.MaxCredit {
 		delete(q.teams, team)
 	}
 }
--- a/parts/admit/queue_test.go
+++ b/parts/admit/queue_test.go
@@ -14,34 +14,34 @@
 
 var start = time.Unix(1000, 0)
 
-func bounds() admit.Bounds {
-	return admit.Bounds{Wait: time.Hour, Requests: 1000, Bytes: 1 << 20}
+func bounds() admit.Limits {
+	return admit.Limits{MaxWait: time.Hour, MaxRequests: 1000, MaxBytes: 1 << 20}
 }
 
-func ask(team string, cost float64) admit.Ask {
-	return admit.Ask{Team: team, Weight: 1, Cost: cost, Deadline: start.Add(24 * time.Hour)}
+func ask(team string, cost float64) admit.Request {
+	return admit.Request{Team: team, Weight: 1, Cost: cost, Deadline: start.Add(24 * time.Hour)}
 }
 
 // A request that can't be answered before its caller gives up would hold a
 // place for nothing, and the caller would learn of it only at the deadline.
 func TestRequestsThatCannotMeetTheirDeadlineAreRefused(t *testing.T) {
 	c := qt.New(t)
-	q := &admit.Queue{Bounds: bounds(), Limit: 1}
+	q := &admit.Queue{Limits: bounds(), Limit: 1}
 	late := ask("a", 10)
-	late.Deadline, late.Needs = start.Add(time.Second), 2*time.Second
-	_, e := q.Arrive(start, late)
+	late.Deadline, late.RunTime = start.Add(time.Second), 2*time.Second
+	_, e := q.Submit(start, late)
 	c.Assert(e.Code, qt.Equals, fault.Deadline)
 	c.Assert(e.Verdict, qt.Equals, fault.NotRun)
 
 	// One that ran for 4 s and one that runs show that the next waits 4 s.
-	first, e := q.Arrive(start, ask("a", 10))
+	first, e := q.Submit(start, ask("a", 10))
 	c.Assert(e == nil, qt.IsTrue)
 	now := start.Add(4 * time.Second)
 	q.Done(now, first)
-	_, e = q.Arrive(now, ask("a", 10))
+	_, e = q.Submit(now, ask("a", 10))
 	c.Assert(e == nil, qt.IsTrue)
-	late.Deadline, late.Needs = now.Add(3*time.Second), time.Second
-	_, e = q.Arrive(now, late)
+	late.Deadline, late.RunTime = now.Add(3*time.Second), time.Second
+	_, e = q.Submit(now, late)
 	c.Assert(e.Code, qt.Equals, fault.Deadline)
 	c.Assert(e.RetryAfter, qt.Equals, 4*time.Second)
 }
@@ -51,21 +51,21 @@
 func TestQueueIsBounded(t *testing.T) {
 	for _, test := range []struct {
 		name   string
-		bounds admit.Bounds
+		bounds admit.Limits
 		why    string
 	}{
-		{"requests", admit.Bounds{Wait: time.Hour, Requests: 2, Bytes: 100}, "too many requests wait"},
-		{"bytes", admit.Bounds{Wait: time.Hour, Requests: 9, Bytes: 25}, ".*too much memory"},
-		{"none wait", admit.Bounds{}, "too many requests wait"},
+		{"requests", admit.Limits{MaxWait: time.Hour, MaxRequests: 2, MaxBytes: 100}, "too many requests wait"},
+		{"bytes", admit.Limits{MaxWait: time.Hour, MaxRequests: 9, MaxBytes: 25}, ".*too much memory"},
+		{"none wait", admit.Limits{}, "too many requests wait"},
 	} {
 		t.Run(test.name, func(t *testing.T) {
 			c := qt.New(t)
-			q := &admit.Queue{Bounds: test.bounds, Limit: 1}
+			q := &admit.Queue{Limits: test.bounds, Limit: 1}
 			a := ask("a", 1)
 			a.Bytes = 10
 			var e *fault.Error
 			for i := 0; i < 4 && e == nil; i++ {
-				_, e = q.Arrive(start, a)
+				_, e = q.Submit(start, a)
 			}
 			c.Assert(e != nil, qt.IsTrue)
 			c.Assert(e.Message, qt.Matches, test.why)
@@ -81,14 +81,14 @@
 func TestReserveIsForTeamsBelowTheirShare(t *testing.T) {
 	c := qt.New(t)
 	b := bounds()
-	b.Reserve, b.Credit = 0.2, 5
-	q := &admit.Queue{Bounds: b, Limit: 10}
+	b.Headroom, b.MaxCredit = 0.2, 5
+	q := &admit.Queue{Limits: b, Limit: 10}
 	for range 12 {
-		_, e := q.Arrive(start, ask("loud", 1))
+		_, e := q.Submit(start, ask("loud", 1))
 		c.Assert(e == nil, qt.IsTrue)
 	}
 	c.Assert(q.Running(), qt.Equals, 10)
-	item, e := q.Arrive(start, ask("quiet", 1))
+	item, e := q.Submit(start, ask("quiet", 1))
 	c.Assert(e == nil, qt.IsTrue)
 	c.Assert(item.Running, qt.IsTrue)
 	c.Assert(q.Waiting(), qt.Equals, 2)
@@ -101,11 +101,11 @@
 	first := func(credit float64) int {
 		c := qt.New(t)
 		b := bounds()
-		b.Credit = credit
-		q := &admit.Queue{Bounds: b, Limit: 1}
-		running, _ := q.Arrive(start, ask("loud", 10))
+		b.MaxCredit = credit
+		q := &admit.Queue{Limits: b, Limit: 1}
+		running, _ := q.Submit(start, ask("loud", 10))
 		for range 30 {
-			_, e := q.Arrive(start, ask("loud", 10))
+			_, e := q.Submit(start, ask("loud", 10))
 			c.Assert(e == nil, qt.IsTrue)
 		}
 		for range 20 {
@@ -113,7 +113,7 @@
 		}
 		quiet := 0
 		for range 6 {
-			_, e := q.Arrive(start, ask("quiet", 10))
+			_, e := q.Submit(start, ask("quiet", 10))
 			c.Assert(e == nil, qt.IsTrue)
 		}
 		for range 6 {
@@ -139,20 +139,20 @@
 
 func (w *world) arrive(t *rapid.T) {
 	team := rapid.SampledFrom([]string{"a", "b", "c"}).Draw(t, "team")
-	a := admit.Ask{
+	a := admit.Request{
 		Team: team, Weight: map[string]float64{"a": 1, "b": 2, "c": 5}[team],
 		Cost:     float64(rapid.IntRange(1, 9).Draw(t, "cost")),
 		Bytes:    rapid.IntRange(0, 20).Draw(t, "bytes"),
 		Deadline: w.now.Add(time.Duration(rapid.IntRange(1, 1000).Draw(t, "left")) * time.Millisecond),
-		Needs:    time.Duration(rapid.IntRange(0, 100).Draw(t, "needs")) * time.Millisecond,
+		RunTime:  time.Duration(rapid.IntRange(0, 100).Draw(t, "needs")) * time.Millisecond,
 	}
 	room := float64(w.queue.Running()) < w.queue.Limit && w.queue.Waiting() == 0
-	item, e := w.queue.Arrive(w.now, a)
+	item, e := w.queue.Submit(w.now, a)
 	if e != nil {
 		if e.Verdict != fault.NotRun || e.RetryAfter <= 0 {
 			t.Fatalf("refused with %v, come back after %v", e.Verdict, e.RetryAfter)
 		}
-		if room && a.Needs <= a.Deadline.Sub(w.now) {
+		if room && a.RunTime <= a.Deadline.Sub(w.now) {
 			t.Fatalf("refused while there was room: %v", e)
 		}
 		return
@@ -200,7 +200,7 @@
 	if len(w.waiting) > 0 && float64(len(w.running)) < w.queue.Limit {
 		t.Fatalf("%d wait while %d of %v run", len(w.waiting), len(w.running), w.queue.Limit)
 	}
-	if float64(len(w.running)) >= w.queue.Limit*(1+w.queue.Bounds.Reserve)+1 {
+	if float64(len(w.running)) >= w.queue.Limit*(1+w.queue.Limits.Headroom)+1 {
 		t.Fatalf("%d of %v run", len(w.running), w.queue.Limit)
 	}
 }
@@ -211,11 +211,11 @@
 	rapid.Check(t, func(t *rapid.T) {
 		w := &world{now: start}
 		w.queue.Limit = float64(rapid.IntRange(1, 5).Draw(t, "limit"))
-		w.queue.Bounds = admit.Bounds{
-			Wait:     time.Duration(rapid.IntRange(0, 500).Draw(t, "wait")) * time.Millisecond,
-			Requests: rapid.IntRange(0, 8).Draw(t, "requests"), Bytes: 60,
-			Reserve: rapid.SampledFrom([]float64{0, 0.5}).Draw(t, "reserve"),
-			Credit:  rapid.SampledFrom([]float64{0, 20}).Draw(t, "credit"),
+		w.queue.Limits = admit.Limits{
+			MaxWait:     time.Duration(rapid.IntRange(0, 500).Draw(t, "wait")) * time.Millisecond,
+			MaxRequests: rapid.IntRange(0, 8).Draw(t, "requests"), MaxBytes: 60,
+			Headroom:  rapid.SampledFrom([]float64{0, 0.5}).Draw(t, "reserve"),
+			MaxCredit: rapid.SampledFrom([]float64{0, 20}).Draw(t, "credit"),
 		}
 		t.Repeat(map[string]func(*rapid.T){
 			"arrive": w.arrive,
@@ -224,7 +224,7 @@
 				w.let(t, w.queue.Done(w.now, take(t, &w.running)))
 			},
 			"leave": func(t *rapid.T) {
-				if !w.queue.Leave(take(t, &w.waiting)) {
+				if !w.queue.Cancel(take(t, &w.waiting)) {
 					t.Fatalf("a waiting request was not found")
 				}
 			},
@@ -239,12 +239,12 @@
 	rapid.Check(t, func(t *rapid.T) {
 		weights := map[string]float64{"a": 1, "b": 2, "c": 5}
 		const most = 9
-		q := &admit.Queue{Bounds: bounds(), Limit: 1}
+		q := &admit.Queue{Limits: bounds(), Limit: 1}
 		served := map[string]float64{}
 		join := func(team string) *admit.Item {
 			a := ask(team, float64(rapid.IntRange(1, most).Draw(t, "cost")))
 			a.Weight = weights[team]
-			item, e := q.Arrive(start, a)
+			item, e := q.Submit(start, a)
 			if e != nil {
 				t.Fatalf("refused: %v", e)
 			}
@@ -274,14 +274,14 @@
 }
 
 func BenchmarkQueue(b *testing.B) {
-	q := &admit.Queue{Bounds: bounds(), Limit: 100}
-	asks := make([]admit.Ask, 400)
+	q := &admit.Queue{Limits: bounds(), Limit: 100}
+	asks := make([]admit.Request, 400)
 	for i := range asks {
 		asks[i] = ask(fmt.Sprint("team-", i), 16)
 	}
 	b.ReportAllocs()
 	for i := 0; b.Loop(); i++ {
-		item, _ := q.Arrive(start, asks[i%len(asks)])
+		item, _ := q.Submit(start, asks[i%len(asks)])
 		q.Done(start, item)
 	}
 }
@@ -290,12 +290,12 @@
 // refuse all that come.
 func TestWaitingRequestsGiveTheirMemoryBack(t *testing.T) {
 	c := qt.New(t)
-	q := &admit.Queue{Bounds: admit.Bounds{Wait: time.Hour, Requests: 9, Bytes: 10}, Limit: 1}
-	running, _ := q.Arrive(start, ask("a", 1))
+	q := &admit.Queue{Limits: admit.Limits{MaxWait: time.Hour, MaxRequests: 9, MaxBytes: 10}, Limit: 1}
+	running, _ := q.Submit(start, ask("a", 1))
 	a := ask("a", 1)
 	a.Bytes = 10
 	for range 3 {
-		_, e := q.Arrive(start, a)
+		_, e := q.Submit(start, a)
 		c.Assert(e == nil, qt.IsTrue)
 		running = q.Done(start, running)[0]
 	}
--- a/parts/admit/rates.go
+++ b/parts/admit/rates.go
@@ -11,10 +11,10 @@
 	"fuchsiashelf.dev/parts/quota"
 )
 
-// Rates keeps the rate limits of teams on one entry host. A quota's limit
-// holds over all entry hosts; each lets a part of it through, as [Part] says,
+// RateLimiter keeps the rate limits of teams on one entry host. A quota's limit
+// holds over all entry hosts; each lets a part of it through, as [LocalRate] says,
 // so that no message is needed for a request. The zero value is ready.
-type Rates struct {
+type RateLimiter struct {
 	teams sync.Map // of team to *account
 }
 
@@ -31,8 +31,8 @@
 	limiter         *rate.Limiter
 }
 
-// Take takes one request of a team, or refuses it.
-func (r *Rates) Take(now time.Time, team string, d quota.Quota, fleet Fleet) *fault.Error {
+// Allow takes one request of a team, or refuses it.
+func (r *RateLimiter) Allow(now time.Time, team string, d quota.Quota, fleet Peers) *fault.Error {
 	if d.Rate <= 0 {
 		return nil
 	}
@@ -55,7 +55,7 @@
 
 // Usage returns the rate at which each team's requests come here, in requests
 // per second; a team that sends next to nothing is left out.
-func (r *Rates) Usage(now time.Time) map[string]float64 {
+func (r *RateLimiter) Usage(now time.Time) map[string]float64 {
 	usage := map[string]float64{}
 	r.teams.Range(func(team, held any) bool {
 		a := held.(*account)
@@ -74,17 +74,17 @@
 // limiter returns the team's limiter, with its part of the limit up to date.
 // When the part changes the limiter keeps what it had left: a full one would
 // let a team through anew at every change.
-func (a *account) limiter(now time.Time, team string, d quota.Quota, fleet Fleet) *rate.Limiter {
+func (a *account) limiter(now time.Time, team string, d quota.Quota, fleet Peers) *rate.Limiter {
 	due := a.demand.fold(now)
 	for {
 		old := a.bucket.Load()
-		same := old != nil && old.deal == d && old.listed == fleet.Listed && old.reached == fleet.Reached
+		same := old != nil && old.deal == d && old.listed == fleet.Listed && old.reached == fleet.Alive
 		if same && !due {
 			return old.limiter
 		}
 		part := a.part(team, d, fleet)
 		burst := max(1, int(float64(d.Burst)*part/d.Rate))
-		next := &bucket{deal: d, listed: fleet.Listed, reached: fleet.Reached}
+		next := &bucket{deal: d, listed: fleet.Listed, reached: fleet.Alive}
 		if old == nil {
 			next.limiter = rate.NewLimiter(rate.Limit(part), burst)
 		} else {
@@ -99,10 +99,10 @@
 	}
 }
 
-func (a *account) part(team string, d quota.Quota, fleet Fleet) float64 {
+func (a *account) part(team string, d quota.Quota, fleet Peers) float64 {
 	others := 0.0
-	if fleet.Others != nil {
-		others = fleet.Others(team)
+	if fleet.Rate != nil {
+		others = fleet.Rate(team)
 	}
-	return Part(d.Rate, a.demand.rate(), others, fleet.Reached, fleet.Listed)
+	return LocalRate(d.Rate, a.demand.rate(), others, fleet.Alive, fleet.Listed)
 }
--- a/parts/admit/rates_test.go
+++ b/parts/admit/rates_test.go
@@ -13,13 +13,13 @@
 
 // passed counts the requests of two seconds that entry hosts let through, of
 // a hundred a second to each.
-func passed(d quota.Quota, hosts []*admit.Rates, listed int) int {
+func passed(d quota.Quota, hosts []*admit.RateLimiter, listed int) int {
 	n := 0
 	now := time.Now()
 	for i := range 200 {
 		at := now.Add(time.Duration(i) * 10 * time.Millisecond)
 		for _, r := range hosts {
-			if r.Take(at, "cantata", d, admit.Fleet{Listed: listed, Reached: 1}) == nil {
+			if r.Allow(at, "cantata", d, admit.Peers{Listed: listed, Alive: 1}) == nil {
 				n++
 			}
 		}
@@ -33,7 +33,7 @@
 func TestRateHoldsOverHostsThatCannotReachEachOther(t *testing.T) {
 	c := qt.New(t)
 	d := quota.Quota{Rate: 20, Burst: 4}
-	hosts := []*admit.Rates{{}, {}, {}, {}}
+	hosts := []*admit.RateLimiter{{}, {}, {}, {}}
 	got := passed(d, hosts, 4)
 	c.Assert(got >= 40 && got <= 44, qt.IsTrue, qt.Commentf("%d", got))
 	c.Assert(passed(quota.Quota{}, hosts, 4), qt.Equals, 800)
@@ -41,11 +41,11 @@
 
 func TestRefusalsSayWhenToComeBack(t *testing.T) {
 	c := qt.New(t)
-	r := &admit.Rates{}
+	r := &admit.RateLimiter{}
 	d := quota.Quota{Rate: 0.5, Burst: 1}
 	now := time.Now()
-	c.Assert(r.Take(now, "cantata", d, admit.Fleet{Listed: 1, Reached: 1}) == nil, qt.IsTrue)
-	e := r.Take(now, "cantata", d, admit.Fleet{Listed: 1, Reached: 1})
+	c.Assert(r.Allow(now, "cantata", d, admit.Peers{Listed: 1, Alive: 1}) == nil, qt.IsTrue)
+	e := r.Allow(now, "cantata", d, admit.Peers{Listed: 1, Alive: 1})
 	c.Assert(e.Code, qt.Equals, fault.OverLimit)
 	c.Assert(e.Verdict, qt.Equals, fault.NotRun)
 	c.Assert(e.RetryAfter > 1900*time.Millisecond && e.RetryAfter < 2100*time.Millisecond, qt.IsTrue)
@@ -56,12 +56,12 @@
 // limit whenever the fleet is restless.
 func TestChangesOfTheFleetFillNoBucket(t *testing.T) {
 	c := qt.New(t)
-	r := &admit.Rates{}
+	r := &admit.RateLimiter{}
 	d := quota.Quota{Rate: 0.001, Burst: 100}
 	now := time.Now()
 	n := 0
 	for i := range 400 {
-		if r.Take(now, "cantata", d, admit.Fleet{Listed: 1 + i%2, Reached: 1}) == nil {
+		if r.Allow(now, "cantata", d, admit.Peers{Listed: 1 + i%2, Alive: 1}) == nil {
 			n++
 		}
 	}
--- a/parts/boot/boot.go
+++ b/parts/boot/boot.go
@@ -18,13 +18,13 @@
 const (
 	// ExitFailed: the program ran and did not do what was asked.
 	ExitFailed = 1
-	// ExitSettings: the settings are faulty, and nothing was done.
-	ExitSettings = 2
+	// ExitUsage: the settings are faulty, and nothing was done.
+	ExitUsage = 2
 )
 
-// TellVersion prints name and version if the arguments ask for it, and reports
+// PrintVersion prints name and version if the arguments ask for it, and reports
 // whether they do.
-func TellVersion(name string, args []string, stdout io.Writer) bool {
+func PrintVersion(name string, args []string, stdout io.Writer) bool {
 	if len(args) != 1 || args[0] != "version" {
 		return false
 	}
--- a/parts/chain/chain.go
+++ b/parts/chain/chain.go
@@ -45,9 +45,9 @@
 	Hops [][]Hop
 }
 
-// Make builds the graph of the given servers. It fails with NoCover, naming
+// New builds the graph of the given servers. It fails with NoCover, naming
 // each range of layers that no server holds, if they do not cover the model.
-func Make(layers int, servers []host.Host) (*Graph, error) {
+func New(layers int, servers []host.Host) (*Graph, error) {
 	g := &Graph{Layers: layers, Servers: usable(layers, servers)}
 	if gaps := g.gaps(); len(gaps) > 0 || layers < 1 {
 		return nil, &fault.Error{
--- a/parts/chain/chain_test.go
+++ b/parts/chain/chain_test.go
@@ -36,7 +36,7 @@
 		{"turned round", [][2]int{{0, 8}, {24, 8}}, "8 to 24"},
 	} {
 		t.Run(test.name, func(t *testing.T) {
-			_, err := Make(24, servers(test.ranges...))
+			_, err := New(24, servers(test.ranges...))
 			quicktest.Assert(t, err, quicktest.ErrorMatches, "no-cover: no server covers layers "+test.want)
 		})
 	}
@@ -44,7 +44,7 @@
 
 func TestOverlapsAreUsed(t *testing.T) {
 	c := quicktest.New(t)
-	g, err := Make(24, servers([2]int{0, 16}, [2]int{8, 24}, [2]int{4, 20}))
+	g, err := New(24, servers([2]int{0, 16}, [2]int{8, 24}, [2]int{4, 20}))
 	c.Assert(err, quicktest.IsNil)
 	c.Assert(g.Hops, quicktest.DeepEquals, [][]Hop{
 		{{Server: 0, First: 0, End: 16, Next: 1}},
@@ -84,7 +84,7 @@
 				}
 			}
 		}
-		g, err := Make(layers, servers(ranges...))
+		g, err := New(layers, servers(ranges...))
 		if (err == nil) != (held == layers) {
 			t.Fatalf("%d of %d layers held, but: %v", held, layers, err)
 		}
--- a/parts/chain/example_test.go
+++ b/parts/chain/example_test.go
@@ -7,12 +7,12 @@
 	"fuchsiashelf.dev/parts/host"
 )
 
-func ExampleMake() {
+func ExampleNew() {
 	servers := []host.Host{
 		{Name: "a1", First: 0, End: 16},
 		{Name: "a2", First: 8, End: 24},
 	}
-	g, err := chain.Make(24, servers)
+	g, err := chain.New(24, servers)
 	if err != nil {
 		fmt.Println(err)
 		return
@@ -23,7 +23,7 @@
 			fmt.Println(s.Server, s.First, s.End)
 		}
 	}
-	_, err = chain.Make(32, servers)
+	_, err = chain.New(32, servers)
 	fmt.Println(err)
 	// Output:
 	// a1 0 16
--- a/parts/claim/bench_test.go
+++ b/parts/claim/bench_test.go
@@ -73,7 +73,7 @@
 		all.Go(func() {
 			w, t := writers[i%entries], take(fmt.Sprint(i), rand.Uint64()|1)
 			t.Record.Until = time.Now().Add(time.Hour).UnixMilli()
-			found, _ := w.Take(ctx, t)
+			found, _ := w.Acquire(ctx, t)
 			waits[i] = time.Since(due)
 			if _, ok := found.(Granted); ok {
 				granted.Add(1)
--- a/parts/claim/claim.go
+++ b/parts/claim/claim.go
@@ -31,12 +31,12 @@
 // and it can't change while claims live; docs/design/claims.md works it out.
 const Shards = 256
 
-// MaxBytes is the largest encoded shard; the object API holds a megabyte.
-const MaxBytes = 900_000
+// MaxShardBytes is the largest encoded shard; the object API holds a megabyte.
+const MaxShardBytes = 900_000
 
-// KeepOutcome is how long a recorded outcome is kept. A caller that has lost
+// OutcomeTTL is how long a recorded outcome is kept. A caller that has lost
 // an answer comes back within it; later it learns only that its call ran.
-const KeepOutcome = 5 * time.Minute
+const OutcomeTTL = 5 * time.Minute
 
 // MaxOutcome is the largest body of an outcome that is recorded, in bytes.
 const MaxOutcome = 512
@@ -178,7 +178,7 @@
 			s.remove(key)
 			continue
 		}
-		if r.Outcome != nil && r.Done+KeepOutcome.Milliseconds() <= ms {
+		if r.Outcome != nil && r.Done+OutcomeTTL.Milliseconds() <= ms {
 			r.Outcome = nil
 			s.put(r)
 		}
--- a/parts/claim/claim_test.go
+++ b/parts/claim/claim_test.go
@@ -26,7 +26,7 @@
 	return Settle{Record: r}
 }
 
-func apply(s *Shard, op Op) Finding {
+func apply(s *Shard, op Op) OpResult {
 	findings, _ := s.Apply(start, []Op{op})
 	return findings[0]
 }
@@ -38,23 +38,23 @@
 	second := first
 	second.Record.Nonce = 2
 	over := second
-	over.Over = 1
+	over.Replaces = 1
 	for _, test := range []struct {
 		name   string
 		before []Op
 		op     Op
-		want   Finding
+		want   OpResult
 	}{
 		{"new", nil, first, Granted{}},
 		{"same nonce", []Op{first}, first, Granted{}},
 		{"resend", []Op{first}, second, Held{first.Record}},
-		{"resend after the answer", []Op{first, done(first)}, second, Ended{done(first).Record}},
+		{"resend after the answer", []Op{first, done(first)}, second, Completed{done(first).Record}},
 		{"another body", []Op{first}, other, Reused{}},
 		{"another body after the answer", []Op{first, done(first)}, other, Reused{}},
 		{"over a void claim", []Op{first}, over, Granted{}},
-		{"over one that was answered", []Op{first, done(first)}, over, Ended{done(first).Record}},
+		{"over one that was answered", []Op{first, done(first)}, over, Completed{done(first).Record}},
 		{"after it was taken back", []Op{first, Void{first.Record.Key, 1}}, second, Granted{}},
-		{"taken back too late", []Op{first, done(first), Void{first.Record.Key, 1}}, second, Ended{done(first).Record}},
+		{"taken back too late", []Op{first, done(first), Void{first.Record.Key, 1}}, second, Completed{done(first).Record}},
 		{"another's claim taken back", []Op{first, Void{first.Record.Key, 9}}, second, Held{first.Record}},
 	} {
 		t.Run(test.name, func(t *testing.T) {
@@ -85,10 +85,10 @@
 // A shard that has no room refuses claims, and takes them again when older
 // ones have expired.
 func TestFullShard(t *testing.T) {
-	s := &Shard{bytes: MaxBytes - recordBytes}
-	qt.Assert(t, apply(s, take("seat", 1)), qt.Equals, Finding(Full{}))
+	s := &Shard{bytes: MaxShardBytes - recordBytes}
+	qt.Assert(t, apply(s, take("seat", 1)), qt.Equals, OpResult(Full{}))
 	s.bytes = 0
-	qt.Assert(t, apply(s, take("seat", 1)), qt.Equals, Finding(Granted{}))
+	qt.Assert(t, apply(s, take("seat", 1)), qt.Equals, OpResult(Granted{}))
 	s.Prune(start.Add(time.Hour))
 	qt.Assert(t, s.Len(), qt.Equals, 0)
 	qt.Assert(t, s.bytes, qt.Equals, 0)
@@ -97,7 +97,7 @@
 func TestOutcomeKept(t *testing.T) {
 	s := &Shard{}
 	s.Apply(start, []Op{take("seat", 1), done(take("seat", 1))})
-	s.Prune(start.Add(KeepOutcome))
+	s.Prune(start.Add(OutcomeTTL))
 	r, found := s.Find(take("seat", 1).Record.Key)
 	qt.Assert(t, found, qt.IsTrue)
 	qt.Assert(t, r.Outcome, qt.IsNil)
@@ -117,9 +117,9 @@
 }
 
 func TestTerms(t *testing.T) {
-	qt.Assert(t, Terms{Longest: time.Second, Expiry: 1000 * time.Second}.Check(), qt.IsNil)
-	qt.Assert(t, Terms{Longest: time.Second, Expiry: 999 * time.Second}.Check(), qt.IsNotNil)
-	qt.Assert(t, Terms{Expiry: 999 * time.Second}.Check(), qt.IsNotNil)
+	qt.Assert(t, Timing{MaxDeadline: time.Second, Expiry: 1000 * time.Second}.Check(), qt.IsNil)
+	qt.Assert(t, Timing{MaxDeadline: time.Second, Expiry: 999 * time.Second}.Check(), qt.IsNotNil)
+	qt.Assert(t, Timing{Expiry: 999 * time.Second}.Check(), qt.IsNotNil)
 }
 
 // A reply to a write is lost. Whether the write took effect can only be
@@ -131,7 +131,7 @@
 	for _, test := range []struct {
 		name  string
 		after []Op
-		want  Finding
+		want  OpResult
 		write bool
 	}{
 		{"took effect", []Op{mine}, Granted{}, false},
@@ -153,7 +153,7 @@
 				c.Wrote(9, nil)
 				step = c.Next(start)
 			}
-			qt.Assert(t, step, qt.DeepEquals, Step(Settled{[]Finding{test.want}}))
+			qt.Assert(t, step, qt.DeepEquals, Step(Committed{[]OpResult{test.want}}))
 		})
 	}
 }
@@ -187,7 +187,7 @@
 	qt.Assert(t, c.Next(start), qt.Equals, Step(DoRead{}))
 	o := object(t, []Op{first, done(first)})
 	c.Read(o, nil)
-	qt.Assert(t, c.Next(start), qt.DeepEquals, Step(Settled{[]Finding{Ended{done(first).Record}}}))
+	qt.Assert(t, c.Next(start), qt.DeepEquals, Step(Committed{[]OpResult{Completed{done(first).Record}}}))
 }
 
 func TestTable(t *testing.T) {
@@ -199,13 +199,13 @@
 	joined, own, _ := table.Begin(key, body, 2, start)
 	qt.Assert(t, own, qt.IsFalse)
 	qt.Assert(t, joined, qt.Equals, first)
-	first.End("refused", true)
+	first.Finish("refused", true)
 	qt.Assert(t, first.Start(), qt.IsFalse)
 	second, own, over := table.Begin(key, body, 2, start)
 	qt.Assert(t, own, qt.IsTrue)
 	qt.Assert(t, over, qt.Equals, uint64(1))
 	qt.Assert(t, second.Start(), qt.IsTrue)
-	second.End("done", false)
+	second.Finish("done", false)
 	_, own, _ = table.Begin(key, body, 3, start)
 	qt.Assert(t, own, qt.IsFalse)
 	qt.Assert(t, table.Sweep(start), qt.Equals, 1)
--- a/parts/claim/commit.go
+++ b/parts/claim/commit.go
@@ -30,8 +30,8 @@
 	fresh    bool
 	doubt    bool
 	tries    int
-	pending  []Finding
-	findings []Finding
+	pending  []OpResult
+	findings []OpResult
 	failed   *fault.Error
 }
 
@@ -53,21 +53,21 @@
 	Version uint64
 }
 
-// Settled ends a commit; there is a finding for each op.
-type Settled struct{ Findings []Finding }
+// Committed ends a commit; there is a finding for each op.
+type Committed struct{ Findings []OpResult }
 
 // Failed ends a commit that could not be brought into the store. No Take of
 // it was granted.
 type Failed struct {
 	Err *fault.Error
-	// Doubt says that a write of it may be in the store, or may land later.
-	Doubt bool
+	// Uncertain says that a write of it may be in the store, or may land later.
+	Uncertain bool
 }
 
-func (DoRead) step()  {}
-func (DoWrite) step() {}
-func (Settled) step() {}
-func (Failed) step()  {}
+func (DoRead) step()    {}
+func (DoWrite) step()   {}
+func (Committed) step() {}
+func (Failed) step()    {}
 
 // Next returns the next step.
 func (c *Commit) Next(now time.Time) Step {
@@ -75,7 +75,7 @@
 	case c.failed != nil:
 		return Failed{c.failed, c.doubt}
 	case c.findings != nil:
-		return Settled{c.findings}
+		return Committed{c.findings}
 	case c.Shard == nil:
 		return DoRead{}
 	}
@@ -86,7 +86,7 @@
 	}
 	if !changed {
 		c.findings = findings
-		return Settled{findings}
+		return Committed{findings}
 	}
 	if c.tries == maxTries {
 		c.fail("the shard is written by too many at once", nil)
@@ -105,11 +105,11 @@
 // doubtful reports whether a finding depends on a record that another entry
 // host may have changed since the shard was read. A grant does not: its
 // write would fail.
-func doubtful(findings []Finding) bool {
+func doubtful(findings []OpResult) bool {
 	for _, f := range findings {
 		switch f.(type) {
-		case Granted, Noted, Unknown:
-		case Held, Ended, Reused, Full:
+		case Granted, Recorded, Unknown:
+		case Held, Completed, Reused, Full:
 			return true
 		}
 	}
--- a/parts/claim/explore_test.go
+++ b/parts/claim/explore_test.go
@@ -25,7 +25,7 @@
 
 const (
 	worldDeadline = time.Second
-	worldExpiry   = Margin * time.Second
+	worldExpiry   = ExpiryFactor * time.Second
 )
 
 // world is a model of entry hosts, the store and a backend server, in which
@@ -116,7 +116,7 @@
 }
 
 func (w *world) claim(n *node, f *Flight[string], over uint64) {
-	t := &Take{Over: over, Record: Record{
+	t := &Take{Replaces: over, Record: Record{
 		Key: f.Key, Nonce: f.Nonce, Holder: n.holder, Until: w.now.Add(worldExpiry).UnixMilli(),
 	}}
 	w.tasks = append(w.tasks, &task{node: n, flight: f, take: t, claimed: w.now, commit: n.begin(*t)})
@@ -153,24 +153,24 @@
 		if k.take != nil {
 			w.forsake(k)
 		}
-	case Settled:
+	case Committed:
 		k.node.kept = Commit{Shard: k.commit.Shard, Version: k.commit.Version, Seen: k.commit.Seen}
 		w.settled(k, step.Findings[0])
 	}
 }
 
-func (w *world) settled(k *task, found Finding) {
+func (w *world) settled(k *task, found OpResult) {
 	switch found := found.(type) {
 	case Granted:
 		k.granted = true
 	case Held:
 		w.drop(k)
 		w.held(k, found.Record)
-	case Ended:
+	case Completed:
 		w.drop(k)
-		k.flight.End("ran", false)
+		k.flight.Finish("ran", false)
 		k.node.table.Forget(k.flight)
-	case Noted:
+	case Recorded:
 		w.drop(k)
 		if k.flight != nil {
 			k.node.table.Forget(k.flight)
@@ -186,12 +186,12 @@
 		if n.holder != r.Holder || rapid.Bool().Draw(w.t, "cut") {
 			continue
 		}
-		if f, ok := n.table.Find(r.Key, r.Nonce); ok && f.Phase() == Never {
+		if f, ok := n.table.Find(r.Key, r.Nonce); ok && f.Phase() == NotSent {
 			w.claim(k.node, k.flight, r.Nonce)
 			return
 		}
 	}
-	k.flight.End("may have run", false)
+	k.flight.Finish("may have run", false)
 	k.node.table.Forget(k.flight)
 }
 
@@ -209,11 +209,11 @@
 	w.ran[k.flight.Key] = append(w.ran[k.flight.Key], w.now)
 	k.runs++
 	if rapid.Bool().Draw(w.t, "answer lost") {
-		k.flight.End("may have run", false)
+		k.flight.Finish("may have run", false)
 		k.node.table.Forget(k.flight)
 		return
 	}
-	k.flight.End("ran", false)
+	k.flight.Finish("ran", false)
 	r := k.take.Record
 	r.Done = w.now.UnixMilli()
 	w.tasks = append(w.tasks, &task{node: k.node, flight: k.flight, commit: k.node.begin(Settle{r})})
@@ -222,7 +222,7 @@
 // forsake answers a call as not run.
 func (w *world) forsake(k *task) {
 	k.refused = true
-	k.flight.End("not run", true)
+	k.flight.Finish("not run", true)
 	w.tasks = append(w.tasks, &task{node: k.node, commit: k.node.begin(Void{k.flight.Key, k.flight.Nonce})})
 	if k.runs > 0 {
 		w.t.Fatalf("a call that was answered as not run has run")
--- a/parts/claim/hung_test.go
+++ b/parts/claim/hung_test.go
@@ -49,7 +49,7 @@
 		go func() { _ = w.Run(ctx) }()
 		try := func(id string) (time.Duration, *fault.Error) {
 			began := time.Now()
-			_, e := w.Take(context.Background(), take(id, 1))
+			_, e := w.Acquire(context.Background(), take(id, 1))
 			return time.Since(began), e
 		}
 
--- a/parts/claim/lane.go
+++ b/parts/claim/lane.go
@@ -18,7 +18,7 @@
 }
 
 type result struct {
-	finding Finding
+	finding OpResult
 	err     *fault.Error
 }
 
@@ -148,7 +148,7 @@
 			if len(step.Value) > cacheBytes {
 				defer func() { c.Shard = nil }()
 			}
-		case Settled, Failed:
+		case Committed, Failed:
 			return
 		}
 	}
@@ -195,7 +195,7 @@
 // nobody waits for it, and the store may be back.
 func (w *Writer) failed(l *lane, i *item) {
 	if _, take := i.op.(Take); take {
-		var found Finding
+		var found OpResult
 		if l.commit.doubt {
 			found = Unknown{}
 		}
@@ -214,7 +214,7 @@
 	time.AfterFunc(again/2+rand.N(again), func() { w.again <- l })
 }
 
-func (w *Writer) refuse(i *item, found Finding, e *fault.Error) {
+func (w *Writer) refuse(i *item, found OpResult, e *fault.Error) {
 	metrics.GetOrRegisterCounter("claim.failed", nil).Inc(1)
 	i.found <- result{finding: found, err: e}
 }
