--- a/parts/claim/op.go
+++ b/parts/claim/op.go
@@ -12,9 +12,9 @@
 type Take struct {
 	// Record is the record to be written; it is not done.
 	Record Record
-	// Over is the nonce of a void claim that this one may replace; zero for
+	// Replaces is the nonce of a void claim that this one may replace; zero for
 	// none.
-	Over uint64
+	Replaces uint64
 }
 
 // Settle records that a claimed call has been answered.
@@ -38,9 +38,9 @@
 func (s Settle) key() Key { return s.Record.Key }
 func (v Void) key() Key   { return v.Key }
 
-// Finding is what came of an Op: Granted, Held, Ended, Reused, Full or Unknown
+// OpResult is what came of an Op: Granted, Held, Ended, Reused, Full or Unknown
 // for a Take, and Noted for the others.
-type Finding interface{ finding() }
+type OpResult interface{ finding() }
 
 // Granted means that the claim is in the store: its holder, and nobody else,
 // may send the call.
@@ -49,8 +49,8 @@
 // Held means that the call is claimed and not known to be answered.
 type Held struct{ Record Record }
 
-// Ended means that the call was answered before.
-type Ended struct{ Record Record }
+// Completed means that the call was answered before.
+type Completed struct{ Record Record }
 
 // Reused means that the id belongs to another call.
 type Reused struct{}
@@ -62,25 +62,25 @@
 // later. The call is not sent.
 type Unknown struct{}
 
-// Noted means that a Settle or Void is in the store, or that there is no
+// Recorded means that a Settle or Void is in the store, or that there is no
 // such claim any more.
-type Noted struct{}
+type Recorded struct{}
 
-func (Granted) finding() {}
-func (Held) finding()    {}
-func (Ended) finding()   {}
-func (Reused) finding()  {}
-func (Full) finding()    {}
-func (Unknown) finding() {}
-func (Noted) finding()   {}
+func (Granted) finding()   {}
+func (Held) finding()      {}
+func (Completed) finding() {}
+func (Reused) finding()    {}
+func (Full) finding()      {}
+func (Unknown) finding()   {}
+func (Recorded) finding()  {}
 
 // Apply makes changes to the shard and returns what came of each, and
 // whether the shard has changed. An op that is in the shard already changes
 // nothing and is found again, so that applying it after a lost reply tells
 // whether it took effect.
-func (s *Shard) Apply(now time.Time, ops []Op) ([]Finding, bool) {
+func (s *Shard) Apply(now time.Time, ops []Op) ([]OpResult, bool) {
 	s.Prune(now)
-	findings := make([]Finding, len(ops))
+	findings := make([]OpResult, len(ops))
 	changed := false
 	for i, op := range ops {
 		did := false
@@ -88,16 +88,16 @@
 		case Take:
 			findings[i], did = s.take(op)
 		case Settle:
-			findings[i], did = Noted{}, s.settle(op)
+			findings[i], did = Recorded{}, s.settle(op)
 		case Void:
-			findings[i], did = Noted{}, s.void(op)
+			findings[i], did = Recorded{}, s.void(op)
 		}
 		changed = changed || did
 	}
 	return findings, changed
 }
 
-func (s *Shard) take(t Take) (Finding, bool) {
+func (s *Shard) take(t Take) (OpResult, bool) {
 	old, found := s.records[t.Record.Key]
 	switch {
 	case !found:
@@ -106,11 +106,11 @@
 	case old.Body != t.Record.Body:
 		return Reused{}, false
 	case old.Done != 0:
-		return Ended{old}, false
-	case t.Over == 0 || old.Nonce != t.Over:
+		return Completed{old}, false
+	case t.Replaces == 0 || old.Nonce != t.Replaces:
 		return Held{old}, false
 	}
-	if !found && s.bytes+t.Record.size() > MaxBytes {
+	if !found && s.bytes+t.Record.size() > MaxShardBytes {
 		return Full{}, false
 	}
 	s.put(t.Record)
@@ -124,7 +124,7 @@
 	}
 	r = o.Record
 	// Without room for the outcome the record still says that the call ran.
-	if s.bytes+r.size() > MaxBytes {
+	if s.bytes+r.size() > MaxShardBytes {
 		r.Outcome = nil
 	}
 	s.put(r)
--- a/parts/claim/table.go
+++ b/parts/claim/table.go
@@ -12,14 +12,14 @@
 // The phases. A call goes from Asking to Running to Over, or from either of
 // the first two to Never.
 const (
-	// Asking: the claim is on its way to the store.
-	Asking Phase = iota
+	// Claiming: the claim is on its way to the store.
+	Claiming Phase = iota
 	// Running: the call may have left for a backend server.
 	Running
-	// Over: the call has an outcome, or is known to have none.
-	Over
-	// Never: the call was not sent and never will be under this nonce.
-	Never
+	// Finished: the call has an outcome, or is known to have none.
+	Finished
+	// NotSent: the call was not sent and never will be under this nonce.
+	NotSent
 )
 
 // Flight is a call that this entry host has claimed or is claiming. R is the
@@ -46,16 +46,16 @@
 // Start moves from Asking to Running, just before the first byte of the call
 // can leave.
 func (f *Flight[R]) Start() bool {
-	return f.phase.CompareAndSwap(int32(Asking), int32(Running))
+	return f.phase.CompareAndSwap(int32(Claiming), int32(Running))
 }
 
-// End gives the flight its result. With never, the call was not sent or its
+// Finish gives the flight its result. With never, the call was not sent or its
 // backend server has said that it did not run it.
-func (f *Flight[R]) End(result R, never bool) {
+func (f *Flight[R]) Finish(result R, never bool) {
 	f.result = result
-	phase := Over
+	phase := Finished
 	if never {
-		phase = Never
+		phase = NotSent
 	}
 	f.phase.Store(int32(phase))
 	close(f.Done)
@@ -84,7 +84,7 @@
 			return fresh, true, 0
 		}
 		old := found.(*Flight[R])
-		if old.Phase() != Never || old.Body != body {
+		if old.Phase() != NotSent || old.Body != body {
 			return old, false, 0
 		}
 		if t.flights.CompareAndSwap(key, old, fresh) {
@@ -113,7 +113,7 @@
 	left := 0
 	t.flights.Range(func(key, value any) bool {
 		f := value.(*Flight[R])
-		if f.Until.Before(now) && f.Phase() >= Over {
+		if f.Until.Before(now) && f.Phase() >= Finished {
 			t.flights.CompareAndDelete(key, value)
 			return true
 		}
--- a/parts/claim/terms.go
+++ b/parts/claim/terms.go
@@ -5,34 +5,34 @@
 	"time"
 )
 
-// Margin is how many times longer a claim lives than the longest deadline of
+// ExpiryFactor is how many times longer a claim lives than the longest deadline of
 // a call that it covers.
-const Margin = 1000
+const ExpiryFactor = 1000
 
-// Terms are the times that claims rest on.
-type Terms struct {
-	// Longest is the longest deadline of a call that may not be repeated.
-	Longest time.Duration
+// Timing are the times that claims rest on.
+type Timing struct {
+	// MaxDeadline is the longest deadline of a call that may not be repeated.
+	MaxDeadline time.Duration
 	// Expiry is how long a claim lives.
 	Expiry time.Duration
 }
 
 // Check returns an error if claims could expire under a call that still
 // runs.
-func (t Terms) Check() error {
-	if t.Longest <= 0 {
-		return fmt.Errorf("claim: longest deadline %s is not above 0", t.Longest)
+func (t Timing) Check() error {
+	if t.MaxDeadline <= 0 {
+		return fmt.Errorf("claim: longest deadline %s is not above 0", t.MaxDeadline)
 	}
-	if t.Expiry/Margin < t.Longest {
+	if t.Expiry/ExpiryFactor < t.MaxDeadline {
 		return fmt.Errorf("claim: expiry %s is below %d times the longest deadline %s",
-			t.Expiry, Margin, t.Longest)
+			t.Expiry, ExpiryFactor, t.MaxDeadline)
 	}
 	return nil
 }
 
 // Until returns when a claim made at the given time expires, in Unix
 // milliseconds.
-func (t Terms) Until(now time.Time) int64 {
+func (t Timing) Until(now time.Time) int64 {
 	return now.Add(t.Expiry).UnixMilli()
 }
 
--- a/parts/claim/writer.go
+++ b/parts/claim/writer.go
@@ -83,10 +83,10 @@
 	})
 }
 
-// Take claims a call and returns what came of it. Whoever gets no grant
+// Acquire claims a call and returns what came of it. Whoever gets no grant
 // sends no call. An error comes with Unknown if the claim may be in the
 // store; it should then be taken back with Forsake.
-func (w *Writer) Take(ctx context.Context, t Take) (Finding, *fault.Error) {
+func (w *Writer) Acquire(ctx context.Context, t Take) (OpResult, *fault.Error) {
 	found := make(chan result, 1)
 	if !w.send(ctx, &item{op: t, found: found}) {
 		return nil, gaveUp(ctx)
@@ -117,8 +117,8 @@
 	return w.behind(s)
 }
 
-// Forsake takes back a claim whose call was never sent, in the background.
-func (w *Writer) Forsake(v Void) <-chan struct{} {
+// Release takes back a claim whose call was never sent, in the background.
+func (w *Writer) Release(v Void) <-chan struct{} {
 	return w.behind(v)
 }
 
--- a/parts/claim/writer_test.go
+++ b/parts/claim/writer_test.go
@@ -83,9 +83,9 @@
 	var all sync.WaitGroup
 	for _, one := range takes {
 		all.Go(func() {
-			found, e := w.Take(context.Background(), one)
+			found, e := w.Acquire(context.Background(), one)
 			qt.Check(t, e == nil, qt.IsTrue)
-			qt.Check(t, found, qt.Equals, Finding(Granted{}))
+			qt.Check(t, found, qt.Equals, OpResult(Granted{}))
 		})
 	}
 	m.gate <- struct{}{}
@@ -107,14 +107,14 @@
 	}}
 	w, stop := run(t, m)
 	first := take("seat", 1)
-	_, e := w.Take(context.Background(), first)
+	_, e := w.Acquire(context.Background(), first)
 	qt.Assert(t, e == nil, qt.IsTrue)
 	<-w.Settle(done(first))
 	second := first
 	second.Record.Nonce = 2
-	found, e := w.Take(context.Background(), second)
+	found, e := w.Acquire(context.Background(), second)
 	qt.Assert(t, e == nil, qt.IsTrue)
-	qt.Assert(t, found, qt.DeepEquals, Finding(Ended{done(first).Record}))
+	qt.Assert(t, found, qt.DeepEquals, OpResult(Completed{done(first).Record}))
 	stop()
 }
 
@@ -125,7 +125,7 @@
 	w, stop := run(t, m)
 	first := take("seat", 1)
 	m.gate <- struct{}{}
-	_, e := w.Take(context.Background(), first)
+	_, e := w.Acquire(context.Background(), first)
 	qt.Assert(t, e == nil, qt.IsTrue)
 	written := w.Settle(done(first))
 	close(m.gate)
@@ -142,15 +142,15 @@
 	first := take("seat", 1)
 	ctx, cancel := context.WithCancel(context.Background())
 	cancel()
-	_, e := w.Take(ctx, first)
+	_, e := w.Acquire(ctx, first)
 	qt.Assert(t, e.Verdict, qt.Equals, fault.NotRun)
-	back := w.Forsake(Void{first.Record.Key, 1})
+	back := w.Release(Void{first.Record.Key, 1})
 	close(m.gate)
 	<-back
 	second := first
 	second.Record.Nonce = 2
-	found, e := w.Take(context.Background(), second)
+	found, e := w.Acquire(context.Background(), second)
 	qt.Assert(t, e == nil, qt.IsTrue)
-	qt.Assert(t, found, qt.Equals, Finding(Granted{}))
+	qt.Assert(t, found, qt.Equals, OpResult(Granted{}))
 	stop()
 }
--- a/parts/conf/apply.go
+++ b/parts/conf/apply.go
@@ -7,9 +7,9 @@
 	"slices"
 )
 
-// TailSize is how many accepted lines a configuration keeps. At 490 lines a
+// MaxHistory is how many accepted lines a configuration keeps. At 490 lines a
 // day it reaches back half a day.
-const TailSize = 256
+const MaxHistory = 256
 
 // Clone returns a copy whose maps and slices can be changed.
 func (c *Config) Clone() *Config {
@@ -21,7 +21,7 @@
 	next.Pools = cloned(next.Pools)
 	next.Stops = cloned(next.Stops)
 	next.Rules = slices.Clone(next.Rules)
-	next.Tail = slices.Clone(next.Tail)
+	next.History = slices.Clone(next.History)
 	return next
 }
 
@@ -55,7 +55,7 @@
 	if c == nil {
 		return Line{}, false
 	}
-	for _, line := range c.Tail {
+	for _, line := range c.History {
 		if line.ID == id {
 			return line, true
 		}
@@ -65,8 +65,8 @@
 
 // Record adds an accepted line, and drops the oldest beyond TailSize.
 func (c *Config) Record(line Line) {
-	c.Tail = append(c.Tail, line)
-	if len(c.Tail) > TailSize {
-		c.Tail = slices.Clone(c.Tail[len(c.Tail)-TailSize:])
+	c.History = append(c.History, line)
+	if len(c.History) > MaxHistory {
+		c.History = slices.Clone(c.History[len(c.History)-MaxHistory:])
 	}
 }
--- a/parts/conf/basis.go
+++ b/parts/conf/basis.go
@@ -16,7 +16,7 @@
 	None
 )
 
-// Choose decides on the basis of the next line. It takes what the object API
+// ChooseBasis decides on the basis of the next line. It takes what the object API
 // holds, what is in force here, and the highest revision that another entry
 // host has in force, and whether an entry host did not answer. What is in
 // force must have been asked for before the object was read, so that a line
@@ -28,9 +28,9 @@
 // A line built on that would undo what was answered with done. A silent entry
 // host may have a higher revision still, so nothing is built until it answers
 // or is gone.
-func Choose(stored, own *Config, peers uint64, silent bool) Basis {
+func ChooseBasis(stored, own *Config, peers uint64, silent bool) Basis {
 	switch {
-	case stored.Holds(own) && stored.Revision >= peers:
+	case stored.DescendsFrom(own) && stored.Revision >= peers:
 		return Stored
 	case silent:
 		return None
@@ -40,41 +40,41 @@
 	return Peers
 }
 
-// Holds reports whether a configuration came of another one by lines that
+// DescendsFrom reports whether a configuration came of another one by lines that
 // were accepted since, or is the same. It knows by the id of the newest line.
 // When the tail no longer reaches back to it, the higher revision has to do.
-func (c *Config) Holds(old *Config) bool {
+func (c *Config) DescendsFrom(old *Config) bool {
 	switch {
 	case old == nil || old.Revision == 0:
 		return true
 	case c == nil || c.Revision < old.Revision:
 		return false
-	case len(c.Tail) > 0 && c.Tail[0].Revision > old.Revision:
+	case len(c.History) > 0 && c.History[0].Revision > old.Revision:
 		return true
 	}
 	_, found := c.Find(old.last())
 	return found || old.last() == ""
 }
 
-// Replaces reports whether a configuration may come into force in place of
+// Supersedes reports whether a configuration may come into force in place of
 // another one: it has a higher revision and holds all its lines.
-func (c *Config) Replaces(old *Config) bool {
-	return old == nil || c.Revision > old.Revision && c.Holds(old)
+func (c *Config) Supersedes(old *Config) bool {
+	return old == nil || c.Revision > old.Revision && c.DescendsFrom(old)
 }
 
-// Begins reports whether a configuration that is in force on another entry
+// SupersedesAtStart reports whether a configuration that is in force on another entry
 // host may come in place of what an entry host has gathered at its start,
 // before it has served anybody. What is in force elsewhere goes before what a
 // restored store holds, also under a lower revision, unless the latter holds
 // all its lines.
-func (c *Config) Begins(gathered *Config) bool {
-	return c.Replaces(gathered) || !gathered.Holds(c)
+func (c *Config) SupersedesAtStart(gathered *Config) bool {
+	return c.Supersedes(gathered) || !gathered.DescendsFrom(c)
 }
 
-// Over returns a configuration, chosen with Own or Peers, in the form in which
+// RebaseOnto returns a configuration, chosen with Own or Peers, in the form in which
 // it is written over what the object API holds: above its revision, so that
 // no revision stands for two things, and with the next epoch.
-func (c *Config) Over(stored *Config) *Config {
+func (c *Config) RebaseOnto(stored *Config) *Config {
 	next := c.Clone()
 	next.Revision = max(c.Revision, stored.Revision)
 	next.Epoch = max(c.Epoch, stored.Epoch) + 1
--- a/parts/conf/conf.go
+++ b/parts/conf/conf.go
@@ -49,8 +49,8 @@
 	Operator string `json:"operator"`
 	// Text is the line itself.
 	Text string `json:"text"`
-	// Thing names what the line changed, for example "pool assist".
-	Thing string `json:"thing"`
+	// Resource names what the line changed, for example "pool assist".
+	Resource string `json:"thing"`
 	// At is when the line was accepted.
 	At time.Time `json:"at"`
 }
@@ -70,8 +70,8 @@
 	Rules []rule.Rule `json:"rules"`
 	// Stops by server.
 	Stops map[string]Stop `json:"stops"`
-	// Tail holds the latest accepted lines, oldest first.
-	Tail []Line `json:"tail"`
+	// History holds the latest accepted lines, oldest first.
+	History []Line `json:"tail"`
 }
 
 // Route returns the pool for a team's request for a service. A rule for the
--- a/parts/conf/explore_test.go
+++ b/parts/conf/explore_test.go
@@ -59,7 +59,7 @@
 // take puts a configuration in force that may come in place of the one that
 // is.
 func (s *seat) take(c *conf.Config) {
-	if c.Replaces(s.inForce) {
+	if c.Supersedes(s.inForce) {
 		s.inForce = c
 	}
 }
@@ -142,32 +142,32 @@
 
 func (w *world) build(t *rapid.T, s *seat, object kept) {
 	var base *conf.Config
-	switch conf.Choose(object.config, s.inForce, s.peers, s.silent) {
+	switch conf.ChooseBasis(object.config, s.inForce, s.peers, s.silent) {
 	case conf.Stored:
 		base = object.config
 	case conf.Own:
-		base = s.inForce.Over(object.config)
+		base = s.inForce.RebaseOnto(object.config)
 	case conf.Peers:
 		for _, other := range w.seats {
 			if base == nil || other.inForce.Revision > base.Revision {
 				base = other.inForce
 			}
 		}
-		if !base.Replaces(s.inForce) {
+		if !base.Supersedes(s.inForce) {
 			return
 		}
-		base = base.Over(object.config)
+		base = base.RebaseOnto(object.config)
 	case conf.None:
 		return
 	}
 	thing := rapid.SampledFrom([]string{"pool a", "pool b"}).Draw(t, "thing")
-	if _, clash, complete := base.Clash(thing, s.seen); clash || !complete || s.seen > base.Revision {
+	if _, clash, complete := base.Conflict(thing, s.seen); clash || !complete || s.seen > base.Revision {
 		w.end(s)
 		return
 	}
 	s.sent = base.Clone()
 	s.sent.Revision++
-	s.sent.Record(conf.Line{ID: s.id, Revision: s.sent.Revision, Thing: thing})
+	s.sent.Record(conf.Line{ID: s.id, Revision: s.sent.Revision, Resource: thing})
 	w.send(t, s, object)
 }
 
@@ -262,7 +262,7 @@
 	for _, other := range w.seats {
 		if other != s && (!asked || rapid.Bool().Draw(t, "answers")) {
 			asked = true
-			if other.inForce.Begins(s.inForce) {
+			if other.inForce.SupersedesAtStart(s.inForce) {
 				s.inForce = other.inForce
 			}
 		}
@@ -323,7 +323,7 @@
 			}
 		}
 		times := map[string]int{}
-		for _, line := range s.inForce.Tail {
+		for _, line := range s.inForce.History {
 			times[line.ID]++
 			if _, is := w.refused[line.ID]; is {
 				t.Fatalf("%s was refused and is in force", line.ID)
--- a/parts/conf/size_test.go
+++ b/parts/conf/size_test.go
@@ -23,7 +23,7 @@
 			p.Servers = append(p.Servers, fmt.Sprintf("runner-%02d-%02d", i, s))
 		}
 		c.Pools[p.Name] = p
-		c.Services[p.Model] = rule.Service{Name: p.Model, Model: p.Model, Repeat: true, Revision: 1}
+		c.Services[p.Model] = rule.Service{Name: p.Model, Model: p.Model, Retryable: true, Revision: 1}
 	}
 	for team := range 400 {
 		for s := range 2 {
@@ -37,11 +37,11 @@
 		name := fmt.Sprintf("runner-%02d-00", i)
 		c.Stops[name] = conf.Stop{Server: name, At: time.Unix(1, 0), Revision: 1}
 	}
-	for i := range conf.TailSize {
+	for i := range conf.MaxHistory {
 		c.Revision++
 		c.Record(conf.Line{
 			ID: fmt.Sprintf("%016x", i), Revision: c.Revision, Operator: "operator-12", At: time.Unix(1, 0),
-			Text: "add server runner-12-04 to pool pool-12", Thing: "pool pool-12",
+			Text: "add server runner-12-04 to pool pool-12", Resource: "pool pool-12",
 		})
 	}
 	return c
--- a/parts/conf/write.go
+++ b/parts/conf/write.go
@@ -74,10 +74,10 @@
 
 // last returns the id of the newest line.
 func (c *Config) last() string {
-	if len(c.Tail) == 0 {
+	if len(c.History) == 0 {
 		return ""
 	}
-	return c.Tail[len(c.Tail)-1].ID
+	return c.History[len(c.History)-1].ID
 }
 
 // Sent takes what became of a write that was conditional on a version, at
--- a/parts/conf/write_test.go
+++ b/parts/conf/write_test.go
@@ -11,7 +11,7 @@
 )
 
 // held is what the object holds when the writes are built.
-var held = &conf.Config{Revision: 2, Tail: []conf.Line{{ID: "w", Revision: 2}}}
+var held = &conf.Config{Revision: 2, History: []conf.Line{{ID: "w", Revision: 2}}}
 
 // The store carries out a line's write, and its reply is lost on the way.
 // If the line were called refused, its operator would send it again on top
@@ -58,11 +58,11 @@
 	c := quicktest.New(t)
 	var w conf.Write
 	w.Sent(5, held, fault.MayHaveRun)
-	other := &conf.Config{Revision: 2, Tail: []conf.Line{{ID: "v", Revision: 2}}}
+	other := &conf.Config{Revision: 2, History: []conf.Line{{ID: "v", Revision: 2}}}
 	c.Assert(w.Read(5, other, nil), quicktest.Equals, conf.Reread{})
 	c.Assert(w.Read(5, held, nil), quicktest.Equals, conf.Resend{})
 	// What was held after the restore has been replaced.
-	c.Assert(w.Read(7, held.Over(held), nil), quicktest.Equals, conf.Reread{})
+	c.Assert(w.Read(7, held.RebaseOnto(held), nil), quicktest.Equals, conf.Reread{})
 }
 
 // lines makes a configuration of the lines with these ids.
@@ -94,7 +94,7 @@
 		{abx, abc, 3, false, conf.Own},
 		{abx, abc, 3, true, conf.None},
 	} {
-		got := conf.Choose(test.stored, test.own, test.peers, test.silent)
+		got := conf.ChooseBasis(test.stored, test.own, test.peers, test.silent)
 		quicktest.Assert(t, got, quicktest.Equals, test.want, quicktest.Commentf("%+v", test))
 	}
 }
@@ -105,42 +105,42 @@
 func TestReplaces(t *testing.T) {
 	c := quicktest.New(t)
 	inForce := lines("a", "b", "c")
-	c.Assert(lines("a", "b", "x", "y").Replaces(inForce), quicktest.IsFalse)
-	c.Assert(lines("a", "b", "c", "d").Replaces(inForce), quicktest.IsTrue)
-	c.Assert(lines("a", "b", "c").Replaces(inForce), quicktest.IsFalse)
-	c.Assert(lines("a").Replaces(nil), quicktest.IsTrue)
+	c.Assert(lines("a", "b", "x", "y").Supersedes(inForce), quicktest.IsFalse)
+	c.Assert(lines("a", "b", "c", "d").Supersedes(inForce), quicktest.IsTrue)
+	c.Assert(lines("a", "b", "c").Supersedes(inForce), quicktest.IsFalse)
+	c.Assert(lines("a").Supersedes(nil), quicktest.IsTrue)
 	// A host that was away for longer than the tail reaches takes what is
 	// higher.
 	far := lines("a", "b")
-	for i := range conf.TailSize + 5 {
+	for i := range conf.MaxHistory + 5 {
 		far.Revision++
 		far.Record(conf.Line{ID: fmt.Sprint(i), Revision: far.Revision})
 	}
-	c.Assert(far.Replaces(lines("a", "b")), quicktest.IsTrue)
+	c.Assert(far.Supersedes(lines("a", "b")), quicktest.IsTrue)
 }
 
 // An entry host starts after a restore, and hears the store before the others.
 func TestBegins(t *testing.T) {
 	c := quicktest.New(t)
 	inForce, fork := lines("a", "b"), lines("a", "x", "y")
-	c.Assert(inForce.Begins(nil), quicktest.IsTrue)
-	c.Assert(inForce.Begins(fork), quicktest.IsTrue)
-	c.Assert(fork.Replaces(inForce), quicktest.IsFalse)
-	c.Assert(inForce.Begins(lines("a", "b", "c")), quicktest.IsFalse)
-	c.Assert(inForce.Begins(lines("a")), quicktest.IsTrue)
+	c.Assert(inForce.SupersedesAtStart(nil), quicktest.IsTrue)
+	c.Assert(inForce.SupersedesAtStart(fork), quicktest.IsTrue)
+	c.Assert(fork.Supersedes(inForce), quicktest.IsFalse)
+	c.Assert(inForce.SupersedesAtStart(lines("a", "b", "c")), quicktest.IsFalse)
+	c.Assert(inForce.SupersedesAtStart(lines("a")), quicktest.IsTrue)
 }
 
 func TestClash(t *testing.T) {
 	c := quicktest.New(t)
-	at := &conf.Config{Revision: 9, Tail: []conf.Line{
-		{Revision: 7, Thing: "pool lake"}, {Revision: 8, Thing: "server a1"}, {Revision: 9, Thing: "pool lake"},
+	at := &conf.Config{Revision: 9, History: []conf.Line{
+		{Revision: 7, Resource: "pool lake"}, {Revision: 8, Resource: "server a1"}, {Revision: 9, Resource: "pool lake"},
 	}}
-	line, clash, complete := at.Clash("pool lake", 8)
+	line, clash, complete := at.Conflict("pool lake", 8)
 	c.Assert([]any{line.Revision, clash, complete}, quicktest.DeepEquals, []any{uint64(9), true, true})
-	_, clash, complete = at.Clash("server a1", 8)
+	_, clash, complete = at.Conflict("server a1", 8)
 	c.Assert([]any{clash, complete}, quicktest.DeepEquals, []any{false, true})
-	_, _, complete = at.Clash("pool pond", 5)
+	_, _, complete = at.Conflict("pool pond", 5)
 	c.Assert(complete, quicktest.IsFalse)
-	_, _, complete = at.Clash("pool pond", 6)
+	_, _, complete = at.Conflict("pool pond", 6)
 	c.Assert(complete, quicktest.IsTrue)
 }
--- a/parts/drain/drain.go
+++ b/parts/drain/drain.go
@@ -11,8 +11,8 @@
 
 // Report is what one entry host says about one backend server.
 type Report struct {
-	// Out says that the entry sends no new work to the server.
-	Out bool
+	// Cordoned says that the entry sends no new work to the server.
+	Cordoned bool
 	// Revision is the configuration revision that the entry had in force
 	// when it counted.
 	Revision uint64
@@ -26,32 +26,32 @@
 	Safe bool
 	// InFlight is the number of requests that the reports that count hold.
 	InFlight int64
-	// Silent names entries that do not answer, sorted.
-	Silent []string
-	// Behind names entries that answer but do not have the stop in force
+	// Unresponsive names entries that do not answer, sorted.
+	Unresponsive []string
+	// Lagging names entries that answer but do not have the stop in force
 	// yet, sorted.
-	Behind []string
+	Lagging []string
 }
 
-// Judge decides on the stop that was set at the given revision. Entries are
+// Evaluate decides on the stop that was set at the given revision. Entries are
 // all entry hosts that the platform's host list has and that did not say
 // goodbye, and the one that asks. Reports are by entry; those of other names
 // count for nothing.
-func Judge(revision uint64, entries []string, reports map[string]Report) Outcome {
+func Evaluate(revision uint64, entries []string, reports map[string]Report) Outcome {
 	var o Outcome
 	for _, name := range entries {
 		report, answered := reports[name]
 		switch {
 		case !answered:
-			o.Silent = append(o.Silent, name)
-		case !report.Out || report.Revision < revision:
-			o.Behind = append(o.Behind, name)
+			o.Unresponsive = append(o.Unresponsive, name)
+		case !report.Cordoned || report.Revision < revision:
+			o.Lagging = append(o.Lagging, name)
 		default:
 			o.InFlight += report.InFlight
 		}
 	}
-	slices.Sort(o.Silent)
-	slices.Sort(o.Behind)
-	o.Safe = len(entries) > 0 && o.InFlight == 0 && len(o.Silent) == 0 && len(o.Behind) == 0
+	slices.Sort(o.Unresponsive)
+	slices.Sort(o.Lagging)
+	o.Safe = len(entries) > 0 && o.InFlight == 0 && len(o.Unresponsive) == 0 && len(o.Lagging) == 0
 	return o
 }
--- a/parts/drain/drain_test.go
+++ b/parts/drain/drain_test.go
@@ -9,7 +9,7 @@
 )
 
 func TestJudge(t *testing.T) {
-	idle := drain.Report{Out: true, Revision: 7}
+	idle := drain.Report{Cordoned: true, Revision: 7}
 	for _, test := range []struct {
 		name    string
 		entries []string
@@ -23,26 +23,26 @@
 	}, {
 		name:    "a request in flight",
 		entries: []string{"e1", "e2"},
-		reports: map[string]drain.Report{"e1": idle, "e2": {Out: true, Revision: 9, InFlight: 2}},
+		reports: map[string]drain.Report{"e1": idle, "e2": {Cordoned: true, Revision: 9, InFlight: 2}},
 		want:    drain.Outcome{InFlight: 2},
 	}, {
 		// A frozen entry may hold streams that go on when it thaws.
 		name:    "silence is not idleness",
 		entries: []string{"e2", "e1"},
 		reports: map[string]drain.Report{},
-		want:    drain.Outcome{Silent: []string{"e1", "e2"}},
+		want:    drain.Outcome{Unresponsive: []string{"e1", "e2"}},
 	}, {
 		// An entry without the stop may begin a request right after it
 		// reported none.
 		name:    "counted before the stop",
 		entries: []string{"e1", "e2"},
-		reports: map[string]drain.Report{"e1": idle, "e2": {Out: true, Revision: 6}},
-		want:    drain.Outcome{Behind: []string{"e2"}},
+		reports: map[string]drain.Report{"e1": idle, "e2": {Cordoned: true, Revision: 6}},
+		want:    drain.Outcome{Lagging: []string{"e2"}},
 	}, {
 		name:    "planned but not begun there",
 		entries: []string{"e1"},
 		reports: map[string]drain.Report{"e1": {Revision: 7}},
-		want:    drain.Outcome{Behind: []string{"e1"}},
+		want:    drain.Outcome{Lagging: []string{"e1"}},
 	}, {
 		name:    "no entry known",
 		entries: nil,
@@ -50,7 +50,7 @@
 		want:    drain.Outcome{},
 	}} {
 		t.Run(test.name, func(t *testing.T) {
-			got := drain.Judge(7, test.entries, test.reports)
+			got := drain.Evaluate(7, test.entries, test.reports)
 			quicktest.Assert(t, got, quicktest.DeepEquals, test.want)
 		})
 	}
--- a/parts/drain/explore_test.go
+++ b/parts/drain/explore_test.go
@@ -110,7 +110,7 @@
 func (w *world) report(t *rapid.T) {
 	e := w.pick(t)
 	if e.begun == nil {
-		e.begun = &drain.Report{Out: e.out, Revision: e.revision}
+		e.begun = &drain.Report{Cordoned: e.out, Revision: e.revision}
 		return
 	}
 	e.begun.InFlight = e.inFlight()
@@ -153,7 +153,7 @@
 	for _, e := range w.entries {
 		names = append(names, e.name)
 	}
-	w.safe = w.safe || drain.Judge(w.stopped, names, w.reports).Safe
+	w.safe = w.safe || drain.Evaluate(w.stopped, names, w.reports).Safe
 }
 
 // check holds after every step.
--- a/parts/engine/client.go
+++ b/parts/engine/client.go
@@ -54,7 +54,7 @@
 
 // Generate sends a request to the first server of its chain. The error is a
 // *fault.Error.
-func (c *Client) Generate(ctx context.Context, ask *Ask) (*Stream, error) {
+func (c *Client) Generate(ctx context.Context, ask *Request) (*Stream, error) {
 	body, err := json.Marshal(ask)
 	if err != nil {
 		return nil, &fault.Error{Code: fault.Internal, Verdict: fault.NotRun, Cause: err}
@@ -70,7 +70,7 @@
 	req.Header.Set("Content-Type", "application/json")
 	resp, err := c.http().Do(req)
 	if err != nil {
-		return nil, &fault.Error{Code: fault.ServerFailed, Verdict: fault.Sending(err), Server: first.Server, Cause: err}
+		return nil, &fault.Error{Code: fault.ServerFailed, Verdict: fault.SendVerdict(err), Server: first.Server, Cause: err}
 	}
 	if resp.StatusCode != http.StatusOK {
 		defer resp.Body.Close()
--- a/parts/engine/form.go
+++ b/parts/engine/form.go
@@ -19,9 +19,9 @@
 	End int `json:"end"`
 }
 
-// Ask is a request to the first server of a chain.
-type Ask struct {
-	Request string `json:"request"`
+// Request is a request to the first server of a chain.
+type Request struct {
+	RequestID string `json:"request"`
 	// Attempt counts the chains that this request has been sent to, from 1.
 	Attempt int    `json:"attempt"`
 	Model   string `json:"model"`
@@ -52,10 +52,10 @@
 	LinkUs int64 `json:"linkUs,omitempty"`
 }
 
-// Fail says which server of the chain failed.
-type Fail struct {
-	Server string `json:"server"`
-	What   string `json:"what"`
+// Failure says which server of the chain failed.
+type Failure struct {
+	Server  string `json:"server"`
+	Message string `json:"what"`
 	// Refused says that the server did not take the request.
 	Refused bool `json:"refused,omitempty"`
 }
@@ -69,8 +69,8 @@
 	Spans   []Span `json:"spans,omitempty"`
 	End     bool   `json:"end,omitempty"`
 	// Count is the number of tokens of the whole answer; set with End.
-	Count int   `json:"count,omitempty"`
-	Fail  *Fail `json:"fail,omitempty"`
+	Count int      `json:"count,omitempty"`
+	Fail  *Failure `json:"fail,omitempty"`
 }
 
 // Status is what an engine reports of itself.
@@ -117,8 +117,8 @@
 const (
 	// Fenced: the engine has seen an order with a higher number.
 	Fenced = "fenced"
-	// Lapsed: the deadline of the order has passed.
-	Lapsed = "lapsed"
+	// Expired: the deadline of the order has passed.
+	Expired = "lapsed"
 	// Leaving: the server takes no new work since it is leaving.
 	Leaving = "leaving"
 )
--- a/parts/engine/order.go
+++ b/parts/engine/order.go
@@ -24,7 +24,7 @@
 	req.GetBody = nil
 	resp, err := c.http().Do(req)
 	if err != nil {
-		return &fault.Error{Code: fault.ServerFailed, Verdict: fault.Sending(err), Cause: err}
+		return &fault.Error{Code: fault.ServerFailed, Verdict: fault.SendVerdict(err), Cause: err}
 	}
 	defer resp.Body.Close()
 	if resp.StatusCode != http.StatusOK {
--- a/parts/fleet/fleet.go
+++ b/parts/fleet/fleet.go
@@ -22,33 +22,33 @@
 	Service string
 	Address string
 	Domain  domain.Name
-	// Card is the kind of its accelerator, if it has one.
-	Card string
+	// Accelerator is the kind of its accelerator, if it has one.
+	Accelerator string
 	// Slots is how many requests it works on at once.
 	Slots int
 	// First and End bound the layers that it holds; both zero means none.
 	First, End int
-	// Takes is how many layers take its memory: those that it holds, gives up
+	// MemoryLayers is how many layers take its memory: those that it holds, gives up
 	// and loads.
-	Takes int
-	// Slowness is how many times as long as usual its work takes; zero means as
+	MemoryLayers int
+	// SlowdownFactor is how many times as long as usual its work takes; zero means as
 	// usual.
-	Slowness float64
-	// Moves says that it is to load layers that it does not hold yet, and can
+	SlowdownFactor float64
+	// AwaitsReload says that it is to load layers that it does not hold yet, and can
 	// only do so once the requests have ended that pass through those it gives up.
-	Moves bool
-	// Born is the time of its start; a run under an old ID is a new one if it
+	AwaitsReload bool
+	// StartedAt is the time of its start; a run under an old ID is a new one if it
 	// was born later.
-	Born time.Time
+	StartedAt time.Time
 	// Leaving servers get no new requests.
 	Leaving bool
-	// Suspect servers have just failed requests and get none unless there is
+	// Suspected servers have just failed requests and get none unless there is
 	// no other.
-	Suspect bool
+	Suspected bool
 }
 
-// Holds returns the number of layers that the server holds.
-func (s *Server) Holds() int {
+// LayerCount returns the number of layers that the server holds.
+func (s *Server) LayerCount() int {
 	return s.End - s.First
 }
 
@@ -90,9 +90,9 @@
 	return &View{Servers: servers, index: x}
 }
 
-// With returns a view of the same servers in other states: each must have the
+// WithStates returns a view of the same servers in other states: each must have the
 // position, ID, service and address that it has here. It costs far less than New.
-func (v *View) With(servers []*Server) *View {
+func (v *View) WithStates(servers []*Server) *View {
 	return &View{Servers: servers, index: v.index}
 }
 
@@ -100,11 +100,11 @@
 func youngest(servers []*Server) []*Server {
 	born := make(map[string]time.Time, len(servers))
 	for _, s := range servers {
-		if at, known := born[s.Address]; !known || at.Before(s.Born) {
-			born[s.Address] = s.Born
+		if at, known := born[s.Address]; !known || at.Before(s.StartedAt) {
+			born[s.Address] = s.StartedAt
 		}
 	}
-	return slices.DeleteFunc(servers, func(s *Server) bool { return s.Born.Before(born[s.Address]) })
+	return slices.DeleteFunc(servers, func(s *Server) bool { return s.StartedAt.Before(born[s.Address]) })
 }
 
 // Service returns the servers of a service.
@@ -113,8 +113,8 @@
 	return v.Servers[at[0]:at[1]:at[1]]
 }
 
-// At returns the server with the address, or nil.
-func (v *View) At(address string) *Server {
+// ByAddress returns the server with the address, or nil.
+func (v *View) ByAddress(address string) *Server {
 	return v.find(v.index.byAddress, address)
 }
 
@@ -131,8 +131,8 @@
 	return v.Servers[i]
 }
 
-// Position returns where in Servers the server with the ID stands.
-func (v *View) Position(id string) (i int, known bool) {
+// Index returns where in Servers the server with the ID stands.
+func (v *View) Index(id string) (i int, known bool) {
 	i, known = v.index.byID[id]
 	return i, known
 }
--- a/parts/flow/flow.go
+++ b/parts/flow/flow.go
@@ -38,8 +38,8 @@
 	Links   []Link
 }
 
-// Bound is what a pool can carry.
-type Bound struct {
+// Capacity is what a pool can carry.
+type Capacity struct {
 	// Rate is the maximum flow, in tokens per second.
 	Rate float64
 	// Servers and Links are those that bind: with any less of them, the rate
@@ -48,11 +48,11 @@
 	Links   []Link
 }
 
-// Bound returns what the pool can carry. It is zero for a pool whose servers
+// Capacity returns what the pool can carry. It is zero for a pool whose servers
 // do not cover all layers.
-func (p *Pool) Bound() Bound {
+func (p *Pool) Capacity() Capacity {
 	n := p.network()
-	b := Bound{Rate: n.maximum()}
+	b := Capacity{Rate: n.maximum()}
 	near := n.reach()
 	for i, s := range p.Servers {
 		e := n.edges[n.servers[i]]
--- a/parts/flow/flow_test.go
+++ b/parts/flow/flow_test.go
@@ -19,19 +19,19 @@
 	for _, test := range []struct {
 		name string
 		pool flow.Pool
-		want flow.Bound
+		want flow.Capacity
 	}{
-		{"empty", flow.Pool{Layers: 24}, flow.Bound{}},
-		{"no cover", flow.Pool{Layers: 24, Servers: []flow.Server{slow, fast}}, flow.Bound{}},
+		{"empty", flow.Pool{Layers: 24}, flow.Capacity{}},
+		{"no cover", flow.Pool{Layers: 24, Servers: []flow.Server{slow, fast}}, flow.Capacity{}},
 		{
 			"last stage binds",
 			flow.Pool{Layers: 24, Servers: []flow.Server{slow, fast, rest}},
-			flow.Bound{Rate: 500, Servers: []string{"rest"}},
+			flow.Capacity{Rate: 500, Servers: []string{"rest"}},
 		},
 		{
 			"a whole server adds",
 			flow.Pool{Layers: 24, Servers: []flow.Server{whole, slow, rest}},
-			flow.Bound{Rate: 150, Servers: []string{"slow", "whole"}},
+			flow.Capacity{Rate: 150, Servers: []string{"slow", "whole"}},
 		},
 		{
 			"a link binds",
@@ -39,7 +39,7 @@
 				Layers: 24, Servers: []flow.Server{slow, fast, rest},
 				Links: []flow.Link{{From: "fast", To: "rest", Rate: 30}},
 			},
-			flow.Bound{Rate: 130, Servers: []string{"slow"}, Links: []flow.Link{{From: "fast", To: "rest", Rate: 30}}},
+			flow.Capacity{Rate: 130, Servers: []string{"slow"}, Links: []flow.Link{{From: "fast", To: "rest", Rate: 30}}},
 		},
 		{
 			"a link of no stage",
@@ -47,11 +47,11 @@
 				Layers: 24, Servers: []flow.Server{slow, rest},
 				Links: []flow.Link{{From: "rest", To: "slow", Rate: 1}, {From: "gone", To: "rest", Rate: 1}},
 			},
-			flow.Bound{Rate: 100, Servers: []string{"slow"}},
+			flow.Capacity{Rate: 100, Servers: []string{"slow"}},
 		},
 	} {
 		t.Run(test.name, func(t *testing.T) {
-			qt.New(t).Assert(test.pool.Bound(), qt.DeepEquals, test.want)
+			qt.New(t).Assert(test.pool.Capacity(), qt.DeepEquals, test.want)
 		})
 	}
 }
@@ -61,7 +61,7 @@
 func TestBoundIsTheMinimumCut(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		p := drawPool(t)
-		got := p.Bound()
+		got := p.Capacity()
 		if want := minimumCut(p); got.Rate != want {
 			t.Fatalf("bound %v, minimum cut %v of %+v", got.Rate, want, p)
 		}
@@ -136,7 +136,7 @@
 	return false
 }
 
-func rateOf(p *flow.Pool, b flow.Bound) float64 {
+func rateOf(p *flow.Pool, b flow.Capacity) float64 {
 	rate := 0.0
 	for _, l := range b.Links {
 		rate += l.Rate
@@ -161,6 +161,6 @@
 		})
 	}
 	for b.Loop() {
-		p.Bound()
+		p.Capacity()
 	}
 }
--- a/parts/frame/frame.go
+++ b/parts/frame/frame.go
@@ -13,26 +13,26 @@
 	"fuchsiashelf.dev/parts/fault"
 )
 
-// Verdict is what to do with a frame.
-type Verdict uint8
+// Result is what to do with a frame.
+type Result uint8
 
 // The verdicts.
 const (
 	// Drop means that the frame belongs to another attempt or request.
-	Drop Verdict = iota
+	Drop Result = iota
 	// Token means that the frame carries the next token.
 	Token
 	// End means that the answer is whole.
 	End
 	// Failed means that a server of the chain failed.
 	Failed
-	// Broken means that the attempt cannot be trusted any more.
-	Broken
+	// Invalid means that the attempt cannot be trusted any more.
+	Invalid
 )
 
-// Check holds the state of one attempt. Set the fields, then call Next for
+// Validator holds the state of one attempt. Set the fields, then call Next for
 // each frame.
-type Check struct {
+type Validator struct {
 	Request string
 	Attempt int
 	Layers  int
@@ -45,7 +45,7 @@
 
 // Next judges a frame and moves on past a token. The error is set with
 // Failed and Broken.
-func (c *Check) Next(f *engine.Frame) (Verdict, *fault.Error) {
+func (c *Validator) Next(f *engine.Frame) (Result, *fault.Error) {
 	if f.Request != c.Request || f.Attempt != c.Attempt {
 		return Drop, nil
 	}
@@ -54,15 +54,15 @@
 	}
 	if f.End {
 		if f.Count != c.Index {
-			return Broken, broken("the end counts %d tokens, %d came", f.Count, c.Index)
+			return Invalid, broken("the end counts %d tokens, %d came", f.Count, c.Index)
 		}
 		return End, nil
 	}
 	if f.Index != c.Index {
-		return Broken, broken("token %d came in place of %d", f.Index, c.Index)
+		return Invalid, broken("token %d came in place of %d", f.Index, c.Index)
 	}
 	if e := c.cover(f.Spans); e != nil {
-		return Broken, e
+		return Invalid, e
 	}
 	c.Index++
 	return Token, nil
@@ -70,10 +70,10 @@
 
 // failed is the error that a failure frame stands for. A server that refused
 // did not run the request, but those before it in the chain may have.
-func failed(f *engine.Fail) *fault.Error {
+func failed(f *engine.Failure) *fault.Error {
 	e := &fault.Error{
 		Code: fault.ServerFailed, Verdict: fault.MayHaveRun,
-		Server: f.Server, Message: f.What,
+		Server: f.Server, Message: f.Message,
 	}
 	if f.Refused {
 		e.Code = fault.ServerRefused
@@ -82,7 +82,7 @@
 }
 
 // cover checks that the spans tile [0, Layers) in order.
-func (c *Check) cover(spans []engine.Span) *fault.Error {
+func (c *Validator) cover(spans []engine.Span) *fault.Error {
 	// A server that stops short leaves a gap before the next one. Compared
 	// with the chain first, the error names the server that is at fault; were
 	// the next one blamed, each later attempt would meet the faulty one again.
@@ -107,7 +107,7 @@
 // same checks that the spans are the stages of the chain. Spans of other
 // servers that happen to tile the layers too come from another request's
 // chain, or from a server that handed on to one that it was not told of.
-func (c *Check) same(spans []engine.Span) *fault.Error {
+func (c *Validator) same(spans []engine.Span) *fault.Error {
 	if c.Chain == nil {
 		return nil
 	}
--- a/parts/frame/frame_test.go
+++ b/parts/frame/frame_test.go
@@ -15,8 +15,8 @@
 	{Server: "a1", First: 0, End: 8}, {Server: "a2", First: 8, End: 16}, {Server: "a3", First: 16, End: 24},
 }
 
-func check() *Check {
-	return &Check{Request: "r1", Attempt: 2, Layers: 24, Index: 3, Chain: stages}
+func check() *Validator {
+	return &Validator{Request: "r1", Attempt: 2, Layers: 24, Index: 3, Chain: stages}
 }
 
 // good is the frame that is due.
@@ -35,26 +35,26 @@
 	for _, test := range []struct {
 		name   string
 		change func(*engine.Frame)
-		want   Verdict
+		want   Result
 	}{
 		{"the next token", func(*engine.Frame) {}, Token},
 		{"another request", func(f *engine.Frame) { f.Request = "r2" }, Drop},
 		{"an older attempt", func(f *engine.Frame) { f.Attempt = 1 }, Drop},
 		{"an end of an older attempt", func(f *engine.Frame) { f.Attempt, f.End, f.Count = 1, true, 3 }, Drop},
-		{"a failure of an older attempt", func(f *engine.Frame) { f.Attempt, f.Fail = 1, &engine.Fail{} }, Drop},
-		{"a doubled token", func(f *engine.Frame) { f.Index = 2 }, Broken},
-		{"a skipped token", func(f *engine.Frame) { f.Index = 4 }, Broken},
-		{"no spans", func(f *engine.Frame) { f.Spans = nil }, Broken},
-		{"a missing stage", func(f *engine.Frame) { f.Spans = f.Spans[:2] }, Broken},
-		{"a doubled stage", func(f *engine.Frame) { f.Spans = append(f.Spans[:2], f.Spans[1:]...) }, Broken},
-		{"a gap", func(f *engine.Frame) { f.Spans[1].First = 9 }, Broken},
-		{"an overlap", func(f *engine.Frame) { f.Spans[1].First = 7 }, Broken},
-		{"layers beyond the model", func(f *engine.Frame) { f.Spans[2].End = 25 }, Broken},
-		{"another server", func(f *engine.Frame) { f.Spans[1].Server = "b2" }, Broken},
-		{"another cut between two servers", func(f *engine.Frame) { f.Spans[0].End, f.Spans[1].First = 9, 9 }, Broken},
+		{"a failure of an older attempt", func(f *engine.Frame) { f.Attempt, f.Fail = 1, &engine.Failure{} }, Drop},
+		{"a doubled token", func(f *engine.Frame) { f.Index = 2 }, Invalid},
+		{"a skipped token", func(f *engine.Frame) { f.Index = 4 }, Invalid},
+		{"no spans", func(f *engine.Frame) { f.Spans = nil }, Invalid},
+		{"a missing stage", func(f *engine.Frame) { f.Spans = f.Spans[:2] }, Invalid},
+		{"a doubled stage", func(f *engine.Frame) { f.Spans = append(f.Spans[:2], f.Spans[1:]...) }, Invalid},
+		{"a gap", func(f *engine.Frame) { f.Spans[1].First = 9 }, Invalid},
+		{"an overlap", func(f *engine.Frame) { f.Spans[1].First = 7 }, Invalid},
+		{"layers beyond the model", func(f *engine.Frame) { f.Spans[2].End = 25 }, Invalid},
+		{"another server", func(f *engine.Frame) { f.Spans[1].Server = "b2" }, Invalid},
+		{"another cut between two servers", func(f *engine.Frame) { f.Spans[0].End, f.Spans[1].First = 9, 9 }, Invalid},
 		{"the end", func(f *engine.Frame) { f.End, f.Count = true, 3 }, End},
-		{"an early end", func(f *engine.Frame) { f.End, f.Count = true, 4 }, Broken},
-		{"a failure", func(f *engine.Frame) { f.Fail = &engine.Fail{Server: "a2"} }, Failed},
+		{"an early end", func(f *engine.Frame) { f.End, f.Count = true, 4 }, Invalid},
+		{"a failure", func(f *engine.Frame) { f.Fail = &engine.Failure{Server: "a2"} }, Failed},
 	} {
 		t.Run(test.name, func(t *testing.T) {
 			c := quicktest.New(t)
@@ -63,7 +63,7 @@
 			state := check()
 			verdict, e := state.Next(&f)
 			c.Assert(verdict, quicktest.Equals, test.want)
-			c.Assert(e != nil, quicktest.Equals, verdict == Broken || verdict == Failed)
+			c.Assert(e != nil, quicktest.Equals, verdict == Invalid || verdict == Failed)
 			if e != nil {
 				c.Assert(e.Verdict, quicktest.Equals, fault.MayHaveRun)
 			}
@@ -85,7 +85,7 @@
 // tokens taken are those of the current attempt, each once and in order.
 func TestMixedFrames(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
-		state := &Check{Request: "r1", Attempt: 2, Layers: 24, Chain: stages}
+		state := &Validator{Request: "r1", Attempt: 2, Layers: 24, Chain: stages}
 		var taken []string
 		for range rapid.IntRange(0, 60).Draw(t, "frames") {
 			f := good()
@@ -120,9 +120,9 @@
 		if json.Unmarshal(line, &in) != nil {
 			return
 		}
-		state := &Check{Request: "r1", Attempt: 2, Layers: 24, Index: 3}
+		state := &Validator{Request: "r1", Attempt: 2, Layers: 24, Index: 3}
 		verdict, e := state.Next(&in)
-		if (e != nil) != (verdict == Broken || verdict == Failed) {
+		if (e != nil) != (verdict == Invalid || verdict == Failed) {
 			t.Fatalf("verdict %d with error %v", verdict, e)
 		}
 		if verdict != Token {
--- a/parts/health/avoid.go
+++ b/parts/health/avoid.go
@@ -10,9 +10,9 @@
 	avoidMost = 16 * time.Second
 )
 
-// Avoid returns how long to avoid a server after so many failures in a row.
+// SuspectFor returns how long to avoid a server after so many failures in a row.
 // It doubles with each.
-func Avoid(failures int64) time.Duration {
+func SuspectFor(failures int64) time.Duration {
 	d := avoidBase
 	for ; failures > 1 && d < avoidMost; failures-- {
 		d *= 2
--- a/parts/health/health_test.go
+++ b/parts/health/health_test.go
@@ -26,7 +26,7 @@
 		link.Observe(6 * time.Millisecond)
 	}
 	c.Assert(link.Degraded(), quicktest.IsTrue, quicktest.Commentf("a long degradation became usual"))
-	link.Forgive()
+	link.Reset()
 	c.Assert(link.Degraded(), quicktest.IsFalse)
 }
 
@@ -50,9 +50,9 @@
 	for failures, want := range []time.Duration{
 		avoidBase, avoidBase, 2 * avoidBase, 4 * avoidBase, 8 * avoidBase,
 	} {
-		c.Check(Avoid(int64(failures)), quicktest.Equals, want)
+		c.Check(SuspectFor(int64(failures)), quicktest.Equals, want)
 	}
-	c.Assert(Avoid(1000), quicktest.Equals, avoidMost)
+	c.Assert(SuspectFor(1000), quicktest.Equals, avoidMost)
 }
 
 // A whole stage becomes slow at once, for example since its switch is. Were
--- a/parts/health/trend.go
+++ b/parts/health/trend.go
@@ -64,13 +64,13 @@
 	average.Store(math.Float64bits(old + weight*(value-old)))
 }
 
-// Now returns the average of the latest figures, zero without any.
-func (t *Trend) Now() time.Duration {
+// Current returns the average of the latest figures, zero without any.
+func (t *Trend) Current() time.Duration {
 	return time.Duration(math.Float64frombits(t.fast.Load()))
 }
 
-// Past returns the average that Now is compared with.
-func (t *Trend) Past() time.Duration {
+// Baseline returns the average that Now is compared with.
+func (t *Trend) Baseline() time.Duration {
 	return time.Duration(math.Float64frombits(t.slow.Load()))
 }
 
@@ -87,12 +87,12 @@
 	if t.count.Load() < warmUp {
 		return false
 	}
-	now, past := t.Now(), t.Past()
+	now, past := t.Current(), t.Baseline()
 	return now > degradedTimes*past && now > past+degradedBy
 }
 
-// Forgive takes the past for the present, so that a degraded one is tried
+// Reset takes the past for the present, so that a degraded one is tried
 // again and has to show itself degraded anew.
-func (t *Trend) Forgive() {
+func (t *Trend) Reset() {
 	t.fast.Store(t.slow.Load())
 }
--- a/parts/hops/cost.go
+++ b/parts/hops/cost.go
@@ -43,23 +43,23 @@
 	fullest = 0.92
 )
 
-// Room returns how many tokens x layers a server has for requests.
-func Room(e *route.Engine, s *fleet.Server) float64 {
-	card, known := e.Cards[s.Card]
+// Capacity returns how many tokens x layers a server has for requests.
+func Capacity(e *route.Engine, s *fleet.Server) float64 {
+	card, known := e.Accelerators[s.Accelerator]
 	if !known || e.TokenBytes <= 0 {
 		return math.Inf(1)
 	}
-	free := (card.MemoryMB - float64(max(s.Takes, s.Holds()))*e.LayerMB) * 1e6
+	free := (card.MemoryMB - float64(max(s.MemoryLayers, s.LayerCount()))*e.LayerMB) * 1e6
 	return max(0, free) / (e.TokenBytes / float64(e.Layers))
 }
 
 // layersCost is the cost of running the layers [first, end) on a server.
 func (q *Query) layersCost(o offer, first, end int) float64 {
 	share := float64(end-first) / float64(q.Engine.Layers)
-	if len(q.Kept) == 0 {
+	if len(q.Cached) == 0 {
 		return share * o.spread * (o.write + o.read)
 	}
-	kept, known := q.Kept[o.server.Address]
+	kept, known := q.Cached[o.server.Address]
 	if known && kept.First == first && kept.End == end {
 		return share * o.write
 	}
@@ -83,10 +83,10 @@
 func (q *Query) offers(index map[domain.Name]int) []offer {
 	var list []offer
 	for _, s := range q.Servers {
-		if s.Holds() <= 0 || s.Leaving || s.Suspect && !q.Suspects || q.Avoid[s.Address] {
+		if s.LayerCount() <= 0 || s.Leaving || s.Suspected && !q.AllowSuspected || q.Avoid[s.Address] {
 			continue
 		}
-		if q.Start != nil && s.Address == q.Start.Server.Address {
+		if q.FixedFirst != nil && s.Address == q.FixedFirst.Server.Address {
 			continue
 		}
 		if o, fits := q.offer(s); fits {
@@ -101,18 +101,18 @@
 // into its memory.
 func (q *Query) offer(s *fleet.Server) (offer, bool) {
 	used := q.Used(s.ID)
-	room := Room(q.Engine, s)
-	need := float64(q.Prompt+q.Answer) * float64(s.Holds())
+	room := Capacity(q.Engine, s)
+	need := float64(q.Prompt+q.Answer) * float64(s.LayerCount())
 	taken := (used.TokenLayers + need) / max(room, 1)
-	_, kept := q.Kept[s.Address]
-	if (used.Full || taken > fullest) && !q.Crowded && !kept {
+	_, kept := q.Cached[s.Address]
+	if (used.Full || taken > fullest) && !q.Overcommit && !kept {
 		return offer{}, false
 	}
 	o := offer{server: s}
-	o.read, o.write = q.Seconds(s, used.Requests)
+	o.read, o.write = q.EstimateTimes(s, used.Requests)
 	// Only these can start a chain; the others need not be asked about.
 	if s.First == 0 {
-		o.occupied = s.Slots > 0 && used.Starts >= fullest*float64(s.Slots) && !q.Crowded
+		o.occupied = s.Slots > 0 && used.Starts >= fullest*float64(s.Slots) && !q.Overcommit
 		if q.Delay != nil {
 			o.delay = q.Delay(s.ID)
 		}
@@ -125,19 +125,19 @@
 	return o, true
 }
 
-// Seconds returns the times in which a server that works on some others would
+// EstimateTimes returns the times in which a server that works on some others would
 // read the prompt and write the answer if it ran all layers.
-func (q *Query) Seconds(s *fleet.Server, others float64) (read, write float64) {
+func (q *Query) EstimateTimes(s *fleet.Server, others float64) (read, write float64) {
 	e := q.Engine
-	card, known := e.Cards[s.Card]
+	card, known := e.Accelerators[s.Accelerator]
 	if !known {
-		card = route.Card{Pace: 1, Read: 1}
+		card = route.Accelerator{StepFactor: 1, PrefillFactor: 1}
 	}
-	context := others * float64(e.UsualPrompt+e.UsualAnswer/2) / 1000
-	step := e.Step.Seconds() + e.StepEach.Seconds()*others + e.StepContext.Seconds()*context
-	slow := max(1, s.Slowness)
-	write = slow * busyPass * step * card.Pace * float64(q.Answer)
-	read = slow * float64(q.Prompt) / max(e.ReadPerSec, 1) * card.Read
+	context := others * float64(e.MeanPrompt+e.MeanAnswer/2) / 1000
+	step := e.Step.Seconds() + e.StepPerRequest.Seconds()*others + e.StepPerKiloToken.Seconds()*context
+	slow := max(1, s.SlowdownFactor)
+	write = slow * busyPass * step * card.StepFactor * float64(q.Answer)
+	read = slow * float64(q.Prompt) / max(e.PrefillPerSec, 1) * card.PrefillFactor
 	return read, write
 }
 
@@ -151,20 +151,20 @@
 // hop is the cost of a further server in the chain, over all passes of the
 // answer.
 func (q *Query) hop() float64 {
-	passes := 1 + float64(q.Answer)/float64(max(q.Engine.Stride, 1))
+	passes := 1 + float64(q.Answer)/float64(max(q.Engine.StepsPerPass, 1))
 	return passSeconds * passes
 }
 
 // crossing is the cost of moving the prompt's activations between domains.
 func (q *Query) crossing() float64 {
-	return crossWeight * Transfer(q.Engine, q.Prompt).Seconds()
+	return crossWeight * TransferTime(q.Engine, q.Prompt).Seconds()
 }
 
-// Transfer returns how long the activations of so many tokens take on the link
+// TransferTime returns how long the activations of so many tokens take on the link
 // between two failure domains.
-func Transfer(e *route.Engine, tokens int) time.Duration {
-	if e.PipeMbps <= 0 {
+func TransferTime(e *route.Engine, tokens int) time.Duration {
+	if e.InterDomainMbps <= 0 {
 		return 0
 	}
-	return time.Duration(float64(tokens) * e.HopBytes * 8 / (e.PipeMbps * 1e6) * float64(time.Second))
+	return time.Duration(float64(tokens) * e.HopBytes * 8 / (e.InterDomainMbps * 1e6) * float64(time.Second))
 }
--- a/parts/hops/herd_test.go
+++ b/parts/hops/herd_test.go
@@ -16,7 +16,7 @@
 // requests each, another one for all.
 type herd struct {
 	servers []*fleet.Server
-	hosts   []*hops.Ledger
+	hosts   []*hops.LoadTracker
 	// repeats is the retry budget that each host has left.
 	repeats []int
 	running map[string]int
@@ -36,7 +36,7 @@
 		h.servers = append(h.servers, server(fmt.Sprintf("fast-%d", i), "a", "big", 0, layers))
 	}
 	for range herdHosts {
-		h.hosts = append(h.hosts, &hops.Ledger{})
+		h.hosts = append(h.hosts, &hops.LoadTracker{})
 		h.repeats = append(h.repeats, herdRepeats)
 	}
 	return h
@@ -52,7 +52,7 @@
 			h.running[id]++
 			return true
 		}
-		h.hosts[host].Refused(id, now)
+		h.hosts[host].RecordRefusal(id, now)
 		if h.repeats[host] == 0 {
 			return false
 		}
@@ -80,10 +80,10 @@
 // exchange sends the refusals that each host knows of to all others.
 func (h *herd) exchange(now time.Time) {
 	for _, from := range h.hosts {
-		full := from.Full(now)
+		full := from.Saturated(now)
 		for _, to := range h.hosts {
 			for id, left := range full {
-				to.RefusedElsewhere(id, left, now)
+				to.RecordRemoteRefusal(id, left, now)
 			}
 		}
 	}
--- a/parts/hops/hops.go
+++ b/parts/hops/hops.go
@@ -24,23 +24,23 @@
 	"fuchsiashelf.dev/parts/route"
 )
 
-// Part is what one server runs of a chain.
-type Part struct {
+// Stage is what one server runs of a chain.
+type Stage struct {
 	Server *fleet.Server
 	// First and End bound the layers that it runs.
 	First, End int
 }
 
 // Chain is a sequence of parts that tiles the layers of a model.
-type Chain []Part
+type Chain []Stage
 
 // Has reports whether the server with the address is part of the chain.
 func (c Chain) Has(address string) bool {
-	return slices.ContainsFunc(c, func(p Part) bool { return p.Server.Address == address })
+	return slices.ContainsFunc(c, func(p Stage) bool { return p.Server.Address == address })
 }
 
-// Tiles reports whether the chain runs each of the layers once and in order.
-func (c Chain) Tiles(layers int) bool {
+// Complete reports whether the chain runs each of the layers once and in order.
+func (c Chain) Complete(layers int) bool {
 	at := 0
 	for _, p := range c {
 		if p.First != at || p.End <= p.First {
@@ -56,8 +56,8 @@
 	Engine *route.Engine
 	// Servers are those of the service.
 	Servers []*fleet.Server
-	// Home is the failure domain of the entry host.
-	Home domain.Name
+	// LocalDomain is the failure domain of the entry host.
+	LocalDomain domain.Name
 	// Prompt and Answer are the expected sizes in tokens.
 	Prompt, Answer int
 	// Avoid holds addresses that must not be used.
@@ -68,21 +68,21 @@
 	// Delay returns the seconds that starting at a server is expected to cost
 	// beyond the work itself: requests wait or fail there. Nil means none.
 	Delay func(id string) float64
-	// Start is the first part, if it is fixed.
-	Start *Part
-	// Kept holds the parts that already hold the tokens, by their servers'
+	// FixedFirst is the first part, if it is fixed.
+	FixedFirst *Stage
+	// Cached holds the parts that already hold the tokens, by their servers'
 	// addresses. Only the same server with the same layers reads nothing again.
-	Kept map[string]Part
-	// Crowded permits promising more than the memory of the servers, as
+	Cached map[string]Stage
+	// Overcommit permits promising more than the memory of the servers, as
 	// far as the engines queue what does not fit.
-	Crowded bool
-	// Cut says that servers of one failure domain do not reach those of
+	Overcommit bool
+	// Partitioned says that servers of one failure domain do not reach those of
 	// another; nil means that all do.
-	Cut func(from, to domain.Name) bool
-	// Within keeps the chain within one failure domain.
-	Within bool
-	// Suspects permits servers that are suspected of having failed.
-	Suspects bool
+	Partitioned func(from, to domain.Name) bool
+	// SingleDomain keeps the chain within one failure domain.
+	SingleDomain bool
+	// AllowSuspected permits servers that are suspected of having failed.
+	AllowSuspected bool
 }
 
 // Usage is what is taken of a server.
@@ -106,7 +106,7 @@
 		// each server is left only at its end, none can come again.
 		chain = q.search(true)
 	}
-	if chain == nil || !chain.Tiles(q.Engine.Layers) {
+	if chain == nil || !chain.Complete(q.Engine.Layers) {
 		return nil
 	}
 	return chain
--- a/parts/hops/hops_test.go
+++ b/parts/hops/hops_test.go
@@ -19,23 +19,23 @@
 // engine is a model of 80 layers on two kinds of cards.
 func engine() *route.Engine {
 	return &route.Engine{
-		Layers: layers, LayerMB: 1750, TokenBytes: 590_000, HopBytes: 29_500, PipeMbps: 11_000,
-		Step: 850 * time.Microsecond, StepEach: 4 * time.Microsecond, StepContext: 5 * time.Microsecond,
-		ReadPerSec: 196_000, Stride: 2, UsualPrompt: 772, UsualAnswer: 174,
-		Cards: map[string]route.Card{
-			"big":   {MemoryMB: 400_000, Pace: 1.4, Read: 1},
-			"small": {MemoryMB: 400_000, Pace: 16, Read: 8.2},
+		Layers: layers, LayerMB: 1750, TokenBytes: 590_000, HopBytes: 29_500, InterDomainMbps: 11_000,
+		Step: 850 * time.Microsecond, StepPerRequest: 4 * time.Microsecond, StepPerKiloToken: 5 * time.Microsecond,
+		PrefillPerSec: 196_000, StepsPerPass: 2, MeanPrompt: 772, MeanAnswer: 174,
+		Accelerators: map[string]route.Accelerator{
+			"big":   {MemoryMB: 400_000, StepFactor: 1.4, PrefillFactor: 1},
+			"small": {MemoryMB: 400_000, StepFactor: 16, PrefillFactor: 8.2},
 		},
 	}
 }
 
 func server(name string, in domain.Name, card string, first, end int) *fleet.Server {
-	return &fleet.Server{ID: name, Address: name + ":1", Domain: in, Card: card, First: first, End: end}
+	return &fleet.Server{ID: name, Address: name + ":1", Domain: in, Accelerator: card, First: first, End: end}
 }
 
 func query(servers ...*fleet.Server) *hops.Query {
 	return &hops.Query{
-		Engine: engine(), Servers: servers, Home: "a", Prompt: 772, Answer: 174,
+		Engine: engine(), Servers: servers, LocalDomain: "a", Prompt: 772, Answer: 174,
 		Used: func(string) hops.Usage { return hops.Usage{} },
 	}
 }
@@ -76,7 +76,7 @@
 		server("a1", "a", "small", 0, 40), server("b1", "b", "small", 40, 80),
 		server("b0", "b", "small", 0, 40),
 	)
-	q.Cut = func(from, to domain.Name) bool { return true }
+	q.Partitioned = func(from, to domain.Name) bool { return true }
 	qt.Assert(t, q.Pick().String(), qt.Equals, "b0=0-40 b1=40-80")
 }
 
@@ -95,7 +95,7 @@
 	qt.Assert(t, q.Pick().String(), qt.Equals, "a2=0-9 a3=9-80")
 	q.Used = func(string) hops.Usage { return hops.Usage{Full: true} }
 	qt.Assert(t, q.Pick(), qt.IsNil)
-	q.Crowded = true
+	q.Overcommit = true
 	qt.Assert(t, q.Pick(), qt.IsNotNil)
 }
 
@@ -104,12 +104,12 @@
 // refusal is certain.
 func TestSuspectsAreLastResort(t *testing.T) {
 	a1 := server("a1", "a", "big", 0, 40)
-	a1.Suspect = true
+	a1.Suspected = true
 	q := query(a1, server("a2", "a", "small", 0, 40), server("a3", "a", "small", 40, 80))
 	qt.Assert(t, q.Pick().String(), qt.Equals, "a2=0-40 a3=40-80")
 	q = query(a1, server("a3", "a", "small", 40, 80))
 	qt.Assert(t, q.Pick(), qt.IsNil)
-	q.Suspects = true
+	q.AllowSuspected = true
 	qt.Assert(t, q.Pick().String(), qt.Equals, "a1=0-40 a3=40-80")
 }
 
@@ -118,7 +118,7 @@
 func TestDetourKeepsFirstPart(t *testing.T) {
 	first := server("a1", "a", "small", 0, 10)
 	q := query(first, server("a2", "a", "small", 5, 80), server("a3", "a", "small", 0, 80))
-	q.Start = &hops.Part{Server: first, First: 0, End: 10}
+	q.FixedFirst = &hops.Stage{Server: first, First: 0, End: 10}
 	q.Avoid = map[string]bool{"a3:1": true}
 	qt.Assert(t, q.Pick().String(), qt.Equals, "a1=0-10 a2=10-80")
 	q.Avoid["a2:1"] = true
@@ -134,8 +134,8 @@
 	next := server("c", "a", "small", 35, 60)
 	last := server("d", "a", "small", 60, 80)
 	q := query(first, next, last, server("e", "a", "small", 20, 60))
-	q.Start = &hops.Part{Server: first, First: 0, End: 20}
-	q.Kept = map[string]hops.Part{
+	q.FixedFirst = &hops.Stage{Server: first, First: 0, End: 20}
+	q.Cached = map[string]hops.Stage{
 		next.Address: {Server: next, First: 40, End: 60},
 		last.Address: {Server: last, First: 60, End: 80},
 	}
@@ -173,7 +173,7 @@
 		return hops.Usage{}
 	}
 	qt.Assert(t, q.Pick().String(), qt.Equals, "a1=0-40 a3=40-80")
-	slow.Slowness = 4
+	slow.SlowdownFactor = 4
 	qt.Assert(t, q.Pick().String(), qt.Equals, "a2=0-40 a3=40-80")
 }
 
@@ -182,7 +182,7 @@
 func TestNoServerTwice(t *testing.T) {
 	q := query(server("a1", "a", "small", 0, 80), server("a2", "a", "big", 30, 50))
 	chain := q.Pick()
-	qt.Assert(t, chain.Tiles(layers), qt.IsTrue)
+	qt.Assert(t, chain.Complete(layers), qt.IsTrue)
 	seen := map[string]bool{}
 	for _, p := range chain {
 		qt.Assert(t, seen[p.Server.ID], qt.IsFalse)
@@ -206,12 +206,12 @@
 			servers = append(servers, s)
 		}
 		q := query(servers...)
-		q.Crowded = true
+		q.Overcommit = true
 		chain := q.Pick()
 		if chain == nil {
 			return
 		}
-		if !chain.Tiles(layers) {
+		if !chain.Complete(layers) {
 			t.Fatalf("%s does not tile", chain)
 		}
 		for _, p := range chain {
@@ -223,17 +223,17 @@
 }
 
 func TestLedger(t *testing.T) {
-	var l hops.Ledger
+	var l hops.LoadTracker
 	s := server("a1", "a", "small", 0, 80)
 	release := l.Reserve(hops.Chain{{Server: s, First: 0, End: 80}}, 100)
-	l.Tell("entry-2", map[string]hops.Usage{"a1": {TokenLayers: 50, Requests: 2}})
+	l.SetRemote("entry-2", map[string]hops.Usage{"a1": {TokenLayers: 50, Requests: 2}})
 	qt.Assert(t, l.Used("a1"), qt.Equals, hops.Usage{TokenLayers: 8050, Requests: 3, Starts: 1})
 	release()
 	release()
 	qt.Assert(t, l.Used("a1"), qt.Equals, hops.Usage{TokenLayers: 50, Requests: 2})
-	l.Tell("entry-2", nil)
+	l.SetRemote("entry-2", nil)
 	now := time.Unix(1000, 0)
-	l.Refused("a1", now)
+	l.RecordRefusal("a1", now)
 	qt.Assert(t, l.Used("a1").Full, qt.IsTrue)
 	l.Sweep(now.Add(time.Second))
 	qt.Assert(t, l.Used("a1"), qt.Equals, hops.Usage{})
--- a/parts/hops/ledger.go
+++ b/parts/hops/ledger.go
@@ -5,9 +5,9 @@
 	"time"
 )
 
-// Ledger counts what the requests in flight take of each server: those of this entry
+// LoadTracker counts what the requests in flight take of each server: those of this entry
 // host exactly, those of others as of their last message.
-type Ledger struct {
+type LoadTracker struct {
 	mu     sync.Mutex
 	own    map[string]Usage
 	others map[string]map[string]Usage
@@ -37,9 +37,9 @@
 	transitTime = fullFor / 2
 )
 
-// Refused records that a server refused a request. It reports whether the server did
+// RecordRefusal records that a server refused a request. It reports whether the server did
 // not count as full before.
-func (l *Ledger) Refused(id string, now time.Time) (news bool) {
+func (l *LoadTracker) RecordRefusal(id string, now time.Time) (news bool) {
 	l.mu.Lock()
 	defer l.mu.Unlock()
 	if l.full == nil {
@@ -59,9 +59,9 @@
 	return true
 }
 
-// RefusedElsewhere records that a server refused a request of another entry host, for
+// RecordRemoteRefusal records that a server refused a request of another entry host, for
 // which it counts as full for the time left.
-func (l *Ledger) RefusedElsewhere(id string, left time.Duration, now time.Time) {
+func (l *LoadTracker) RecordRemoteRefusal(id string, left time.Duration, now time.Time) {
 	l.mu.Lock()
 	defer l.mu.Unlock()
 	if l.full == nil {
@@ -74,8 +74,8 @@
 	}
 }
 
-// Full returns for how long which servers count as full.
-func (l *Ledger) Full(now time.Time) map[string]time.Duration {
+// Saturated returns for how long which servers count as full.
+func (l *LoadTracker) Saturated(now time.Time) map[string]time.Duration {
 	l.mu.Lock()
 	defer l.mu.Unlock()
 	list := map[string]time.Duration{}
@@ -87,8 +87,8 @@
 	return list
 }
 
-// Accepted notes that the servers of a chain took a request.
-func (l *Ledger) Accepted(c Chain) {
+// RecordAccepted notes that the servers of a chain took a request.
+func (l *LoadTracker) RecordAccepted(c Chain) {
 	l.mu.Lock()
 	defer l.mu.Unlock()
 	for _, p := range c {
@@ -97,7 +97,7 @@
 }
 
 // Sweep ends the pauses of servers that refused, and removes old ones.
-func (l *Ledger) Sweep(now time.Time) {
+func (l *LoadTracker) Sweep(now time.Time) {
 	l.mu.Lock()
 	defer l.mu.Unlock()
 	for id, r := range l.full {
@@ -112,7 +112,7 @@
 
 // Reserve books a chain for a request of the given size until release is
 // called.
-func (l *Ledger) Reserve(c Chain, tokens int) (release func()) {
+func (l *LoadTracker) Reserve(c Chain, tokens int) (release func()) {
 	l.add(c, float64(tokens), 1)
 	var once sync.Once
 	return func() {
@@ -120,7 +120,7 @@
 	}
 }
 
-func (l *Ledger) add(c Chain, tokens, requests float64) {
+func (l *LoadTracker) add(c Chain, tokens, requests float64) {
 	l.mu.Lock()
 	defer l.mu.Unlock()
 	if l.own == nil {
@@ -137,7 +137,7 @@
 }
 
 // sumTotal adds a usage to the total, or takes it away. The mutex is held.
-func (l *Ledger) sumTotal(id string, u Usage, sign float64) {
+func (l *LoadTracker) sumTotal(id string, u Usage, sign float64) {
 	if l.total == nil {
 		l.total = map[string]Usage{}
 	}
@@ -158,8 +158,8 @@
 	of[id] = now
 }
 
-// Own returns what this entry host's requests take.
-func (l *Ledger) Own() map[string]Usage {
+// Local returns what this entry host's requests take.
+func (l *LoadTracker) Local() map[string]Usage {
 	l.mu.Lock()
 	defer l.mu.Unlock()
 	own := make(map[string]Usage, len(l.own))
@@ -169,8 +169,8 @@
 	return own
 }
 
-// Tell replaces what another entry host's requests take; nil forgets it.
-func (l *Ledger) Tell(entry string, used map[string]Usage) {
+// SetRemote replaces what another entry host's requests take; nil forgets it.
+func (l *LoadTracker) SetRemote(entry string, used map[string]Usage) {
 	l.mu.Lock()
 	defer l.mu.Unlock()
 	if l.others == nil {
@@ -190,7 +190,7 @@
 }
 
 // Used returns what all requests take of a server.
-func (l *Ledger) Used(id string) Usage {
+func (l *LoadTracker) Used(id string) Usage {
 	l.mu.Lock()
 	defer l.mu.Unlock()
 	u := l.total[id]
--- a/parts/hops/ledger_test.go
+++ b/parts/hops/ledger_test.go
@@ -14,17 +14,17 @@
 // Guards against a server that leaves while the object API is away, and is tried
 // by a request every 200 ms although it refuses them all.
 func TestServerThatGoesOnRefusingIsTriedLessOften(t *testing.T) {
-	var l hops.Ledger
+	var l hops.LoadTracker
 	now := time.Unix(1_000_000, 0)
 	tries := 0
 	for range 1000 {
 		l.Sweep(now)
 		if !l.Used("a").Full {
 			tries++
-			l.Refused("a", now)
+			l.RecordRefusal("a", now)
 		}
 		// Others that were on their way do not lengthen the pause.
-		l.Refused("a", now)
+		l.RecordRefusal("a", now)
 		now = now.Add(10 * time.Millisecond)
 	}
 	qt.Check(t, tries <= 10, qt.IsTrue, qt.Commentf("%d tries in 10 s", tries))
@@ -33,16 +33,16 @@
 
 // Guards against a server that was full for a moment and stays unused.
 func TestServerThatAcceptsAgainIsUsed(t *testing.T) {
-	var l hops.Ledger
+	var l hops.LoadTracker
 	now := time.Unix(1_000_000, 0)
 	chain := hops.Chain{{Server: server("a", "d", "small", 0, 80), First: 0, End: 80}}
 	for range 3 {
-		l.Refused("a", now)
+		l.RecordRefusal("a", now)
 		qt.Check(t, l.Used("a").Full, qt.IsTrue)
 		now = now.Add(250 * time.Millisecond)
 		l.Sweep(now)
 		qt.Check(t, l.Used("a").Full, qt.IsFalse)
-		l.Accepted(chain)
+		l.RecordAccepted(chain)
 	}
 }
 
@@ -50,16 +50,16 @@
 // the other, and against a server that is left out for good since entry hosts hand
 // each other the word that it is full.
 func TestRefusalsOfOthersCount(t *testing.T) {
-	var one, other hops.Ledger
+	var one, other hops.LoadTracker
 	now := time.Unix(1_000_000, 0)
-	qt.Check(t, one.Refused("a", now), qt.IsTrue)
-	qt.Check(t, one.Refused("a", now), qt.IsFalse)
+	qt.Check(t, one.RecordRefusal("a", now), qt.IsTrue)
+	qt.Check(t, one.RecordRefusal("a", now), qt.IsFalse)
 	for range 100 {
-		for id, left := range one.Full(now) {
-			other.RefusedElsewhere(id, left, now)
+		for id, left := range one.Saturated(now) {
+			other.RecordRemoteRefusal(id, left, now)
 		}
-		for id, left := range other.Full(now) {
-			one.RefusedElsewhere(id, left, now)
+		for id, left := range other.Saturated(now) {
+			one.RecordRemoteRefusal(id, left, now)
 		}
 		qt.Check(t, other.Used("a").Full, qt.Equals, one.Used("a").Full)
 		now = now.Add(10 * time.Millisecond)
@@ -73,15 +73,15 @@
 // Guards against a server that is left out for good since transit times of messages
 // add up.
 func TestRefusalsEndDespiteTransitTimes(t *testing.T) {
-	var one, other hops.Ledger
+	var one, other hops.LoadTracker
 	now := time.Unix(1_000_000, 0)
-	one.Refused("a", now)
+	one.RecordRefusal("a", now)
 	for range 40 {
-		for _, pair := range [][2]*hops.Ledger{{&one, &other}, {&other, &one}} {
-			list := pair[0].Full(now)
+		for _, pair := range [][2]*hops.LoadTracker{{&one, &other}, {&other, &one}} {
+			list := pair[0].Saturated(now)
 			now = now.Add(20 * time.Millisecond)
 			for id, left := range list {
-				pair[1].RefusedElsewhere(id, left, now)
+				pair[1].RecordRemoteRefusal(id, left, now)
 			}
 		}
 		one.Sweep(now)
@@ -96,7 +96,7 @@
 func TestTotalIsTheSumOverEntryHosts(t *testing.T) {
 	servers := []string{"a", "b", "c"}
 	rapid.Check(t, func(t *rapid.T) {
-		var l hops.Ledger
+		var l hops.LoadTracker
 		told := map[string]map[string]hops.Usage{}
 		own := map[string]hops.Usage{}
 		for range rapid.IntRange(1, 30).Draw(t, "steps") {
@@ -113,7 +113,7 @@
 			if rapid.Bool().Draw(t, "stays") {
 				told[host] = map[string]hops.Usage{id: {TokenLayers: float64(tokens), Requests: 2, Starts: 1}}
 			}
-			l.Tell(host, told[host])
+			l.SetRemote(host, told[host])
 		}
 		for _, id := range servers {
 			want := own[id]
@@ -132,13 +132,13 @@
 // What a choice reads for each server, with 300 entry hosts: 19,600 ns when each
 // was summed up, 142 ns with the sum kept, beside other work.
 func BenchmarkUsed(b *testing.B) {
-	var l hops.Ledger
+	var l hops.LoadTracker
 	for host := range 300 {
 		used := map[string]hops.Usage{}
 		for i := range 100 {
 			used[fmt.Sprint((host+i)%1000)] = hops.Usage{TokenLayers: 1, Requests: 1}
 		}
-		l.Tell(fmt.Sprint(host), used)
+		l.SetRemote(fmt.Sprint(host), used)
 	}
 	for b.Loop() {
 		l.Used("7")
--- a/parts/hops/pipe_test.go
+++ b/parts/hops/pipe_test.go
@@ -14,10 +14,10 @@
 // for each millisecond.
 func crossed(transfer time.Duration, hosts int) int {
 	start := time.Unix(1_000_000, 0)
-	p := &hops.Pipe{}
+	p := &hops.LinkBudget{}
 	n := 0
 	for ms := range 1000 {
-		if p.Take(transfer, 100*time.Millisecond, hosts, start.Add(time.Duration(ms)*time.Millisecond)) {
+		if p.Reserve(transfer, 100*time.Millisecond, hosts, start.Add(time.Duration(ms)*time.Millisecond)) {
 			n++
 		}
 	}
@@ -29,7 +29,7 @@
 // others have crossed; and with many entry hosts, each of which knows of its
 // own only, the link would be taken many times over.
 func TestEntryHostsShareTheLink(t *testing.T) {
-	transfer := hops.Transfer(engine(), 900)
+	transfer := hops.TransferTime(engine(), 900)
 	qt.Assert(t, transfer.Round(time.Millisecond), qt.Equals, 19*time.Millisecond)
 	for _, hosts := range []int{1, 4, 32} {
 		n := crossed(transfer, hosts)
@@ -47,7 +47,7 @@
 		server("a1", "a", "small", 0, 30), server("a2", "a", "small", 40, 80),
 		server("b1", "b", "small", 30, 40),
 	)
-	q.Within = true
+	q.SingleDomain = true
 	qt.Assert(t, q.Pick(), qt.IsNil)
 	q.Servers = append(q.Servers, server("c1", domain.Name("c"), "small", 0, 80))
 	qt.Assert(t, q.Pick().String(), qt.Equals, "c1=0-80")
--- a/parts/hops/search.go
+++ b/parts/hops/search.go
@@ -31,13 +31,13 @@
 	offers := q.offers(index)
 	ends := q.ends()
 	start := 0
-	if q.Start != nil {
-		start = q.Start.End
-		best[start][index[q.Start.Server.Domain]].cost = 0
+	if q.FixedFirst != nil {
+		start = q.FixedFirst.End
+		best[start][index[q.FixedFirst.Server.Domain]].cost = 0
 	} else {
 		for d, name := range domains {
 			best[0][d].cost = 0
-			if name != q.Home {
+			if name != q.LocalDomain {
 				best[0][d].cost = awaySeconds
 			}
 		}
@@ -62,7 +62,7 @@
 func (q *Query) extend(best [][]step, domains []domain.Name, ends []int, o offer, at, from int, whole bool) {
 	cost := best[at][from].cost + q.hop()
 	if o.domain != from {
-		if at == 0 || q.Within || q.Cut != nil && q.Cut(domains[from], o.server.Domain) {
+		if at == 0 || q.SingleDomain || q.Partitioned != nil && q.Partitioned(domains[from], o.server.Domain) {
 			return
 		}
 		cost += q.crossing()
@@ -96,11 +96,11 @@
 	var chain Chain
 	for at > start {
 		s := best[at][d]
-		chain = append(chain, Part{Server: s.server, First: s.from, End: at})
+		chain = append(chain, Stage{Server: s.server, First: s.from, End: at})
 		at, d = s.from, s.prev
 	}
-	if q.Start != nil {
-		chain = append(chain, *q.Start)
+	if q.FixedFirst != nil {
+		chain = append(chain, *q.FixedFirst)
 	}
 	slices.Reverse(chain)
 	return chain
@@ -119,8 +119,8 @@
 	for _, s := range q.Servers {
 		add(s.Domain)
 	}
-	if q.Start != nil {
-		add(q.Start.Server.Domain)
+	if q.FixedFirst != nil {
+		add(q.FixedFirst.Server.Domain)
 	}
 	return names, index
 }
@@ -131,7 +131,7 @@
 	for _, s := range q.Servers {
 		list = append(list, s.First, min(s.End, q.Engine.Layers))
 	}
-	for _, p := range q.Kept {
+	for _, p := range q.Cached {
 		list = append(list, p.First, p.End)
 	}
 	slices.Sort(list)
--- a/parts/hops/starts.go
+++ b/parts/hops/starts.go
@@ -19,14 +19,14 @@
 	announceEvery  = time.Second
 )
 
-// Starts measures how long requests wait for their first event at the servers
+// StartLatency measures how long requests wait for their first event at the servers
 // at which their chains begin. It answers the load right after an outage: all
 // callers return at once, the load of other entry hosts is unknown, and the
 // fastest server of each failure domain gets more requests than it has slots.
 // The wait of a request counts while it grows, so that a queue is noticed as it
 // forms, and entry hosts exchange their waits, since each of them sees few of
 // the requests. The zero value is ready.
-type Starts struct {
+type StartLatency struct {
 	mu      sync.Mutex
 	servers map[string]*startQueue
 	// announced is when a wait was last sent at once.
@@ -36,7 +36,7 @@
 // startQueue is what is known of one server.
 type startQueue struct {
 	// pending holds the requests without an event.
-	pending map[*Start]struct{}
+	pending map[*PendingStart]struct{}
 	// wait is the newest observed wait, here or at another entry host, at the time
 	// seen.
 	wait time.Duration
@@ -46,8 +46,8 @@
 	reportedAt time.Time
 }
 
-// Start is a request that waits for its first event.
-type Start struct {
+// PendingStart is a request that waits for its first event.
+type PendingStart struct {
 	id string
 	// sent is when it was sent to the server.
 	sent time.Time
@@ -55,31 +55,31 @@
 	notable time.Duration
 }
 
-// Begin notes that a request was sent to a server. From the notable wait on,
+// Track notes that a request was sent to a server. From the notable wait on,
 // other entry hosts are told at once.
-func (s *Starts) Begin(id string, notable time.Duration, now time.Time) *Start {
+func (s *StartLatency) Track(id string, notable time.Duration, now time.Time) *PendingStart {
 	s.mu.Lock()
 	defer s.mu.Unlock()
-	start := &Start{id: id, sent: now, notable: notable}
+	start := &PendingStart{id: id, sent: now, notable: notable}
 	s.queue(id).pending[start] = struct{}{}
 	return start
 }
 
 // queue returns what is known of a server. The mutex is held.
-func (s *Starts) queue(id string) *startQueue {
+func (s *StartLatency) queue(id string) *startQueue {
 	if s.servers == nil {
 		s.servers = map[string]*startQueue{}
 	}
 	q := s.servers[id]
 	if q == nil {
-		q = &startQueue{pending: map[*Start]struct{}{}}
+		q = &startQueue{pending: map[*PendingStart]struct{}{}}
 		s.servers[id] = q
 	}
 	return q
 }
 
-// Began notes the first event of a request.
-func (s *Starts) Began(start *Start, now time.Time) {
+// RecordFirstEvent notes the first event of a request.
+func (s *StartLatency) RecordFirstEvent(start *PendingStart, now time.Time) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	q := s.servers[start.id]
@@ -92,8 +92,8 @@
 	}
 }
 
-// End forgets a request. One that had an event before changes nothing.
-func (s *Starts) End(start *Start) {
+// Untrack forgets a request. One that had an event before changes nothing.
+func (s *StartLatency) Untrack(start *PendingStart) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	if q := s.servers[start.id]; q != nil {
@@ -103,7 +103,7 @@
 
 // Wait returns how long a request that is sent to a server now is expected to
 // wait for its first event.
-func (s *Starts) Wait(id string, now time.Time) time.Duration {
+func (s *StartLatency) Wait(id string, now time.Time) time.Duration {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	q := s.servers[id]
@@ -144,7 +144,7 @@
 }
 
 // Waits returns the waits to send to other entry hosts, by server.
-func (s *Starts) Waits(now time.Time) map[string]time.Duration {
+func (s *StartLatency) Waits(now time.Time) map[string]time.Duration {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	waits := map[string]time.Duration{}
@@ -157,7 +157,7 @@
 }
 
 // Merge takes the waits of another entry host.
-func (s *Starts) Merge(waits map[string]time.Duration, now time.Time) {
+func (s *StartLatency) Merge(waits map[string]time.Duration, now time.Time) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	for id, wait := range waits {
@@ -172,9 +172,9 @@
 	}
 }
 
-// Announce reports whether the waits should be sent to other entry hosts at once,
+// ShouldBroadcast reports whether the waits should be sent to other entry hosts at once,
 // and notes that they are.
-func (s *Starts) Announce(now time.Time) bool {
+func (s *StartLatency) ShouldBroadcast(now time.Time) bool {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	if now.Sub(s.announced) < announceEvery {
@@ -192,7 +192,7 @@
 }
 
 // Sweep forgets servers at which nobody waits.
-func (s *Starts) Sweep(now time.Time) {
+func (s *StartLatency) Sweep(now time.Time) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	for id, q := range s.servers {
--- a/parts/hops/starts_test.go
+++ b/parts/hops/starts_test.go
@@ -15,14 +15,14 @@
 // long they wait.
 type entryHost struct {
 	name   string
-	ledger hops.Ledger
-	starts hops.Starts
+	ledger hops.LoadTracker
+	starts hops.StartLatency
 }
 
 // sent is a request at its first server.
 type sent struct {
 	host    *entryHost
-	start   *hops.Start
+	start   *hops.PendingStart
 	release func()
 	at, end time.Time
 }
@@ -89,7 +89,7 @@
 // tell lets entry hosts announce their waits.
 func (c *crowd) tell(now time.Time) {
 	for _, h := range c.hosts {
-		if !h.starts.Announce(now) {
+		if !h.starts.ShouldBroadcast(now) {
 			continue
 		}
 		for _, other := range c.hosts {
@@ -97,7 +97,7 @@
 				continue
 			}
 			other.starts.Merge(h.starts.Waits(now), now)
-			other.ledger.Tell(h.name, h.ledger.Own())
+			other.ledger.SetRemote(h.name, h.ledger.Local())
 		}
 	}
 }
@@ -111,7 +111,7 @@
 	chain := q.Pick()
 	first := chain[0].Server.ID
 	c.queues[first] = append(c.queues[first], &sent{
-		host: h, start: h.starts.Begin(first, firstTarget/5, now), release: h.ledger.Reserve(chain, 900), at: now,
+		host: h, start: h.starts.Track(first, firstTarget/5, now), release: h.ledger.Reserve(chain, 900), at: now,
 	})
 }
 
@@ -132,7 +132,7 @@
 		r := c.queues[id][0]
 		c.queues[id] = c.queues[id][1:]
 		r.end = now.Add(answerTime)
-		r.host.starts.Began(r.start, now)
+		r.host.starts.RecordFirstEvent(r.start, now)
 		c.running[id] = append(c.running[id], r)
 		c.all[second]++
 		if now.Sub(r.at) <= firstTarget {
@@ -179,20 +179,20 @@
 	// It still runs layers for requests that begin elsewhere.
 	qt.Check(t, q.Pick().String(), qt.Equals, "slow=0-9 fast=9-27 rest=27-80")
 	// Waiting for a slot is better than no chain at all.
-	q.Servers, q.Crowded = []*fleet.Server{servers[0], servers[2]}, true
+	q.Servers, q.Overcommit = []*fleet.Server{servers[0], servers[2]}, true
 	qt.Check(t, q.Pick().String(), qt.Equals, "fast=0-27 rest=27-80")
 }
 
 func TestWaitAtAServer(t *testing.T) {
-	var s hops.Starts
+	var s hops.StartLatency
 	now := time.Unix(1_000_000, 0)
 	qt.Check(t, s.Wait("a", now), qt.Equals, time.Duration(0))
-	first, second := s.Begin("a", firstTarget, now), s.Begin("a", firstTarget, now.Add(100*time.Millisecond))
+	first, second := s.Track("a", firstTarget, now), s.Track("a", firstTarget, now.Add(100*time.Millisecond))
 	now = now.Add(400 * time.Millisecond)
 	qt.Check(t, s.Wait("a", now), qt.Equals, 400*time.Millisecond)
-	s.Began(first, now)
-	s.End(first)
-	s.End(second)
+	s.RecordFirstEvent(first, now)
+	s.Untrack(first)
+	s.Untrack(second)
 	qt.Check(t, s.Wait("a", now), qt.Equals, 400*time.Millisecond)
 	qt.Check(t, s.Wait("a", now.Add(250*time.Millisecond)), qt.Equals, 200*time.Millisecond)
 	s.Sweep(now.Add(time.Minute))
@@ -202,24 +202,24 @@
 // Guards against entry hosts that tell each other of waits all the time where
 // first events usually take long.
 func TestAnnouncementsAreRare(t *testing.T) {
-	var s hops.Starts
+	var s hops.StartLatency
 	now := time.Unix(1_000_000, 0)
 	count := 0
 	for range 100 {
-		start := s.Begin("slow", firstTarget/5, now)
+		start := s.Track("slow", firstTarget/5, now)
 		for range 3 {
 			now = now.Add(100 * time.Millisecond)
-			if s.Announce(now) {
+			if s.ShouldBroadcast(now) {
 				count++
 			}
 		}
-		s.Began(start, now)
+		s.RecordFirstEvent(start, now)
 	}
 	qt.Check(t, count > 0 && count <= 30, qt.IsTrue, qt.Commentf("%d times in 30 s", count))
-	var usual hops.Starts
-	start := usual.Begin("fast", firstTarget/5, now)
-	qt.Check(t, usual.Announce(now.Add(firstTarget/6)), qt.IsFalse)
-	qt.Check(t, usual.Announce(now.Add(firstTarget/5)), qt.IsTrue)
-	usual.End(start)
-	qt.Check(t, usual.Announce(now.Add(time.Minute)), qt.IsFalse)
+	var usual hops.StartLatency
+	start := usual.Track("fast", firstTarget/5, now)
+	qt.Check(t, usual.ShouldBroadcast(now.Add(firstTarget/6)), qt.IsFalse)
+	qt.Check(t, usual.ShouldBroadcast(now.Add(firstTarget/5)), qt.IsTrue)
+	usual.Untrack(start)
+	qt.Check(t, usual.ShouldBroadcast(now.Add(time.Minute)), qt.IsFalse)
 }
--- a/parts/httpd/drain_test.go
+++ b/parts/httpd/drain_test.go
@@ -22,7 +22,7 @@
 	listener, err := net.Listen("tcp", "127.0.0.1:0")
 	c.Assert(err, quicktest.IsNil)
 	s := &httpd.Server{Listener: listener}
-	s.Make()
+	s.Init()
 	begun, finish := make(chan struct{}), make(chan struct{})
 	s.Hertz.GET("/long", func(_ context.Context, c *app.RequestContext) {
 		close(begun)
@@ -66,7 +66,7 @@
 	listener, err := net.Listen("tcp", "127.0.0.1:0")
 	c.Assert(err, quicktest.IsNil)
 	s := &httpd.Server{Listener: listener}
-	s.Make()
+	s.Init()
 	begun, finish := make(chan struct{}), make(chan struct{})
 	s.Hertz.GET("/long", func(context.Context, *app.RequestContext) {
 		close(begun)
@@ -78,6 +78,6 @@
 	go func() { _, _ = http.Get("http://" + listener.Addr().String() + "/long") }()
 	<-begun
 	stop()
-	c.Assert(<-ended, quicktest.ErrorIs, httpd.ErrCut)
+	c.Assert(<-ended, quicktest.ErrorIs, httpd.ErrAborted)
 	close(finish)
 }
--- a/parts/httpd/httpd.go
+++ b/parts/httpd/httpd.go
@@ -25,9 +25,9 @@
 	// TooLarge answers a request whose body is larger than MaxBody; nil means
 	// a plain 413.
 	TooLarge app.HandlerFunc
-	// Linger is how long the server goes on taking requests after its stop
+	// DrainDelay is how long the server goes on taking requests after its stop
 	// began, so that a balancer notices in time.
-	Linger time.Duration
+	DrainDelay time.Duration
 	// Draining answers requests that come after that; nil answers a bare 503.
 	Draining app.HandlerFunc
 	// Hertz is the server that routes are added to. Make sets it.
@@ -39,9 +39,9 @@
 // defaultMaxBody bounds a request body where the server sets nothing.
 const defaultMaxBody = 4 << 20
 
-// Make creates the underlying server. The context of a handler ends when its
+// Init creates the underlying server. The context of a handler ends when its
 // client disconnects.
-func (s *Server) Make(more ...config.Option) {
+func (s *Server) Init(more ...config.Option) {
 	hlog.SetOutput(io.Discard)
 	if s.MaxBody == 0 {
 		s.MaxBody = defaultMaxBody
@@ -107,7 +107,7 @@
 	select {
 	case err := <-failed:
 		return err
-	case <-time.After(s.Linger):
+	case <-time.After(s.DrainDelay):
 	}
 	stop, cancel := context.WithTimeout(context.Background(), grace)
 	defer cancel()
@@ -115,10 +115,10 @@
 	// What is left of the time of a shutdown is for answers on their way.
 	err := s.Hertz.Shutdown(context.Background())
 	if !whole {
-		return errors.Join(ErrCut, err)
+		return errors.Join(ErrAborted, err)
 	}
 	return err
 }
 
-// ErrCut says that requests were still in flight when the time was over.
-var ErrCut = errors.New("httpd: requests in flight were cut")
+// ErrAborted says that requests were still in flight when the time was over.
+var ErrAborted = errors.New("httpd: requests in flight were cut")
--- a/parts/httpd/httpd_test.go
+++ b/parts/httpd/httpd_test.go
@@ -27,7 +27,7 @@
 	listener, err := net.Listen("tcp", "127.0.0.1:0")
 	qt.Assert(t, err, qt.IsNil)
 	s := &httpd.Server{Listener: listener}
-	s.Make(more...)
+	s.Init(more...)
 	s.Hertz.GET("/", route)
 	ctx, cancel := context.WithCancel(context.Background())
 	done := make(chan error, 1)
--- a/parts/lang/apply.go
+++ b/parts/lang/apply.go
@@ -12,21 +12,21 @@
 	"fuchsiashelf.dev/parts/rule"
 )
 
-// World is what a line is checked against besides the configuration.
-type World struct {
+// Environment is what a line is checked against besides the configuration.
+type Environment struct {
 	// Hosts is the host list by name.
 	Hosts map[string]host.Host
 	// Now is the time of the line.
 	Now time.Time
-	// Longest is the longest time for a call that may not be repeated, as the
+	// MaxDeadline is the longest time for a call that may not be repeated, as the
 	// entry hosts are set; zero means no bound.
-	Longest time.Duration
+	MaxDeadline time.Duration
 }
 
 // Apply returns the configuration that the line makes of another one, which
 // it leaves alone. The revision grows by one. The error is an *Error; then
 // there is no configuration.
-func (l *Line) Apply(before *conf.Config, w World) (*conf.Config, error) {
+func (l *Line) Apply(before *conf.Config, w Environment) (*conf.Config, error) {
 	e := &edit{Config: before.Clone(), world: w, before: before, anyway: l.Anyway}
 	e.Revision++
 	if err := e.line(l); err != nil {
@@ -41,7 +41,7 @@
 // edit is a configuration that is being changed by one line.
 type edit struct {
 	*conf.Config
-	world  World
+	world  Environment
 	before *conf.Config
 	anyway bool
 	// at is the word that an error of the whole configuration points to.
--- a/parts/lang/check.go
+++ b/parts/lang/check.go
@@ -79,7 +79,7 @@
 			return h.First <= layer && layer < h.End
 		})
 	}
-	_, err := chain.Make(p.Layers, usable)
+	_, err := chain.New(p.Layers, usable)
 	l.apart = err != nil && !slices.Contains(l.missing, true)
 	return l
 }
--- a/parts/lang/lang_test.go
+++ b/parts/lang/lang_test.go
@@ -80,10 +80,10 @@
 		parsed, err := lang.Parse(line)
 		if err == nil {
 			var next *conf.Config
-			next, err = parsed.Apply(at, lang.World{Hosts: hosts(), Now: now, Longest: 30 * time.Second})
+			next, err = parsed.Apply(at, lang.Environment{Hosts: hosts(), Now: now, MaxDeadline: 30 * time.Second})
 			if err == nil {
 				at = next
-				fmt.Fprintf(&out, "%s\n", parsed.Thing())
+				fmt.Fprintf(&out, "%s\n", parsed.Resource())
 				continue
 			}
 		}
@@ -113,7 +113,7 @@
 		line, err := lang.Parse(text)
 		var next *conf.Config
 		if err == nil {
-			next, err = line.Apply(before, lang.World{Hosts: hosts(), Now: now})
+			next, err = line.Apply(before, lang.Environment{Hosts: hosts(), Now: now})
 		}
 		after, _ := before.Encode()
 		quicktest.Assert(t, string(after), quicktest.Equals, string(image))
@@ -136,7 +136,7 @@
 	} {
 		line, err := lang.Parse(text)
 		quicktest.Assert(t, err, quicktest.IsNil)
-		at, err = line.Apply(at, lang.World{Hosts: hosts(), Now: now})
+		at, err = line.Apply(at, lang.Environment{Hosts: hosts(), Now: now})
 		quicktest.Assert(t, err, quicktest.IsNil)
 	}
 	return at
--- a/parts/lang/parse.go
+++ b/parts/lang/parse.go
@@ -10,12 +10,12 @@
 	"github.com/alecthomas/participle/v2/lexer"
 )
 
-// MaxLine is the longest line that is read, in bytes. A pool of 600 servers
+// MaxLineBytes is the longest line that is read, in bytes. A pool of 600 servers
 // fits several times.
-const MaxLine = 64 << 10
+const MaxLineBytes = 64 << 10
 
-// MaxWord is the longest name, in bytes.
-const MaxWord = 63
+// MaxNameLength is the longest name, in bytes.
+const MaxNameLength = 63
 
 var words = lexer.MustSimple([]lexer.SimpleRule{
 	{Name: "Time", Pattern: `\d+:\d*`},
@@ -46,8 +46,8 @@
 
 // Parse reads one line. The error is an *Error.
 func Parse(text string) (*Line, error) {
-	if len(text) > MaxLine {
-		return nil, &Error{Column: 1, Message: fmt.Sprintf("the line is longer than %d bytes", MaxLine)}
+	if len(text) > MaxLineBytes {
+		return nil, &Error{Column: 1, Message: fmt.Sprintf("the line is longer than %d bytes", MaxLineBytes)}
 	}
 	if strings.TrimSpace(text) == "" {
 		return nil, &Error{Column: 1, Message: "the line is empty"}
--- a/parts/lang/service.go
+++ b/parts/lang/service.go
@@ -12,8 +12,8 @@
 
 // name checks a name that the operator chose.
 func name(w Word) error {
-	if len(w.Text) > MaxWord {
-		return fault(w, "the name has more than %d characters", MaxWord)
+	if len(w.Text) > MaxNameLength {
+		return fault(w, "the name has more than %d characters", MaxNameLength)
 	}
 	return nil
 }
@@ -26,7 +26,7 @@
 	if old, exists := e.Services[s.Name.Text]; exists {
 		return fault(s.Name, "service %s exists since revision %d", old.Name, old.Revision)
 	}
-	next := rule.Service{Name: s.Name.Text, Repeat: true}
+	next := rule.Service{Name: s.Name.Text, Retryable: true}
 	if s.Model != nil {
 		next.Model = s.Model.Text
 	}
@@ -73,18 +73,18 @@
 
 func (e *edit) setOptions(s rule.Service, o *Options) error {
 	if o.Repeat != "" {
-		s.Repeat = o.Repeat == "yes"
+		s.Retryable = o.Repeat == "yes"
 	}
 	if o.Ids != "" {
-		s.FreeID = o.Ids == "free"
+		s.OptionalID = o.Ids == "free"
 	}
 	if o.Guarded != nil {
 		s.Guarded = o.Guarded.Value != "no"
 	}
-	if !s.IsPlain() && !s.Repeat {
+	if !s.IsPlain() && !s.Retryable {
 		return &Error{Column: o.Pos.Column, Message: "repeat no is for a plain service"}
 	}
-	if s.Repeat && (s.FreeID || s.Guarded) {
+	if s.Retryable && (s.OptionalID || s.Guarded) {
 		return &Error{Column: o.Pos.Column, Message: "ids free and guarded are for a service with repeat no"}
 	}
 	if o.Within != nil {
@@ -106,7 +106,7 @@
 // longest refuses a deadline above what claims are kept for. The entry hosts
 // would cut it, and callers would get less time than the line says.
 func (e *edit) longest(s rule.Service, o *Options) error {
-	if s.Repeat || e.world.Longest == 0 || s.Limit() <= e.world.Longest {
+	if s.Retryable || e.world.MaxDeadline == 0 || s.EffectiveDeadline() <= e.world.MaxDeadline {
 		return nil
 	}
 	at := Word{Pos: o.Pos}
@@ -114,7 +114,7 @@
 		at = *o.Within
 	}
 	return fault(at, "within: calls that may not be repeated have at most %s here, not %s",
-		e.world.Longest, s.Limit())
+		e.world.MaxDeadline, s.EffectiveDeadline())
 }
 
 func (e *edit) deleteService(at Word) error {
--- a/parts/lang/stop.go
+++ b/parts/lang/stop.go
@@ -7,8 +7,8 @@
 	"fuchsiashelf.dev/parts/host"
 )
 
-// MaxAhead is how far ahead a stop can be planned.
-const MaxAhead = 30 * 24 * time.Hour
+// MaxStopDelay is how far ahead a stop can be planned.
+const MaxStopDelay = 30 * 24 * time.Hour
 
 func (e *edit) stop(s *Stop) error {
 	e.at = s.Server
@@ -44,8 +44,8 @@
 		return at, nil
 	case s.In != nil:
 		wait, err := time.ParseDuration(s.In.Text)
-		if err != nil || wait <= 0 || wait > MaxAhead {
-			return now, fault(*s.In, "in: want a duration such as 10m, at most %s, not %s", MaxAhead, s.In.Text)
+		if err != nil || wait <= 0 || wait > MaxStopDelay {
+			return now, fault(*s.In, "in: want a duration such as 10m, at most %s, not %s", MaxStopDelay, s.In.Text)
 		}
 		return now.Add(wait), nil
 	}
--- a/parts/lang/thing.go
+++ b/parts/lang/thing.go
@@ -1,8 +1,8 @@
 package lang
 
-// Thing returns the name of what the line changes, for example "pool lake";
+// Resource returns the name of what the line changes, for example "pool lake";
 // empty for a question. Two lines clash only if they change the same thing.
-func (l *Line) Thing() string {
+func (l *Line) Resource() string {
 	switch {
 	case l.Create != nil:
 		return l.Create.thing()
--- a/parts/lease/lease.go
+++ b/parts/lease/lease.go
@@ -8,7 +8,7 @@
 // holder's term has ended before another's begins, as long as the clocks of
 // two hosts run at rates that differ by less than the wait allows.
 //
-// [Machine] is pure: what it read, what became of its writes and the time are
+// [Candidate] is pure: what it read, what became of its writes and the time are
 // arguments. Times must carry Go's monotonic reading, which goes on while a
 // process is paused.
 package lease
@@ -31,8 +31,8 @@
 	Note []string `json:"note,omitempty"`
 }
 
-// Machine is one contender. Set the exported fields before first use.
-type Machine struct {
+// Candidate is one contender. Set the exported fields before first use.
+type Candidate struct {
 	// Self is the name of this entry host.
 	Self string
 	// Term is how long a write holds.
@@ -63,7 +63,7 @@
 
 // Read takes what was read from the object API; version zero means that there
 // is no object.
-func (m *Machine) Read(version uint64, value Value, now time.Time) {
+func (m *Candidate) Read(version uint64, value Value, now time.Time) {
 	if m.pending.Nonce != "" && value.Nonce == m.pending.Nonce {
 		// The reply was lost, and the write took effect.
 		m.won(version, m.sentAt)
@@ -78,7 +78,7 @@
 
 // Write returns the value to write now and the version to write over, if it
 // is time to: to renew the own lease, or to take one that nobody renewed.
-func (m *Machine) Write(nonce string, note []string, now time.Time) (Value, uint64, bool) {
+func (m *Candidate) Write(nonce string, note []string, now time.Time) (Value, uint64, bool) {
 	if m.seenAt.IsZero() || !m.due(now) {
 		return Value{}, 0, false
 	}
@@ -87,7 +87,7 @@
 	return m.pending, m.seen, true
 }
 
-func (m *Machine) due(now time.Time) bool {
+func (m *Candidate) due(now time.Time) bool {
 	switch {
 	case m.seen == 0:
 		return true
@@ -101,7 +101,7 @@
 }
 
 // Wrote takes the outcome of the write: the new version, or the error.
-func (m *Machine) Wrote(version uint64, err error, now time.Time) {
+func (m *Candidate) Wrote(version uint64, err error, now time.Time) {
 	if err == nil {
 		m.seen, m.seenAt, m.value = version, now, m.pending
 		m.won(version, m.sentAt)
@@ -113,24 +113,24 @@
 	// Otherwise the next read tells whether it took effect.
 }
 
-func (m *Machine) won(version uint64, sentAt time.Time) {
+func (m *Candidate) won(version uint64, sentAt time.Time) {
 	m.number, m.until = version, sentAt.Add(m.Term)
 	m.pending = Value{}
 }
 
 // Renew asks for a write ahead of time, since the note has changed.
-func (m *Machine) Renew() {
+func (m *Candidate) Renew() {
 	m.renew = true
 }
 
 // Note returns what the object was last seen to hold for a successor.
-func (m *Machine) Note() []string {
+func (m *Candidate) Note() []string {
 	return m.value.Note
 }
 
 // Held returns the fencing number and the end of the own lease if it lasts
 // for at least the given time more.
-func (m *Machine) Held(now time.Time, least time.Duration) (number uint64, until time.Time, held bool) {
+func (m *Candidate) Held(now time.Time, least time.Duration) (number uint64, until time.Time, held bool) {
 	if m.until.Sub(now) < least {
 		return 0, time.Time{}, false
 	}
--- a/parts/lease/lease_test.go
+++ b/parts/lease/lease_test.go
@@ -23,7 +23,7 @@
 // and must neither hold the lease without knowing nor write it anew for ever.
 func TestLostReplyIsReadAgain(t *testing.T) {
 	c := qt.New(t)
-	m := Machine{Self: "e1", Term: term}
+	m := Candidate{Self: "e1", Term: term}
 	m.Read(0, Value{}, start)
 	value, over, due := m.Write("n1", nil, start)
 	c.Assert(due, qt.IsTrue)
@@ -42,7 +42,7 @@
 // on, whatever it has read before.
 func TestPausedHolderHoldsNothing(t *testing.T) {
 	c := qt.New(t)
-	m := Machine{Self: "e1", Term: term}
+	m := Candidate{Self: "e1", Term: term}
 	m.Read(0, Value{}, start)
 	_, _, _ = m.Write("n1", nil, start)
 	m.Wrote(3, nil, start)
@@ -57,7 +57,7 @@
 // contender is one entry host of the model: what it read and wrote may be
 // under way for any time.
 type contender struct {
-	Machine
+	Candidate
 	// read and wrote are answers that have not arrived yet.
 	read  *answer
 	wrote *answer
@@ -79,9 +79,9 @@
 		var object Value
 		var last uint64
 		all := []*contender{
-			{Machine: Machine{Self: "e1", Term: term}},
-			{Machine: Machine{Self: "e2", Term: term}},
-			{Machine: Machine{Self: "e3", Term: term}},
+			{Candidate: Candidate{Self: "e1", Term: term}},
+			{Candidate: Candidate{Self: "e2", Term: term}},
+			{Candidate: Candidate{Self: "e3", Term: term}},
 		}
 		pick := func(t *rapid.T) *contender { return rapid.SampledFrom(all).Draw(t, "contender") }
 		t.Repeat(map[string]func(*rapid.T){
--- a/parts/link/link.go
+++ b/parts/link/link.go
@@ -38,8 +38,8 @@
 // maxDoublings bounds the time that a link is avoided, at some minutes.
 const maxDoublings = 6
 
-// Fail has the link avoided, for twice as long with each failure in a row.
-func (m *Meter) Fail(now time.Time) {
+// RecordFailure has the link avoided, for twice as long with each failure in a row.
+func (m *Meter) RecordFailure(now time.Time) {
 	m.Avoid(now.Add(failFor << min(m.failures.Add(1)-1, maxDoublings)))
 }
 
--- a/parts/logs/logs.go
+++ b/parts/logs/logs.go
@@ -98,16 +98,16 @@
 	return w.done
 }
 
-// Handler bounds the lines of each message to a number a second. Further ones
+// Limiter bounds the lines of each message to a number a second. Further ones
 // are counted, and the count goes into the next line of the same message.
-type Handler struct {
+type Limiter struct {
 	slog.Handler
 	counts *sync.Map
 }
 
 // New returns a logger to the writer.
 func New(w *Writer) *slog.Logger {
-	return slog.New(&Handler{Handler: slog.NewJSONHandler(w, nil), counts: &sync.Map{}})
+	return slog.New(&Limiter{Handler: slog.NewJSONHandler(w, nil), counts: &sync.Map{}})
 }
 
 type count struct {
@@ -117,7 +117,7 @@
 }
 
 // Handle implements slog.Handler.
-func (h *Handler) Handle(ctx context.Context, r slog.Record) error {
+func (h *Limiter) Handle(ctx context.Context, r slog.Record) error {
 	found, ok := h.counts.Load(r.Message)
 	if !ok {
 		found, _ = h.counts.LoadOrStore(r.Message, &count{})
@@ -139,11 +139,11 @@
 }
 
 // WithAttrs implements slog.Handler.
-func (h *Handler) WithAttrs(attrs []slog.Attr) slog.Handler {
-	return &Handler{Handler: h.Handler.WithAttrs(attrs), counts: h.counts}
+func (h *Limiter) WithAttrs(attrs []slog.Attr) slog.Handler {
+	return &Limiter{Handler: h.Handler.WithAttrs(attrs), counts: h.counts}
 }
 
 // WithGroup implements slog.Handler.
-func (h *Handler) WithGroup(name string) slog.Handler {
-	return &Handler{Handler: h.Handler.WithGroup(name), counts: h.counts}
+func (h *Limiter) WithGroup(name string) slog.Handler {
+	return &Limiter{Handler: h.Handler.WithGroup(name), counts: h.counts}
 }
--- a/parts/loss/loss.go
+++ b/parts/loss/loss.go
@@ -1,6 +1,6 @@
 // Package loss says from logs why requests were not served on time.
 //
-// Each request ends with one line of its entry host. [Count] puts each into a
+// Each request ends with one line of its entry host. [Classify] puts each into a
 // window of time by when it came, and under the [Cause] that cost its caller
 // most. Streams that paused are counted once more by what the watch over
 // streams said of them: it tells whether deaths are noticed late, whether
@@ -21,10 +21,10 @@
 
 // The causes, in the order of the table's columns.
 const (
-	// None: it was served on time.
-	None Cause = iota
-	// First: its first event came late.
-	First
+	// OnTime: it was served on time.
+	OnTime Cause = iota
+	// LateFirst: its first event came late.
+	LateFirst
 	// ShortPause, Pause and LongPause: its longest pause was up to 500 ms, up to
 	// a second, or longer.
 	ShortPause
@@ -34,12 +34,12 @@
 	Refused
 	// Denied: the configuration does not allow it. Nothing is lost.
 	Denied
-	// Cut: its answer broke off.
-	Cut
+	// Truncated: its answer broke off.
+	Truncated
 	// Failed: it was answered with a failure.
 	Failed
-	// Left: its caller did not wait for the end.
-	Left
+	// Abandoned: its caller did not wait for the end.
+	Abandoned
 	causes
 )
 
@@ -74,9 +74,9 @@
 
 // Pauses counts streams that paused too long by what was done meanwhile.
 type Pauses struct {
-	// Rerouted got another chain; NoWay had none at first; Neither means that
+	// Rerouted got another chain; NoAlternative had none at first; Unexplained means that
 	// nothing was noticed, or that the chain was merely slow.
-	Rerouted, NoWay, Neither int
+	Rerouted, NoAlternative, Unexplained int
 }
 
 // Table is the account of the requests in some logs.
@@ -89,9 +89,9 @@
 	Skipped int
 }
 
-// Count makes the account of all requests in the entries, in windows of the
+// Classify makes the account of all requests in the entries, in windows of the
 // given length from the first entry on.
-func Count(entries []trail.Entry, every time.Duration) *Table {
+func Classify(entries []trail.Entry, every time.Duration) *Table {
 	c := counter{windows: map[string]*Row{}, routes: map[string]*Row{}, hosts: map[string]*Row{}, told: map[string]string{}}
 	if len(entries) == 0 {
 		return &c.table
@@ -137,9 +137,9 @@
 	case rerouted:
 		c.table.Pauses.Rerouted++
 	case noWay:
-		c.table.Pauses.NoWay++
+		c.table.Pauses.NoAlternative++
 	default:
-		c.table.Pauses.Neither++
+		c.table.Pauses.Unexplained++
 	}
 }
 
@@ -150,9 +150,9 @@
 	broken, _ := e.Attrs["broken"].(bool)
 	switch {
 	case strings.HasPrefix(failure, "cancelled"):
-		return Left
+		return Abandoned
 	case broken:
-		return Cut
+		return Truncated
 	case strings.HasPrefix(failure, noRoute) || strings.HasPrefix(failure, unauthorized):
 		return Denied
 	case failure != "" && text(e, "verdict") == "not-run":
@@ -162,11 +162,11 @@
 	}
 	switch text(e, "late") {
 	case "first":
-		return First
+		return LateFirst
 	case "pause":
 		return pauseOf(duration(e, "gap"))
 	}
-	return None
+	return OnTime
 }
 
 func pauseOf(gap time.Duration) Cause {
--- a/parts/loss/loss_test.go
+++ b/parts/loss/loss_test.go
@@ -23,9 +23,9 @@
 	const path = "testdata/day.txtar"
 	archive, err := txtar.ParseFile(path)
 	qt.Assert(t, err, qt.IsNil)
-	entries, err := trail.Read(trail.Log{Name: "log", From: strings.NewReader(string(archive.Files[0].Data))})
+	entries, err := trail.Read(trail.Source{Name: "log", From: strings.NewReader(string(archive.Files[0].Data))})
 	qt.Assert(t, err, qt.IsNil)
-	got := loss.Count(entries, 2*time.Second).String()
+	got := loss.Classify(entries, 2*time.Second).String()
 	if *update {
 		archive.Files[1].Data = []byte(got)
 		qt.Assert(t, os.WriteFile(path, txtar.Format(archive), 0o600), qt.IsNil)
@@ -34,5 +34,5 @@
 }
 
 func TestNoLines(t *testing.T) {
-	qt.Assert(t, loss.Count(nil, time.Second).String(), qt.Contains, "pauses: 0")
+	qt.Assert(t, loss.Classify(nil, time.Second).String(), qt.Contains, "pauses: 0")
 }
--- a/parts/loss/print.go
+++ b/parts/loss/print.go
@@ -21,7 +21,7 @@
 	part(w, "entry host", t.Hosts)
 	_ = w.Flush()
 	fmt.Fprintf(&b, "pauses: %d with another chain, %d without another way at first, %d with neither\n",
-		t.Pauses.Rerouted, t.Pauses.NoWay, t.Pauses.Neither)
+		t.Pauses.Rerouted, t.Pauses.NoAlternative, t.Pauses.Unexplained)
 	if t.Skipped > 0 {
 		fmt.Fprintf(&b, "%d lines were left out by the logs' bound\n", t.Skipped)
 	}
--- a/parts/mirror/mirror.go
+++ b/parts/mirror/mirror.go
@@ -16,8 +16,8 @@
 	"sync"
 )
 
-// Item is the newest known state of an object.
-type Item struct {
+// Object is the newest known state of an object.
+type Object struct {
 	Name string
 	// Revision is that of its last change.
 	Revision uint64
@@ -32,7 +32,7 @@
 	Kind string
 	// After and Cursor bound the changes: those after After up to Cursor.
 	After, Cursor uint64
-	Items         []Item
+	Items         []Object
 }
 
 // maxGone bounds the deletions that are remembered for others. One that needs
@@ -45,8 +45,8 @@
 
 	mu     sync.Mutex
 	cursor uint64
-	items  map[string]Item
-	gone   []Item
+	items  map[string]Object
+	gone   []Object
 	// goneFrom is the revision after which all deletions are remembered.
 	goneFrom uint64
 }
@@ -60,27 +60,27 @@
 }
 
 // Items returns the objects that exist, ordered by name.
-func (m *Mirror) Items() []Item {
+func (m *Mirror) Items() []Object {
 	m.mu.Lock()
 	defer m.mu.Unlock()
-	list := make([]Item, 0, len(m.items))
+	list := make([]Object, 0, len(m.items))
 	for _, item := range m.items {
 		list = append(list, item)
 	}
-	slices.SortFunc(list, func(a, b Item) int { return strings.Compare(a.Name, b.Name) })
+	slices.SortFunc(list, func(a, b Object) int { return strings.Compare(a.Name, b.Name) })
 	return list
 }
 
 // Replace takes a complete list of the objects as of a revision. It returns
 // the names of objects that were dropped because the list lacks them, and
 // whether it was newer than what is known.
-func (m *Mirror) Replace(items []Item, cursor uint64) (dropped []string, newer bool) {
+func (m *Mirror) Replace(items []Object, cursor uint64) (dropped []string, newer bool) {
 	m.mu.Lock()
 	defer m.mu.Unlock()
 	if cursor < m.cursor || cursor == m.cursor && m.items != nil {
 		return nil, false
 	}
-	fresh := make(map[string]Item, len(items))
+	fresh := make(map[string]Object, len(items))
 	for _, item := range items {
 		fresh[item.Name] = item
 	}
@@ -115,7 +115,7 @@
 	return changed
 }
 
-func (m *Mirror) take(item Item) bool {
+func (m *Mirror) take(item Object) bool {
 	known, exists := m.items[item.Name]
 	if exists && known.Revision >= item.Revision {
 		return false
--- a/parts/mirror/mirror_test.go
+++ b/parts/mirror/mirror_test.go
@@ -10,17 +10,17 @@
 	"fuchsiashelf.dev/parts/mirror"
 )
 
-func item(name string, revision uint64) mirror.Item {
-	return mirror.Item{Name: name, Revision: revision, Spec: []byte(name)}
+func item(name string, revision uint64) mirror.Object {
+	return mirror.Object{Name: name, Revision: revision, Spec: []byte(name)}
 }
 
 func TestMerge(t *testing.T) {
 	m := &mirror.Mirror{Kind: "servers"}
-	_, newer := m.Replace([]mirror.Item{item("a", 3), item("b", 5)}, 6)
+	_, newer := m.Replace([]mirror.Object{item("a", 3), item("b", 5)}, 6)
 	qt.Assert(t, newer, qt.IsTrue)
-	changed := m.Merge(mirror.Batch{After: 6, Cursor: 9, Items: []mirror.Item{item("c", 7), {Name: "a", Revision: 9, Deleted: true}}})
+	changed := m.Merge(mirror.Batch{After: 6, Cursor: 9, Items: []mirror.Object{item("c", 7), {Name: "a", Revision: 9, Deleted: true}}})
 	qt.Assert(t, changed, qt.IsTrue)
-	qt.Assert(t, m.Items(), qt.DeepEquals, []mirror.Item{item("b", 5), item("c", 7)})
+	qt.Assert(t, m.Items(), qt.DeepEquals, []mirror.Object{item("b", 5), item("c", 7)})
 	qt.Assert(t, m.Cursor(), qt.Equals, uint64(9))
 }
 
@@ -28,11 +28,11 @@
 // then would come back, and get requests that nobody answers.
 func TestOldNewsIsNotTaken(t *testing.T) {
 	m := &mirror.Mirror{}
-	m.Replace([]mirror.Item{item("b", 5)}, 10)
-	qt.Assert(t, m.Merge(mirror.Batch{After: 3, Cursor: 8, Items: []mirror.Item{item("a", 4)}}), qt.IsFalse)
-	qt.Assert(t, m.Merge(mirror.Batch{After: 3, Cursor: 12, Items: []mirror.Item{item("a", 4), item("b", 11)}}), qt.IsTrue)
-	qt.Assert(t, m.Items(), qt.DeepEquals, []mirror.Item{item("b", 11)})
-	_, newer := m.Replace([]mirror.Item{item("a", 4)}, 9)
+	m.Replace([]mirror.Object{item("b", 5)}, 10)
+	qt.Assert(t, m.Merge(mirror.Batch{After: 3, Cursor: 8, Items: []mirror.Object{item("a", 4)}}), qt.IsFalse)
+	qt.Assert(t, m.Merge(mirror.Batch{After: 3, Cursor: 12, Items: []mirror.Object{item("a", 4), item("b", 11)}}), qt.IsTrue)
+	qt.Assert(t, m.Items(), qt.DeepEquals, []mirror.Object{item("b", 11)})
+	_, newer := m.Replace([]mirror.Object{item("a", 4)}, 9)
 	qt.Assert(t, newer, qt.IsFalse)
 }
 
@@ -41,7 +41,7 @@
 func TestGapIsNotTaken(t *testing.T) {
 	m := &mirror.Mirror{}
 	m.Replace(nil, 10)
-	qt.Assert(t, m.Merge(mirror.Batch{After: 11, Cursor: 12, Items: []mirror.Item{item("a", 12)}}), qt.IsFalse)
+	qt.Assert(t, m.Merge(mirror.Batch{After: 11, Cursor: 12, Items: []mirror.Object{item("a", 12)}}), qt.IsFalse)
 	qt.Assert(t, m.Cursor(), qt.Equals, uint64(10))
 }
 
@@ -61,7 +61,7 @@
 				name := rapid.SampledFrom([]string{"a", "b", "c", "d"}).Draw(t, "name")
 				change := item(name, revision)
 				change.Deleted = rapid.Bool().Draw(t, "deleted")
-				truth.Merge(mirror.Batch{After: revision - 1, Cursor: revision, Items: []mirror.Item{change}})
+				truth.Merge(mirror.Batch{After: revision - 1, Cursor: revision, Items: []mirror.Object{change}})
 			case 2:
 				take(peers[rapid.IntRange(0, 2).Draw(t, "peer")], truth)
 			case 3:
--- a/parts/order/order.go
+++ b/parts/order/order.go
@@ -22,35 +22,35 @@
 	Load  = "load"
 )
 
-// Due is one order for one engine.
-type Due struct {
-	// Order is Drain or Load.
-	Order string
-	Host  host.Host
+// Pending is one order for one engine.
+type Pending struct {
+	// Kind is Drain or Load.
+	Kind string
+	Host host.Host
 }
 
-// List returns the orders that are due, by name of the engine. Noted are the
+// Plan returns the orders that are due, by name of the engine. Noted are the
 // engines that may have been told to drain and not to load since; ordered are
 // those that this holder told itself.
-func List(c *conf.Config, hosts map[string]host.Host, noted, ordered []string, now time.Time) []Due {
-	var due []Due
+func Plan(c *conf.Config, hosts map[string]host.Host, noted, ordered []string, now time.Time) []Pending {
+	var due []Pending
 	if c == nil {
 		return nil
 	}
 	for name, stop := range c.Stops {
 		h, listed := hosts[name]
 		if listed && h.Role == host.Engine && stop.Begun(now) && !slices.Contains(ordered, name) {
-			due = append(due, Due{Drain, h})
+			due = append(due, Pending{Drain, h})
 		}
 	}
 	for _, name := range noted {
 		h, listed := hosts[name]
 		stop, stopped := c.Stops[name]
 		if listed && (!stopped || !stop.Begun(now)) {
-			due = append(due, Due{Load, h})
+			due = append(due, Pending{Load, h})
 		}
 	}
-	slices.SortFunc(due, func(a, b Due) int {
+	slices.SortFunc(due, func(a, b Pending) int {
 		if a.Host.Name < b.Host.Name {
 			return -1
 		}
@@ -59,8 +59,8 @@
 	return due
 }
 
-// With returns a list of names, sorted, with one more.
-func With(names []string, name string) []string {
+// Insert returns a list of names, sorted, with one more.
+func Insert(names []string, name string) []string {
 	if slices.Contains(names, name) {
 		return names
 	}
@@ -69,14 +69,14 @@
 	return next
 }
 
-// Without returns a list of names without one.
-func Without(names []string, name string) []string {
+// Remove returns a list of names without one.
+func Remove(names []string, name string) []string {
 	return slices.DeleteFunc(slices.Clone(names), func(n string) bool { return n == name })
 }
 
-// Listed returns the names that the host list has: a host that comes back
+// FilterListed returns the names that the host list has: a host that comes back
 // under a name is a new one.
-func Listed(names []string, hosts map[string]host.Host) []string {
+func FilterListed(names []string, hosts map[string]host.Host) []string {
 	return slices.DeleteFunc(slices.Clone(names), func(name string) bool {
 		_, listed := hosts[name]
 		return !listed
--- a/parts/order/order_test.go
+++ b/parts/order/order_test.go
@@ -21,16 +21,16 @@
 	config := &conf.Config{Stops: map[string]conf.Stop{
 		"a1": {Server: "a1"}, "a2": {Server: "a2", At: now.Add(time.Minute)}, "p1": {Server: "p1"}, "gone": {},
 	}}
-	c.Assert(List(nil, hosts, nil, nil, now), qt.HasLen, 0)
-	due := List(config, hosts, nil, nil, now)
-	c.Assert(due, qt.DeepEquals, []Due{{Drain, hosts["a1"]}})
+	c.Assert(Plan(nil, hosts, nil, nil, now), qt.HasLen, 0)
+	due := Plan(config, hosts, nil, nil, now)
+	c.Assert(due, qt.DeepEquals, []Pending{{Drain, hosts["a1"]}})
 	// The holder noted it and is gone before it ordered: the next one orders.
-	noted := With(nil, "a1")
-	c.Assert(List(config, hosts, noted, nil, now), qt.DeepEquals, due)
-	c.Assert(List(config, hosts, noted, With(nil, "a1"), now), qt.HasLen, 0)
+	noted := Insert(nil, "a1")
+	c.Assert(Plan(config, hosts, noted, nil, now), qt.DeepEquals, due)
+	c.Assert(Plan(config, hosts, noted, Insert(nil, "a1"), now), qt.HasLen, 0)
 	delete(config.Stops, "a1")
-	due = List(config, hosts, noted, nil, now)
-	c.Assert(due, qt.DeepEquals, []Due{{Load, hosts["a1"]}})
-	c.Assert(Without(noted, "a1"), qt.HasLen, 0)
-	c.Assert(Listed([]string{"a1", "b1"}, hosts), qt.DeepEquals, []string{"a1"})
+	due = Plan(config, hosts, noted, nil, now)
+	c.Assert(due, qt.DeepEquals, []Pending{{Load, hosts["a1"]}})
+	c.Assert(Remove(noted, "a1"), qt.HasLen, 0)
+	c.Assert(FilterListed([]string{"a1", "b1"}, hosts), qt.DeepEquals, []string{"a1"})
 }
--- a/parts/peer/digest.go
+++ b/parts/peer/digest.go
@@ -22,8 +22,8 @@
 	usageBytes = 50
 )
 
-// Own is what this member says of itself in each digest.
-type Own struct {
+// LocalState is what this member says of itself in each digest.
+type LocalState struct {
 	// Revision is the configuration revision in force here.
 	Revision uint64
 	// Drains holds the servers that are being stopped.
@@ -41,7 +41,7 @@
 }
 
 // digest builds what this member tells in one exchange.
-func (p *Peer) digest(own *Own) *wire.Digest {
+func (p *Peer) digest(own *LocalState) *wire.Digest {
 	d := &wire.Digest{Revision: own.Revision, Clock: p.Trace.Now()}
 	self := wireMember(&p.table.Self)
 	self.Revision = own.Revision
@@ -60,7 +60,7 @@
 
 func wireMember(m *Member) *wire.Member {
 	return &wire.Member{
-		Id: uint64(IDOf(m.Name)), Incarnation: m.Incarnation, Beat: m.Beat,
+		Id: uint64(IDOf(m.Name)), Incarnation: m.Incarnation, Beat: m.Heartbeat,
 		State: uint32(m.State), Revision: m.Revision,
 	}
 }
@@ -157,7 +157,7 @@
 	var h heard
 	p.Trace.Observe(d.Clock)
 	for _, m := range d.Members[:min(len(d.Members), maxDigestItems)] {
-		r := Record{Incarnation: m.Incarnation, Beat: m.Beat, State: stateOf(m.State)}
+		r := Record{Incarnation: m.Incarnation, Heartbeat: m.Beat, State: stateOf(m.State)}
 		news, nameless := p.table.Merge(ID(m.Id), r, m.Revision, now)
 		h.news = h.news || news
 		if nameless {
@@ -186,7 +186,7 @@
 	for _, w := range first.Draining {
 		drains = append(drains, Drain{Server: w.Server, InFlight: w.InFlight, Revision: w.Revision})
 	}
-	p.table.Heard(ID(first.Id), drains, now)
+	p.table.RecordContact(ID(first.Id), drains, now)
 	for _, u := range d.Usages[:min(len(d.Usages), maxDigestItems)] {
 		p.ledger.Add(ID(first.Id), Usage{Team: u.Team, Rate: u.Rate}, now)
 	}
--- a/parts/peer/event.go
+++ b/parts/peer/event.go
@@ -1,23 +1,23 @@
 package peer
 
-// Event is something that the embedding daemon may act on: [Newer], [Marked]
-// or [Changed].
+// Event is something that the embedding daemon may act on: [NewerConfig], [MarksReceived]
+// or [MembershipChanged].
 type Event interface{ event() }
 
-// Newer says that a member has a newer configuration in force.
-type Newer struct {
+// NewerConfig says that a member has a newer configuration in force.
+type NewerConfig struct {
 	From     Member
 	Revision uint64
 }
 
-// Marked says that marks were learned from another member.
-type Marked struct {
+// MarksReceived says that marks were learned from another member.
+type MarksReceived struct {
 	Marks []Mark
 }
 
-// Changed says that the members changed: a state, or who there is.
-type Changed struct{}
+// MembershipChanged says that the members changed: a state, or who there is.
+type MembershipChanged struct{}
 
-func (Newer) event()   {}
-func (Marked) event()  {}
-func (Changed) event() {}
+func (NewerConfig) event()       {}
+func (MarksReceived) event()     {}
+func (MembershipChanged) event() {}
--- a/parts/peer/exchange.go
+++ b/parts/peer/exchange.go
@@ -46,37 +46,37 @@
 		return
 	}
 	p.mu.Lock()
-	suspect := p.table.Failed(IDOf(m.Name), time.Now())
+	suspect := p.table.RecordFailure(IDOf(m.Name), time.Now())
 	p.mu.Unlock()
 	if !suspect {
 		return
 	}
-	p.Trace.Add("peer", "", "member does not answer: "+m.Name)
+	p.Trace.Record("peer", "", "member does not answer: "+m.Name)
 	p.Log.Warn("peer: member does not answer", "member", m.Name, "err", err)
-	p.emit(Changed{})
+	p.emit(MembershipChanged{})
 }
 
 // learn takes a digest and acts on what is new in it.
 func (p *Peer) learn(d *wire.Digest, from Member) {
 	p.mu.Lock()
 	h := p.take(d, time.Now())
-	clashes := p.table.Clashes
-	p.table.Clashes = 0
+	clashes := p.table.NameConflicts
+	p.table.NameConflicts = 0
 	p.mu.Unlock()
 	if clashes > 0 {
 		metrics.GetOrRegisterCounter("peer.clashes", nil).Inc(1)
-		p.Trace.Add("peer", "", "another member has the name "+p.Name)
+		p.Trace.Record("peer", "", "another member has the name "+p.Name)
 		p.Log.Error("peer: another member has this name, or the clock was set back", "name", p.Name)
 	}
 	if len(h.marks) > 0 {
-		p.emit(Marked{Marks: h.marks})
-		p.Wake()
+		p.emit(MarksReceived{Marks: h.marks})
+		p.TriggerRound()
 	}
 	if d.Revision > p.own().Revision && from.Address != "" {
-		p.emit(Newer{From: from, Revision: d.Revision})
+		p.emit(NewerConfig{From: from, Revision: d.Revision})
 	}
 	if h.news {
-		p.emit(Changed{})
+		p.emit(MembershipChanged{})
 	}
 	if d.Stranger {
 		// The other side has no name for this member and so never talks to
@@ -89,15 +89,15 @@
 }
 
 func (p *Peer) emit(e Event) {
-	if p.On != nil {
-		p.On(e)
+	if p.OnEvent != nil {
+		p.OnEvent(e)
 	}
 }
 
 // Exchange implements the call of the other members.
 func (p *Peer) Exchange(_ context.Context, d *wire.Digest) (*wire.Digest, error) {
 	p.init()
-	if !Same(d.Secret, p.Secret) {
+	if !SecretsEqual(d.Secret, p.Secret) {
 		metrics.GetOrRegisterCounter("peer.refused", nil).Inc(1)
 		return nil, ErrSecret
 	}
--- a/parts/peer/ledger.go
+++ b/parts/peer/ledger.go
@@ -17,14 +17,14 @@
 	at   time.Time
 }
 
-// Ledger holds what the other members report of each team's use. It is pure
+// RemoteUsage holds what the other members report of each team's use. It is pure
 // and not safe for concurrent use; the zero value is empty.
-type Ledger struct {
+type RemoteUsage struct {
 	teams map[string]map[ID]report
 }
 
 // Add takes the report of a member.
-func (l *Ledger) Add(from ID, u Usage, now time.Time) {
+func (l *RemoteUsage) Add(from ID, u Usage, now time.Time) {
 	if l.teams == nil {
 		l.teams = map[string]map[ID]report{}
 	}
@@ -37,7 +37,7 @@
 // Rates returns each team's rate over the other members. Reports come from
 // the members heard from lately; in a larger fleet they are a sample, whose
 // sum is scaled up to all others.
-func (l *Ledger) Rates(heard, others int, now time.Time) map[string]float64 {
+func (l *RemoteUsage) Rates(heard, others int, now time.Time) map[string]float64 {
 	rates := make(map[string]float64, len(l.teams))
 	scale := float64(max(others, 1)) / float64(max(min(heard, others), 1))
 	for team, reports := range l.teams {
--- a/parts/peer/member.go
+++ b/parts/peer/member.go
@@ -14,7 +14,7 @@
 // say only whom to talk to. A member is gone when the platform's host list no
 // longer has it, or when it said goodbye; never because it was silent.
 //
-// [Table], [Marks] and [Ledger] are pure; Peer is the thin runner over drpc.
+// [Table], [Marks] and [RemoteUsage] are pure; Peer is the thin runner over drpc.
 package peer
 
 import (
@@ -65,8 +65,8 @@
 	// Incarnation tells one run from the next, in Unix milliseconds of its
 	// start.
 	Incarnation uint64
-	// Beat grows with each round of the member.
-	Beat uint64
+	// Heartbeat grows with each round of the member.
+	Heartbeat uint64
 	// State is what is known.
 	State State
 }
@@ -81,8 +81,8 @@
 		return r.Incarnation > o.Incarnation
 	case (r.State == Left) != (o.State == Left):
 		return r.State == Left
-	case r.Beat != o.Beat:
-		return r.Beat > o.Beat
+	case r.Heartbeat != o.Heartbeat:
+		return r.Heartbeat > o.Heartbeat
 	}
 	return r.State > o.State
 }
--- a/parts/peer/names.go
+++ b/parts/peer/names.go
@@ -12,7 +12,7 @@
 // Members implements the call of the other members.
 func (p *Peer) Members(_ context.Context, ask *wire.MembersAsk) (*wire.MembersReply, error) {
 	p.init()
-	if !Same(ask.Secret, p.Secret) {
+	if !SecretsEqual(ask.Secret, p.Secret) {
 		return nil, ErrSecret
 	}
 	p.mu.Lock()
@@ -67,8 +67,8 @@
 	if m.Address == p.Address || !reachable(m.Address) {
 		return
 	}
-	p.table.Introduce(m.Name, m.Address, domain.Name(m.Domain), now)
-	r := Record{Incarnation: m.Incarnation, Beat: m.Beat, State: stateOf(m.State)}
+	p.table.SetContact(m.Name, m.Address, domain.Name(m.Domain), now)
+	r := Record{Incarnation: m.Incarnation, Heartbeat: m.Beat, State: stateOf(m.State)}
 	p.table.Merge(IDOf(m.Name), r, m.Revision, now)
 }
 
@@ -131,7 +131,7 @@
 		p.introduce(m, now)
 	}
 	p.mu.Unlock()
-	p.emit(Changed{})
+	p.emit(MembershipChanged{})
 }
 
 // goodbyeWait bounds the goodbye of a member that stops.
--- a/parts/peer/partner.go
+++ b/parts/peer/partner.go
@@ -8,7 +8,7 @@
 // Partners chooses whom to exchange with in a round: a few in the own domain,
 // the rest across, and now and then a dead one.
 func (t *Table) Partners(r *rand.Rand) []Member {
-	turn := t.Self.Beat%viewTurn == 0
+	turn := t.Self.Heartbeat%viewTurn == 0
 	t.near = t.renew(t.near, nearView, turn, r, func(m *Member) bool { return m.Domain == t.Self.Domain })
 	t.far = t.renew(t.far, farView, turn, r, func(m *Member) bool { return m.Domain != t.Self.Domain })
 	partners := sample(slices.Clone(t.near), near, r)
--- a/parts/peer/peer.go
+++ b/parts/peer/peer.go
@@ -42,13 +42,13 @@
 	Round time.Duration
 	// Hosts returns the host list, or nil while it is not known.
 	Hosts func() map[string]host.Host
-	// Own returns what to say of this member; nil says nothing.
-	Own func() Own
-	// On is called for each event, from several goroutines; it must not
+	// Local returns what to say of this member; nil says nothing.
+	Local func() LocalState
+	// OnEvent is called for each event, from several goroutines; it must not
 	// block. Nil drops events.
-	On func(Event)
+	OnEvent func(Event)
 	// Trace gives the clock of the messages.
-	Trace *trace.Line
+	Trace *trace.Recorder
 	// Log may be nil.
 	Log *slog.Logger
 	// Done is closed when Run has ended; nil if nobody waits.
@@ -64,7 +64,7 @@
 	rand        *rand.Rand
 	table       *Table
 	marks       Marks
-	ledger      Ledger
+	ledger      RemoteUsage
 	usageCursor int
 	busy        map[ID]bool
 	asked       map[uint64]time.Time
@@ -97,8 +97,8 @@
 // ErrSecret is the answer to a wrong secret.
 var ErrSecret = errors.New("peer: wrong secret")
 
-// Same compares secrets in constant time.
-func Same(a, b string) bool {
+// SecretsEqual compares secrets in constant time.
+func SecretsEqual(a, b string) bool {
 	return subtle.ConstantTimeCompare([]byte(a), []byte(b)) == 1
 }
 
@@ -107,7 +107,7 @@
 		now := time.Now()
 		p.table = NewTable(Member{
 			Name: p.Name, Address: p.Address, Domain: p.Domain,
-			Record: Record{Incarnation: uint64(now.UnixMilli()), Beat: 1},
+			Record: Record{Incarnation: uint64(now.UnixMilli()), Heartbeat: 1},
 		})
 		if p.Round == 0 {
 			p.Round = defaultRound
@@ -172,8 +172,8 @@
 	}
 }
 
-// Wake asks for a round ahead of time, since there is news.
-func (p *Peer) Wake() {
+// TriggerRound asks for a round ahead of time, since there is news.
+func (p *Peer) TriggerRound() {
 	p.init()
 	select {
 	case p.wake <- struct{}{}:
@@ -187,7 +187,7 @@
 	p.mu.Lock()
 	if p.Hosts != nil {
 		if hosts := p.Hosts(); hosts != nil {
-			p.table.List(hosts, now)
+			p.table.SetHosts(hosts, now)
 		}
 	}
 	p.table.Tick(now)
@@ -236,11 +236,11 @@
 	return *p.rates.Load()
 }
 
-func (p *Peer) own() *Own {
-	if p.Own == nil {
-		return &Own{}
+func (p *Peer) own() *LocalState {
+	if p.Local == nil {
+		return &LocalState{}
 	}
-	own := p.Own()
+	own := p.Local()
 	return &own
 }
 
--- a/parts/peer/peer_test.go
+++ b/parts/peer/peer_test.go
@@ -33,11 +33,11 @@
 	n := &node{events: make(chan Event, 4096)}
 	n.Peer = &Peer{
 		Name: name, Address: listener.Addr().String(), Domain: in, Secret: "s", Seeds: seeds,
-		Round: 20 * time.Millisecond, Trace: &trace.Line{Process: name}, Done: make(chan struct{}),
-		Own: func() Own {
-			return Own{Revision: n.revision.Load(), Usages: []Usage{{"lyra", 2}}}
+		Round: 20 * time.Millisecond, Trace: &trace.Recorder{Process: name}, Done: make(chan struct{}),
+		Local: func() LocalState {
+			return LocalState{Revision: n.revision.Load(), Usages: []Usage{{"lyra", 2}}}
 		},
-		On: func(e Event) {
+		OnEvent: func(e Event) {
 			select {
 			case n.events <- e:
 			default:
@@ -119,7 +119,7 @@
 // A process that does not know the secret must learn and change nothing.
 func TestWrongSecretIsRefused(t *testing.T) {
 	c := qt.New(t)
-	p := &Peer{Name: "e1", Secret: "s", Trace: &trace.Line{}}
+	p := &Peer{Name: "e1", Secret: "s", Trace: &trace.Recorder{}}
 	d := &wire.Digest{Secret: "x", Members: []*wire.Member{{Id: 3, Incarnation: 1}}}
 	_, err := p.Exchange(context.Background(), d)
 	c.Assert(err, qt.Equals, ErrSecret)
@@ -132,13 +132,13 @@
 // its bytes, and still tell of every member within a bounded number of turns.
 func TestDigestIsBounded(t *testing.T) {
 	c := qt.New(t)
-	p := &Peer{Name: "e0", Trace: &trace.Line{}}
+	p := &Peer{Name: "e0", Trace: &trace.Recorder{}}
 	p.init()
-	own := &Own{Revision: 400}
+	own := &LocalState{Revision: 400}
 	for i := range 320 {
 		name := fmt.Sprintf("entry-%d", i+1)
-		p.table.Introduce(name, "10.0.0.1:7000", "a", start)
-		p.table.Merge(IDOf(name), Record{Incarnation: 1_800_000_000_000, Beat: 90_000}, 400, start)
+		p.table.SetContact(name, "10.0.0.1:7000", "a", start)
+		p.table.Merge(IDOf(name), Record{Incarnation: 1_800_000_000_000, Heartbeat: 90_000}, 400, start)
 		p.marks.Add(Mark{Name: name, Until: time.Now().Add(time.Minute)}, time.Now())
 		own.Usages = append(own.Usages, Usage{Team: name, Rate: 3.5})
 	}
@@ -167,7 +167,7 @@
 		if proto.Unmarshal(data, &d) != nil {
 			return
 		}
-		p := &Peer{Name: "e1", Trace: &trace.Line{}}
+		p := &Peer{Name: "e1", Trace: &trace.Recorder{}}
 		p.init()
 		p.take(&d, start)
 		p.take(&d, start)
@@ -187,20 +187,20 @@
 // reads the time line backwards.
 func TestDigestsCarryTheClock(t *testing.T) {
 	c := qt.New(t)
-	ahead := &Peer{Name: "e1", Secret: "s", Trace: &trace.Line{Process: "e1"}}
-	behind := &Peer{Name: "e2", Secret: "s", Trace: &trace.Line{Process: "e2"}}
+	ahead := &Peer{Name: "e1", Secret: "s", Trace: &trace.Recorder{Process: "e1"}}
+	behind := &Peer{Name: "e2", Secret: "s", Trace: &trace.Recorder{Process: "e2"}}
 	ahead.init()
 	ahead.Trace.Observe(uint64(time.Now().Add(time.Hour).UnixNano()))
-	ahead.Trace.Add("relay", "r1", "cause")
-	d := ahead.digest(&Own{})
+	ahead.Trace.Record("relay", "r1", "cause")
+	d := ahead.digest(&LocalState{})
 	d.Secret = "s"
 	reply, err := behind.Exchange(context.Background(), d)
 	c.Assert(err, qt.IsNil)
-	behind.Trace.Add("relay", "r1", "effect")
+	behind.Trace.Record("relay", "r1", "effect")
 	events := append(behind.Trace.Find("r1"), ahead.Trace.Find("r1")...)
 	trace.Sort(events)
-	c.Assert(events[0].What, qt.Equals, "cause")
-	c.Assert(events[1].What, qt.Equals, "effect")
+	c.Assert(events[0].Message, qt.Equals, "cause")
+	c.Assert(events[1].Message, qt.Equals, "effect")
 
 	// The answer carries it back as well.
 	c.Assert(reply.Clock > d.Clock, qt.IsTrue)
@@ -210,7 +210,7 @@
 // its address would talk to itself.
 func TestUnspecifiedAddressIsNotBelieved(t *testing.T) {
 	c := qt.New(t)
-	p := &Peer{Name: "e1", Secret: "s", Address: "10.0.0.1:7000", Trace: &trace.Line{}}
+	p := &Peer{Name: "e1", Secret: "s", Address: "10.0.0.1:7000", Trace: &trace.Recorder{}}
 	for address, want := range map[string]int{"0.0.0.0:7000": 0, "[::]:7000": 0, "x": 0, "10.0.0.2:7000": 1} {
 		from := &wire.Member{Name: "e2", Address: address, Incarnation: 1}
 		_, err := p.Members(context.Background(), &wire.MembersAsk{Secret: "s", From: from})
--- a/parts/peer/table.go
+++ b/parts/peer/table.go
@@ -39,9 +39,9 @@
 type Table struct {
 	// Self is this member.
 	Self Member
-	// Clashes counts news of a later run under the own name: a second host
+	// NameConflicts counts news of a later run under the own name: a second host
 	// with the same name, or an own clock that was set back.
-	Clashes int
+	NameConflicts int
 
 	others map[ID]*Member
 	order  []ID
@@ -104,10 +104,10 @@
 	}
 }
 
-// Introduce tells the name, address and domain of a member. For a member that
+// SetContact tells the name, address and domain of a member. For a member that
 // the host list has, the list's word holds: what members say of others may be
 // older, or an address that only they can reach.
-func (t *Table) Introduce(name, address string, in domain.Name, now time.Time) {
+func (t *Table) SetContact(name, address string, in domain.Name, now time.Time) {
 	if name == t.Self.Name || name == "" {
 		return
 	}
@@ -121,14 +121,14 @@
 	m.Name, m.Address, m.Domain = name, address, in
 }
 
-// List takes a new host list: its entry hosts are members, and members that
+// SetHosts takes a new host list: its entry hosts are members, and members that
 // an earlier list had and this one lacks are gone.
-func (t *Table) List(hosts map[string]host.Host, now time.Time) {
+func (t *Table) SetHosts(hosts map[string]host.Host, now time.Time) {
 	for _, h := range hosts {
 		if h.Role == host.Entry && h.Name != t.Self.Name {
 			m := t.add(IDOf(h.Name), now)
 			m.Listed = false
-			t.Introduce(h.Name, h.Address, h.Domain, now)
+			t.SetContact(h.Name, h.Address, h.Domain, now)
 			m.Listed = true
 		}
 	}
@@ -172,23 +172,23 @@
 		return false
 	}
 	if r.Incarnation > t.Self.Incarnation {
-		t.Clashes++
+		t.NameConflicts++
 	}
 	t.Self.Incarnation = r.Incarnation + 1
 	t.Self.sent = 0
 	return true
 }
 
-// Heard notes a digest that came from a member directly.
-func (t *Table) Heard(id ID, drains []Drain, now time.Time) {
+// RecordContact notes a digest that came from a member directly.
+func (t *Table) RecordContact(id ID, drains []Drain, now time.Time) {
 	if m := t.others[id]; m != nil {
 		m.Heard, m.Drains, m.missed = now, drains, 0
 	}
 }
 
-// Failed notes that a member did not answer. It reports whether that makes
+// RecordFailure notes that a member did not answer. It reports whether that makes
 // the member suspect.
-func (t *Table) Failed(id ID, now time.Time) bool {
+func (t *Table) RecordFailure(id ID, now time.Time) bool {
 	m := t.others[id]
 	if m == nil {
 		return false
@@ -203,7 +203,7 @@
 
 // Tick begins a round: it moves the own beat on and lets suspects grow old.
 func (t *Table) Tick(now time.Time) {
-	t.Self.Beat++
+	t.Self.Heartbeat++
 	for _, id := range slices.Clone(t.order) {
 		m := t.others[id]
 		switch {
--- a/parts/peer/table_test.go
+++ b/parts/peer/table_test.go
@@ -19,7 +19,7 @@
 	return rapid.Custom(func(t *rapid.T) Record {
 		return Record{
 			Incarnation: rapid.Uint64Range(1, 3).Draw(t, "incarnation"),
-			Beat:        rapid.Uint64Range(1, 4).Draw(t, "beat"),
+			Heartbeat:   rapid.Uint64Range(1, 4).Draw(t, "beat"),
 			State:       State(rapid.IntRange(0, 3).Draw(t, "state")),
 		}
 	})
@@ -34,7 +34,7 @@
 		other := rapid.Permutation(append(slices.Clone(news), news[0])).Draw(t, "other")
 		end := func(all []Record) Record {
 			table := NewTable(Member{Name: "e1"})
-			table.Introduce("e2", "h:1", "a", start)
+			table.SetContact("e2", "h:1", "a", start)
 			for _, r := range all {
 				table.Merge(IDOf("e2"), r, 0, start)
 			}
@@ -53,18 +53,18 @@
 func TestThawedMemberComesBack(t *testing.T) {
 	c := qt.New(t)
 	table := NewTable(Member{Name: "e1"})
-	table.Introduce("e2", "h:1", "a", start)
+	table.SetContact("e2", "h:1", "a", start)
 	id := IDOf("e2")
-	table.Merge(id, Record{Incarnation: 1, Beat: 5}, 0, start)
-	c.Assert(table.Failed(id, start), qt.IsTrue)
-	c.Assert(table.Failed(id, start), qt.IsFalse)
+	table.Merge(id, Record{Incarnation: 1, Heartbeat: 5}, 0, start)
+	c.Assert(table.RecordFailure(id, start), qt.IsTrue)
+	c.Assert(table.RecordFailure(id, start), qt.IsFalse)
 	table.Tick(start.Add(suspectFor))
 	m, _ := table.Get(id)
 	c.Assert(m.State, qt.Equals, Dead)
 
-	news, _ := table.Merge(id, Record{Incarnation: 1, Beat: 6}, 0, start)
+	news, _ := table.Merge(id, Record{Incarnation: 1, Heartbeat: 6}, 0, start)
 	c.Assert(news, qt.IsTrue)
-	table.Merge(id, Record{Incarnation: 1, Beat: 5, State: Dead}, 0, start)
+	table.Merge(id, Record{Incarnation: 1, Heartbeat: 5, State: Dead}, 0, start)
 	m, _ = table.Get(id)
 	c.Assert(m.State, qt.Equals, Alive)
 }
@@ -76,15 +76,15 @@
 	c := qt.New(t)
 	table := NewTable(Member{Name: "e1"})
 	hosts := map[string]host.Host{"e2": {Name: "e2", Address: "h:1", Domain: "a", Role: host.Entry}}
-	table.List(hosts, start)
-	table.Merge(IDOf("e2"), Record{Incarnation: 1, Beat: 1}, 0, start)
-	table.Failed(IDOf("e2"), start)
+	table.SetHosts(hosts, start)
+	table.Merge(IDOf("e2"), Record{Incarnation: 1, Heartbeat: 1}, 0, start)
+	table.RecordFailure(IDOf("e2"), start)
 	for i := range 3 {
 		table.Tick(start.Add(time.Duration(i) * forgetAfter))
-		table.List(hosts, start)
+		table.SetHosts(hosts, start)
 	}
 	c.Assert(table.Others(), qt.HasLen, 1)
-	table.List(map[string]host.Host{}, start)
+	table.SetHosts(map[string]host.Host{}, start)
 	c.Assert(table.Others(), qt.HasLen, 0)
 }
 
@@ -93,15 +93,15 @@
 // news of itself so that it is not held for the other run.
 func TestNewsOfSelfIsOutbid(t *testing.T) {
 	c := qt.New(t)
-	table := NewTable(Member{Name: "e1", Record: Record{Incarnation: 10, Beat: 3}})
-	news, _ := table.Merge(IDOf("e1"), Record{Incarnation: 10, Beat: 2, State: Dead}, 0, start)
+	table := NewTable(Member{Name: "e1", Record: Record{Incarnation: 10, Heartbeat: 3}})
+	news, _ := table.Merge(IDOf("e1"), Record{Incarnation: 10, Heartbeat: 2, State: Dead}, 0, start)
 	c.Assert(news, qt.IsFalse)
-	table.Merge(IDOf("e1"), Record{Incarnation: 10, Beat: 3, State: Suspect}, 0, start)
+	table.Merge(IDOf("e1"), Record{Incarnation: 10, Heartbeat: 3, State: Suspect}, 0, start)
 	c.Assert(table.Self.Incarnation, qt.Equals, uint64(11))
-	c.Assert(table.Clashes, qt.Equals, 0)
-	table.Merge(IDOf("e1"), Record{Incarnation: 20, Beat: 1}, 0, start)
+	c.Assert(table.NameConflicts, qt.Equals, 0)
+	table.Merge(IDOf("e1"), Record{Incarnation: 20, Heartbeat: 1}, 0, start)
 	c.Assert(table.Self.Incarnation, qt.Equals, uint64(21))
-	c.Assert(table.Clashes, qt.Equals, 1)
+	c.Assert(table.NameConflicts, qt.Equals, 1)
 }
 
 // After a partition heals, both sides hold each other dead. Somebody has to
@@ -111,10 +111,10 @@
 	table := NewTable(Member{Name: "e1", Domain: "a"})
 	for i := range 6 {
 		name := fmt.Sprintf("e%d", i+2)
-		table.Introduce(name, "h:"+name, "a", start)
-		table.Merge(IDOf(name), Record{Incarnation: 1, Beat: 1}, 0, start)
+		table.SetContact(name, "h:"+name, "a", start)
+		table.Merge(IDOf(name), Record{Incarnation: 1, Heartbeat: 1}, 0, start)
 	}
-	table.Failed(IDOf("e7"), start)
+	table.RecordFailure(IDOf("e7"), start)
 	table.Tick(start.Add(suspectFor))
 	tried := 0
 	r := rand.New(rand.NewPCG(1, 2))
@@ -152,7 +152,7 @@
 // of the fleet stand for all of it, and old ones must not count for ever.
 func TestLedger(t *testing.T) {
 	c := qt.New(t)
-	var l Ledger
+	var l RemoteUsage
 	l.Add(1, Usage{"lyra", 10}, start)
 	l.Add(2, Usage{"lyra", 20}, start)
 	c.Assert(l.Rates(2, 2, start), qt.DeepEquals, map[string]float64{"lyra": 30})
@@ -166,13 +166,13 @@
 func TestRestartAfterGoodbye(t *testing.T) {
 	c := qt.New(t)
 	table := NewTable(Member{Name: "e1"})
-	table.Introduce("e2", "h:1", "a", start)
+	table.SetContact("e2", "h:1", "a", start)
 	id := IDOf("e2")
-	table.Merge(id, Record{Incarnation: 1, Beat: 90}, 0, start)
-	table.Merge(id, Record{Incarnation: 1, Beat: 91, State: Left}, 0, start)
+	table.Merge(id, Record{Incarnation: 1, Heartbeat: 90}, 0, start)
+	table.Merge(id, Record{Incarnation: 1, Heartbeat: 91, State: Left}, 0, start)
 	c.Assert(table.Partners(rand.New(rand.NewPCG(1, 2))), qt.HasLen, 0)
-	table.Merge(id, Record{Incarnation: 2, Beat: 1}, 0, start)
-	table.Merge(id, Record{Incarnation: 1, Beat: 99, State: Left}, 0, start)
+	table.Merge(id, Record{Incarnation: 2, Heartbeat: 1}, 0, start)
+	table.Merge(id, Record{Incarnation: 1, Heartbeat: 99, State: Left}, 0, start)
 	m, _ := table.Get(id)
 	c.Assert(m.State, qt.Equals, Alive)
 	c.Assert(m.Incarnation, qt.Equals, uint64(2))
--- a/parts/peer/tell.go
+++ b/parts/peer/tell.go
@@ -18,19 +18,19 @@
 	news := p.marks.Add(m, time.Now())
 	p.mu.Unlock()
 	if news {
-		p.Wake()
+		p.TriggerRound()
 	}
 	return news
 }
 
-// Tell takes a mark like Mark, and tells it to all living members at once. It
+// Broadcast takes a mark like Mark, and tells it to all living members at once. It
 // returns when all have it or the context ends; its cost grows with the fleet,
 // so it is for the rare fact that must not wait for rounds.
-func (p *Peer) Tell(ctx context.Context, m Mark) {
+func (p *Peer) Broadcast(ctx context.Context, m Mark) {
 	p.init()
 	p.mu.Lock()
 	p.marks.Add(m, time.Now())
-	d := p.digest(&Own{})
+	d := p.digest(&LocalState{})
 	d.Secret, d.Usages = p.Secret, nil
 	d.Members = d.Members[:1]
 	d.Marks = []*wire.Mark{wireMark(&m)}
--- a/parts/pick/one.go
+++ b/parts/pick/one.go
@@ -7,9 +7,9 @@
 	"fuchsiashelf.dev/parts/server"
 )
 
-// Picker chooses single servers, for services that need no chain. Set the
+// ServerPicker chooses single servers, for services that need no chain. Set the
 // exported fields before first use.
-type Picker struct {
+type ServerPicker struct {
 	// Meters holds the figures of each server.
 	Meters map[string]*server.Meter
 	// Avoid reports servers that are used only if there is no other.
@@ -18,9 +18,9 @@
 	Rand *rand.Rand
 }
 
-// One chooses the better of two servers taken at random (power of two
+// Pick chooses the better of two servers taken at random (power of two
 // choices). It panics if there is none.
-func (p *Picker) One(servers []host.Host) host.Host {
+func (p *ServerPicker) Pick(servers []host.Host) host.Host {
 	if len(servers) == 1 {
 		return servers[0]
 	}
@@ -35,10 +35,10 @@
 	return servers[i]
 }
 
-func (p *Picker) cost(name string) float64 {
+func (p *ServerPicker) cost(name string) float64 {
 	cost := 0.0
 	if m := p.Meters[name]; m != nil {
-		cost = float64(m.InFlight.Load()+1) * float64(m.Step.Now()+1)
+		cost = float64(m.InFlight.Load()+1) * float64(m.Step.Current()+1)
 	}
 	if p.Avoid != nil && p.Avoid(name) {
 		cost += shunned
--- a/parts/pick/pick.go
+++ b/parts/pick/pick.go
@@ -25,8 +25,8 @@
 	Link *link.Meter
 }
 
-// Chooser chooses chains. It may be shared by several threads if Rand may.
-type Chooser struct {
+// ChainPicker chooses chains. It may be shared by several threads if Rand may.
+type ChainPicker struct {
 	// Policy is how to choose; nil means Cost.
 	Policy Policy
 	// Rand returns 64 random bits.
@@ -38,9 +38,9 @@
 	Avoid map[string]time.Time
 }
 
-// Chain chooses a server for each stage, from the first layer to the last,
+// Pick chooses a server for each stage, from the first layer to the last,
 // and appends them to hops.
-func (c *Chooser) Chain(t *Table, hops []Hop) []Hop {
+func (c *ChainPicker) Pick(t *Table, hops []Hop) []Hop {
 	var before *choice
 	for at := 0; at != chain.Last; {
 		s := &t.stages[at]
@@ -56,7 +56,7 @@
 }
 
 // one returns the index of the choice for a stage.
-func (c *Chooser) one(s *stage, before *choice) int {
+func (c *ChainPicker) one(s *stage, before *choice) int {
 	if len(s.choices) == 1 {
 		return 0
 	}
@@ -69,14 +69,14 @@
 	return i
 }
 
-func (c *Chooser) draw(s *stage, before *choice) int {
+func (c *ChainPicker) draw(s *stage, before *choice) int {
 	n := uint64(len(s.choices))
 	switch p := c.Policy.(type) {
 	case Random:
 		return int(c.Rand() % n)
-	case *Robin:
+	case *RoundRobin:
 		return int(p.turn(s.at) % n)
-	case Least:
+	case LeastRequests:
 		return c.least(s)
 	}
 	bits := c.Rand()
@@ -89,7 +89,7 @@
 
 // least returns the choice with the fewest requests in flight, from a random
 // one on, so that entry hosts without load do not all begin with the first.
-func (c *Chooser) least(s *stage) int {
+func (c *ChainPicker) least(s *stage) int {
 	n := len(s.choices)
 	best := int(c.Rand() % uint64(n))
 	from := best
@@ -104,7 +104,7 @@
 
 // scan returns the cheapest choice that is not avoided, or the cheapest of
 // all if there is none.
-func (c *Chooser) scan(s *stage, before *choice) int {
+func (c *ChainPicker) scan(s *stage, before *choice) int {
 	best, bestCost := 0, 0.0
 	for i := range s.choices {
 		cost := c.cost(s, i, before)
@@ -120,13 +120,13 @@
 	return best
 }
 
-func (c *Chooser) avoided(o *choice) bool {
+func (c *ChainPicker) avoided(o *choice) bool {
 	until, found := c.Avoid[o.name]
 	return found && c.Now < until.UnixNano()
 }
 
 // shuns reports whether the link from the server before is to be avoided.
-func (c *Chooser) shuns(before *choice, i int) bool {
+func (c *ChainPicker) shuns(before *choice, i int) bool {
 	return before != nil && before.links[i].AvoidUntil.Load() > c.Now
 }
 
@@ -144,13 +144,13 @@
 
 // cost is the time to expect for a token, in nanoseconds: the step, the wait
 // before it, and the link from the server before.
-func (c *Chooser) cost(s *stage, i int, before *choice) float64 {
+func (c *ChainPicker) cost(s *stage, i int, before *choice) float64 {
 	m := s.choices[i].meter
-	step := float64(m.Step.Now())
+	step := float64(m.Step.Current())
 	share := step / max(float64(m.Capacity.Load()), 1)
 	cost := step + float64(m.InFlight.Load()+1)*share + c.queue(m, share)
 	if before != nil {
-		cost += float64(before.links[i].Delay.Now())
+		cost += float64(before.links[i].Delay.Current())
 		if c.shuns(before, i) {
 			cost += shunned / 2
 		}
@@ -160,7 +160,7 @@
 
 // queue is the wait that others cause: as measured on own requests, or as
 // reported, whichever is longer after its age is taken off.
-func (c *Chooser) queue(m *server.Meter, share float64) float64 {
+func (c *ChainPicker) queue(m *server.Meter, share float64) float64 {
 	measured, at := m.Wait()
 	wait := float64(measured) * halfWait / (halfWait + float64(c.Now-at))
 	waiting := float64(m.Waiting.Load()) * share
--- a/parts/pick/pick_test.go
+++ b/parts/pick/pick_test.go
@@ -30,9 +30,9 @@
 			meters[name].Observe(second, steps[n%len(steps)], 0)
 		}
 	}
-	g, err := chain.Make(stages, hosts)
+	g, err := chain.New(stages, hosts)
 	quicktest.Assert(t, err, quicktest.IsNil)
-	return Make(g, meters, time.Unix(1, 0)), meters
+	return NewTable(g, meters, time.Unix(1, 0)), meters
 }
 
 func source(seed uint64) func() uint64 {
@@ -43,10 +43,10 @@
 // requests stay in flight.
 func share(t testing.TB, p Policy, n int, steps ...time.Duration) []float64 {
 	table, meters := fleet(t, 1, len(steps), steps...)
-	c := &Chooser{Policy: p, Rand: source(1), Now: second}
+	c := &ChainPicker{Policy: p, Rand: source(1), Now: second}
 	counts := make([]float64, len(steps))
 	for range n {
-		h := c.Chain(table, nil)[0]
+		h := c.Pick(table, nil)[0]
 		h.Meter.InFlight.Add(1)
 		counts[h.Server]++
 	}
@@ -63,7 +63,7 @@
 func TestCostFollowsCapacity(t *testing.T) {
 	c := quicktest.New(t)
 	ms := time.Millisecond
-	got := share(t, Cost{}, 4000, 6*ms, 6*ms, 6*ms, 6*ms, 6*ms, 6*ms, 6*ms, 1*ms)
+	got := share(t, LeastCost{}, 4000, 6*ms, 6*ms, 6*ms, 6*ms, 6*ms, 6*ms, 6*ms, 1*ms)
 	c.Assert(got[7] > 0.42 && got[7] < 0.5, quicktest.IsTrue, quicktest.Commentf("%v", got))
 }
 
@@ -72,10 +72,10 @@
 func TestRobinIsEven(t *testing.T) {
 	c := quicktest.New(t)
 	table, _ := fleet(t, 3, 6, time.Millisecond)
-	chooser := &Chooser{Policy: NewRobin(), Rand: source(5), Now: second}
+	chooser := &ChainPicker{Policy: NewRoundRobin(), Rand: source(5), Now: second}
 	counts := map[int]int{}
 	for range 60 {
-		for _, h := range chooser.Chain(table, nil) {
+		for _, h := range chooser.Pick(table, nil) {
 			counts[h.Server]++
 		}
 	}
@@ -93,17 +93,17 @@
 	for _, n := range []int{0, 1, 2} {
 		avoid[fmt.Sprintf("s0-%d", n)] = time.Unix(10, 0)
 	}
-	for _, p := range []Policy{Cost{}, Random{}, NewRobin(), Least{}} {
-		chooser := &Chooser{Policy: p, Rand: source(2), Now: second, Avoid: avoid}
+	for _, p := range []Policy{LeastCost{}, Random{}, NewRoundRobin(), LeastRequests{}} {
+		chooser := &ChainPicker{Policy: p, Rand: source(2), Now: second, Avoid: avoid}
 		for range 50 {
-			c.Assert(chooser.Chain(table, nil)[0].Server, quicktest.Equals, 3)
+			c.Assert(chooser.Pick(table, nil)[0].Server, quicktest.Equals, 3)
 		}
 		chooser.Now = 11 * second
 		seen := map[int]bool{}
 		for range 100 {
-			seen[chooser.Chain(table, nil)[0].Server] = true
+			seen[chooser.Pick(table, nil)[0].Server] = true
 		}
-		c.Assert(len(seen) > 1 || p == Policy(Least{}), quicktest.IsTrue)
+		c.Assert(len(seen) > 1 || p == Policy(LeastRequests{}), quicktest.IsTrue)
 	}
 }
 
@@ -118,10 +118,10 @@
 	for range 20 {
 		l.Delay.Observe(40 * time.Millisecond)
 	}
-	table = Make(table.Graph, meters, time.Unix(1, 0))
-	chooser := &Chooser{Rand: source(3), Now: second}
+	table = NewTable(table.Graph, meters, time.Unix(1, 0))
+	chooser := &ChainPicker{Rand: source(3), Now: second}
 	for range 200 {
-		hops := chooser.Chain(table, nil)
+		hops := chooser.Pick(table, nil)
 		crossed := hops[0].Server == 0 && hops[1].Server == 2
 		c.Assert(crossed, quicktest.IsFalse)
 	}
@@ -141,17 +141,17 @@
 			meters[h.Name] = &server.Meter{}
 			meters[h.Name].Observe(1, time.Duration(rapid.Int64Range(0, 1e9).Draw(t, "step")), 0)
 		}
-		g, err := chain.Make(layers, hosts)
+		g, err := chain.New(layers, hosts)
 		if err != nil {
 			t.Fatal(err)
 		}
-		policy, err := Parse(rapid.SampledFrom([]string{"cost", "random", "robin", "least"}).Draw(t, "policy"))
+		policy, err := ParsePolicy(rapid.SampledFrom([]string{"cost", "random", "robin", "least"}).Draw(t, "policy"))
 		if err != nil {
 			t.Fatal(err)
 		}
-		chooser := &Chooser{Policy: policy, Rand: source(rapid.Uint64().Draw(t, "seed"))}
+		chooser := &ChainPicker{Policy: policy, Rand: source(rapid.Uint64().Draw(t, "seed"))}
 		at := 0
-		for _, h := range chooser.Chain(Make(g, meters, time.Unix(0, 0)), nil) {
+		for _, h := range chooser.Pick(NewTable(g, meters, time.Unix(0, 0)), nil) {
 			if h.First != at {
 				t.Fatalf("layer %d is due, %d came", at, h.First)
 			}
@@ -182,11 +182,11 @@
 	for _, shape := range []struct{ stages, width int }{{8, 75}, {24, 25}} {
 		b.Run(fmt.Sprintf("%dx%d", shape.stages, shape.width), func(b *testing.B) {
 			table, _ := fleet(b, shape.stages, shape.width, time.Millisecond, 2500*time.Microsecond, 6*time.Millisecond)
-			c := &Chooser{Policy: Cost{}, Rand: rand.Uint64, Now: second}
+			c := &ChainPicker{Policy: LeastCost{}, Rand: rand.Uint64, Now: second}
 			hops := make([]Hop, 0, shape.stages)
 			b.ReportAllocs()
 			for b.Loop() {
-				hops = c.Chain(table, hops[:0])
+				hops = c.Pick(table, hops[:0])
 			}
 		})
 	}
@@ -197,10 +197,10 @@
 func TestRobinUsesAllServersOfEachStage(t *testing.T) {
 	c := quicktest.New(t)
 	table, _ := fleet(t, 3, 6, time.Millisecond)
-	chooser := &Chooser{Policy: &Robin{}, Rand: source(4), Now: second}
+	chooser := &ChainPicker{Policy: &RoundRobin{}, Rand: source(4), Now: second}
 	seen := map[int]int{}
 	for range 60 {
-		for _, hop := range chooser.Chain(table, nil) {
+		for _, hop := range chooser.Pick(table, nil) {
 			seen[hop.Server]++
 		}
 	}
--- a/parts/pick/table.go
+++ b/parts/pick/table.go
@@ -40,10 +40,10 @@
 // tried again.
 const ejectFor = 10 * time.Second
 
-// Make makes a table. Every server of the graph must have a meter. Servers and
+// NewTable makes a table. Every server of the graph must have a meter. Servers and
 // links that have become degraded are marked in their meters, so that they are
 // left out for a while.
-func Make(g *chain.Graph, meters map[string]*server.Meter, now time.Time) *Table {
+func NewTable(g *chain.Graph, meters map[string]*server.Meter, now time.Time) *Table {
 	t := &Table{Graph: g, stages: make([]stage, len(g.Hops))}
 	for i, hops := range g.Hops {
 		all := make([]choice, len(hops))
@@ -68,7 +68,7 @@
 	for i := range all {
 		m := all[i].meter
 		if m.Step.Degraded() {
-			m.Step.Forgive()
+			m.Step.Reset()
 			m.EjectedUntil.Store(now.Add(ejectFor).UnixNano())
 		}
 		if m.EjectedUntil.Load() > now.UnixNano() {
@@ -104,7 +104,7 @@
 		}
 	}
 	for _, i := range health.Eject(degraded, len(next)) {
-		c.links[i].Delay.Forgive()
+		c.links[i].Delay.Reset()
 		c.links[i].Avoid(now.Add(ejectFor))
 	}
 }
@@ -143,7 +143,7 @@
 // rate returns the tokens that a server runs in a nanosecond at most, zero if
 // nothing is known.
 func rate(m *server.Meter) float64 {
-	step := float64(m.Step.Now())
+	step := float64(m.Step.Current())
 	if step <= 0 {
 		return 0
 	}
--- a/parts/place/bench_test.go
+++ b/parts/place/bench_test.go
@@ -17,16 +17,16 @@
 		b.StopTimer()
 		list := fleetOf(1000)
 		b.StartTimer()
-		place.Decide(engine(), list, calm)
+		place.Plan(engine(), list, calm)
 	}
 }
 
 // The same fleet when all is held: what is decided anew all day, 3 ms.
 func BenchmarkDecideAtRest(b *testing.B) {
 	list := fleetOf(1000)
-	carry(place.Decide(engine(), list, calm))
+	carry(place.Plan(engine(), list, calm))
 	for b.Loop() {
-		place.Decide(engine(), list, calm)
+		place.Plan(engine(), list, calm)
 	}
 }
 
@@ -35,7 +35,7 @@
 	var list []*fleet.Server
 	for _, in := range []domain.Name{"a", "b", "c"} {
 		for i := range each {
-			list = append(list, &fleet.Server{ID: fmt.Sprintf("%s-%04d", in, i), Domain: in, Card: cards[i%len(cards)]})
+			list = append(list, &fleet.Server{ID: fmt.Sprintf("%s-%04d", in, i), Domain: in, Accelerator: cards[i%len(cards)]})
 		}
 	}
 	return list
--- a/parts/place/group.go
+++ b/parts/place/group.go
@@ -39,12 +39,12 @@
 	}
 	g.cards = cardsOf(e, servers)
 	slices.SortFunc(g.servers, func(a, b *fleet.Server) int {
-		x, y := g.cards[a.Card], g.cards[b.Card]
+		x, y := g.cards[a.Accelerator], g.cards[b.Accelerator]
 		return cmp.Or(cmp.Compare(x.time, y.time), cmp.Compare(y.MemoryMB, x.MemoryMB), cmp.Compare(a.ID, b.ID))
 	})
 	g.tokens = g.balanced()
 	for _, s := range g.servers {
-		if s.Holds() > 0 {
+		if s.LayerCount() > 0 {
 			g.set(s, span{max(0, s.First), min(s.End, e.Layers)})
 		}
 	}
@@ -53,7 +53,7 @@
 
 // usual returns how many layers a server should hold.
 func (g *group) usual(s *fleet.Server) int {
-	return size(g.engine, g.cards[s.Card].MemoryMB, g.tokens)
+	return size(g.engine, g.cards[s.Accelerator].MemoryMB, g.tokens)
 }
 
 // set replaces what a server holds.
--- a/parts/place/level.go
+++ b/parts/place/level.go
@@ -66,7 +66,7 @@
 func (g *group) crowded() []*fleet.Server {
 	var list []*fleet.Server
 	for _, s := range g.servers {
-		if s.Holds() > 0 && g.held[s.ID].len() > g.usual(s) {
+		if s.LayerCount() > 0 && g.held[s.ID].len() > g.usual(s) {
 			list = append(list, s)
 		}
 	}
@@ -112,7 +112,7 @@
 	for _, n := range g.servers {
 		o := g.held[n.ID]
 		beside := last && o.first == r.end || !last && o.end == r.first
-		if moved[n.ID] || !beside || o.len() == 0 || n.Holds() == 0 || o.len() >= largest(g.engine, n) {
+		if moved[n.ID] || !beside || o.len() == 0 || n.LayerCount() == 0 || o.len() >= largest(g.engine, n) {
 			continue
 		}
 		if left := room(g.engine, n, o.len()+1); left > bestRoom && g.fits(n, o.len()+1) {
--- a/parts/place/level_test.go
+++ b/parts/place/level_test.go
@@ -22,11 +22,11 @@
 	for l := range e.Layers {
 		var tokens float64
 		for _, s := range list {
-			if s.Domain != in || s.Leaving || s.Suspect || l < s.First || l >= s.End {
+			if s.Domain != in || s.Leaving || s.Suspected || l < s.First || l >= s.End {
 				continue
 			}
-			free := e.Cards[s.Card].MemoryMB - float64(s.Holds())*e.LayerMB
-			tokens += free * 1e6 / (e.TokenBytes / float64(e.Layers) * float64(s.Holds()))
+			free := e.Accelerators[s.Accelerator].MemoryMB - float64(s.LayerCount())*e.LayerMB
+			tokens += free * 1e6 / (e.TokenBytes / float64(e.Layers) * float64(s.LayerCount()))
 		}
 		least = min(least, tokens/usualTokens)
 	}
@@ -34,10 +34,10 @@
 }
 
 // settle carries out what is decided in calm until nothing is left to do.
-func settle(t *testing.T, list []*fleet.Server, now place.Times) {
+func settle(t *testing.T, list []*fleet.Server, now place.Conditions) {
 	t.Helper()
 	for range 40 {
-		orders := place.Decide(engine(), list, now)
+		orders := place.Plan(engine(), list, now)
 		if len(orders) == 0 {
 			return
 		}
@@ -56,12 +56,12 @@
 		settle(t, list, calm)
 		before := capacity(list, dead.Domain)
 		s := find(list, dead.ID)
-		s.Suspect = true
-		carry(place.Decide(engine(), list, stir))
+		s.Suspected = true
+		carry(place.Plan(engine(), list, stir))
 		s.Leaving = true
-		back := &fleet.Server{ID: "back", Domain: dead.Domain, Card: dead.Card}
+		back := &fleet.Server{ID: "back", Domain: dead.Domain, Accelerator: dead.Accelerator}
 		list = append(list, back)
-		carry(place.Decide(engine(), list, stir))
+		carry(place.Plan(engine(), list, stir))
 		taken := capacity(list, dead.Domain)
 		settle(t, list, calm)
 		after := capacity(list, dead.Domain)
@@ -77,7 +77,7 @@
 		list := today()
 		settle(t, list, calm)
 		find(list, dead.ID).Leaving = true
-		carry(place.Decide(engine(), list, stir))
+		carry(place.Plan(engine(), list, stir))
 		taken := capacity(list, dead.Domain)
 		settle(t, list, calm)
 		after := capacity(list, dead.Domain)
@@ -91,14 +91,14 @@
 	list := today()
 	settle(t, list, calm)
 	find(list, "b-l4-3").Leaving = true
-	carry(place.Decide(engine(), list, stir))
+	carry(place.Plan(engine(), list, stir))
 	full := calm
-	full.Taken = func(string) float64 { return math.Inf(1) }
+	full.Reserved = func(string) float64 { return math.Inf(1) }
 	for range 5 {
-		for _, o := range place.Decide(engine(), list, full) {
+		for _, o := range place.Plan(engine(), list, full) {
 			grows := o.First < o.Server.First || o.End > o.Server.End
 			qt.Assert(t, grows, qt.IsFalse, qt.Commentf("%s: %d to %d", o.Server.ID, o.First, o.End))
-			carry([]place.Order{o})
+			carry([]place.Assignment{o})
 		}
 	}
 }
@@ -115,14 +115,14 @@
 	// Each server's requests take nine tenths of its room.
 	held := map[string]float64{}
 	for _, s := range list {
-		free := e.Cards[s.Card].MemoryMB - float64(s.Holds())*e.LayerMB
+		free := e.Accelerators[s.Accelerator].MemoryMB - float64(s.LayerCount())*e.LayerMB
 		held[s.ID] = 0.9 * free * 1e6 / (e.TokenBytes / float64(e.Layers))
 	}
-	full.Taken = func(id string) float64 { return held[id] }
-	for _, o := range place.Decide(e, list, full) {
-		qt.Check(t, o.End-o.First <= o.Server.Holds(), qt.IsTrue, qt.Commentf("%s: %d to %d, held %d", o.Server.ID, o.First, o.End, o.Server.Holds()))
+	full.Reserved = func(id string) float64 { return held[id] }
+	for _, o := range place.Plan(e, list, full) {
+		qt.Check(t, o.End-o.First <= o.Server.LayerCount(), qt.IsTrue, qt.Commentf("%s: %d to %d, held %d", o.Server.ID, o.First, o.End, o.Server.LayerCount()))
 	}
 	clear(held)
-	carry(place.Decide(e, list, full))
+	carry(place.Plan(e, list, full))
 	qt.Assert(t, covered(list, "b"), qt.IsTrue)
 }
--- a/parts/place/place.go
+++ b/parts/place/place.go
@@ -6,7 +6,7 @@
 // for the requests of a busy hour. Domains too small for a copy of their own
 // share one.
 //
-// [Decide] is a pure function of the believed state of the servers. Servers keep what
+// [Plan] is a pure function of the believed state of the servers. Servers keep what
 // they hold. Empty servers get the layers with the fewest replicas or the least room.
 // Missing layers are taken by servers whose own are replicated, or the ranges next to
 // the gap are shifted. Entry hosts with the same state decide on the same orders, so
@@ -21,15 +21,15 @@
 	"fuchsiashelf.dev/parts/route"
 )
 
-// Order assigns a range of layers to a server.
-type Order struct {
+// Assignment assigns a range of layers to a server.
+type Assignment struct {
 	Server *fleet.Server
 	// First and End bound the layers.
 	First, End int
-	// Rely holds the servers with replicas of the layers that this one gives up. They
+	// Replicas holds the servers with replicas of the layers that this one gives up. They
 	// should be checked before the order is sent, since a failure may not be known yet.
 	// It is empty for orders that close a gap, which are urgent.
-	Rely []*fleet.Server
+	Replicas []*fleet.Server
 }
 
 const (
@@ -54,29 +54,29 @@
 	worthAligned = 0.01
 )
 
-// Times says what may be done now.
-type Times struct {
-	// Calm reports whether the servers of a failure domain have been the same
+// Conditions says what may be done now.
+type Conditions struct {
+	// Stable reports whether the servers of a failure domain have been the same
 	// for a while. Only then are ranges made level, and layers given up that
 	// others hold as well.
-	Calm func(domain.Name) bool
-	// New reports whether a server has just started. In a rolling replacement the
+	Stable func(domain.Name) bool
+	// JustStarted reports whether a server has just started. In a rolling replacement the
 	// new server starts before the old one leaves; loading replicas now would delay
 	// taking over from the server being replaced.
-	New func(id string) bool
-	// Taken returns how many tokens x layers are promised of a server's memory.
-	Taken func(id string) float64
+	JustStarted func(id string) bool
+	// Reserved returns how many tokens x layers are promised of a server's memory.
+	Reserved func(id string) float64
 	// Idle reports whether hardly any request passes through a server. A busy
 	// server drains first, which takes up to ten seconds.
 	Idle func(id string) bool
 }
 
-// Decide returns the orders that improve what the servers hold. Servers that
+// Plan returns the orders that improve what the servers hold. Servers that
 // are leaving or suspected count as holding nothing, and get no order.
-func Decide(e *route.Engine, servers []*fleet.Server, now Times) []Order {
-	var orders []Order
+func Plan(e *route.Engine, servers []*fleet.Server, now Conditions) []Assignment {
+	var orders []Assignment
 	for _, group := range groups(e, servers) {
-		group.taken = now.Taken
+		group.taken = now.Reserved
 		orders = append(orders, group.decide(now)...)
 	}
 	return orders
@@ -88,10 +88,10 @@
 	byDomain := map[domain.Name][]*fleet.Server{}
 	suspects := map[domain.Name]int{}
 	for _, s := range servers {
-		if s.Leaving || e.Cards[s.Card].MemoryMB <= 0 {
+		if s.Leaving || e.Accelerators[s.Accelerator].MemoryMB <= 0 {
 			continue
 		}
-		if s.Suspect {
+		if s.Suspected {
 			suspects[s.Domain]++
 			continue
 		}
@@ -132,7 +132,7 @@
 
 // largest returns how many layers a server can hold at most.
 func largest(e *route.Engine, s *fleet.Server) int {
-	return most(e, e.Cards[s.Card].MemoryMB)
+	return most(e, e.Accelerators[s.Accelerator].MemoryMB)
 }
 
 // most returns how many layers fit into so much memory at most.
@@ -149,16 +149,16 @@
 
 // room returns how many tokens of requests fit into a server with so many layers.
 func room(e *route.Engine, s *fleet.Server, layers int) float64 {
-	free := e.Cards[s.Card].MemoryMB - float64(layers)*e.LayerMB
+	free := e.Accelerators[s.Accelerator].MemoryMB - float64(layers)*e.LayerMB
 	perToken := float64(max(layers, 1)) * e.TokenBytes / float64(e.Layers) / 1e6
 	return max(0, free) / max(perToken, 1e-9)
 }
 
 // decide changes the ranges step by step, and returns an order for each that
 // differs in the end.
-func (g *group) decide(now Times) []Order {
+func (g *group) decide(now Conditions) []Assignment {
 	whole := g.missing() == 0
-	g.fill(whole && !g.scarce(), now.New)
+	g.fill(whole && !g.scarce(), now.JustStarted)
 	g.move(now.Idle)
 	g.move(func(string) bool { return true })
 	if g.missing() > 0 {
@@ -169,13 +169,13 @@
 		g.trim()
 		g.level()
 	}
-	var orders []Order
+	var orders []Assignment
 	for _, s := range g.servers {
 		r, known := g.held[s.ID]
 		if known && r.len() > 0 && (r.first != s.First || r.end != s.End) {
-			o := Order{Server: s, First: r.first, End: r.end}
+			o := Assignment{Server: s, First: r.first, End: r.end}
 			if whole {
-				o.Rely = g.rely(s, r)
+				o.Replicas = g.rely(s, r)
 			}
 			orders = append(orders, o)
 		}
@@ -184,8 +184,8 @@
 }
 
 // calm reports whether all failure domains of the group are calm.
-func (g *group) calm(now Times) bool {
-	return !slices.ContainsFunc(g.servers, func(s *fleet.Server) bool { return !now.Calm(s.Domain) })
+func (g *group) calm(now Conditions) bool {
+	return !slices.ContainsFunc(g.servers, func(s *fleet.Server) bool { return !now.Stable(s.Domain) })
 }
 
 // rely lists the other servers with replicas of the layers that one gives up.
@@ -207,7 +207,7 @@
 // can be spared, they wait.
 func (g *group) fill(spare bool, fresh func(id string) bool) {
 	for _, s := range g.servers {
-		if s.Holds() > 0 || spare && fresh(s.ID) {
+		if s.LayerCount() > 0 || spare && fresh(s.ID) {
 			continue
 		}
 		n := g.usual(s)
--- a/parts/place/place_test.go
+++ b/parts/place/place_test.go
@@ -18,11 +18,11 @@
 
 func engine() *route.Engine {
 	return &route.Engine{
-		Layers: 80, LayerMB: 1750, TokenBytes: 590_000, Load: 14 * time.Second, Step: 850 * time.Microsecond, ReadPerSec: 196_000,
-		UsualPrompt: 772, UsualAnswer: 174,
-		Cards: map[string]route.Card{
-			"h100": {MemoryMB: 72_000, Pace: 1.4, Read: 1}, "a100s": {MemoryMB: 36_000, Pace: 3.1, Read: 3.2},
-			"l4": {MemoryMB: 21_600, Pace: 16, Read: 8.2}, "t4": {MemoryMB: 14_400, Pace: 15, Read: 15},
+		Layers: 80, LayerMB: 1750, TokenBytes: 590_000, Load: 14 * time.Second, Step: 850 * time.Microsecond, PrefillPerSec: 196_000,
+		MeanPrompt: 772, MeanAnswer: 174,
+		Accelerators: map[string]route.Accelerator{
+			"h100": {MemoryMB: 72_000, StepFactor: 1.4, PrefillFactor: 1}, "a100s": {MemoryMB: 36_000, StepFactor: 3.1, PrefillFactor: 3.2},
+			"l4": {MemoryMB: 21_600, StepFactor: 16, PrefillFactor: 8.2}, "t4": {MemoryMB: 14_400, StepFactor: 15, PrefillFactor: 15},
 		},
 	}
 }
@@ -34,12 +34,12 @@
 	stir = times(false, func(string) bool { return false })
 )
 
-func times(calm bool, idle func(id string) bool) place.Times {
-	return place.Times{
-		Calm:  func(domain.Name) bool { return calm },
-		Idle:  idle,
-		Taken: func(string) float64 { return 0 },
-		New:   func(string) bool { return false },
+func times(calm bool, idle func(id string) bool) place.Conditions {
+	return place.Conditions{
+		Stable:      func(domain.Name) bool { return calm },
+		Idle:        idle,
+		Reserved:    func(string) float64 { return 0 },
+		JustStarted: func(string) bool { return false },
 	}
 }
 
@@ -49,7 +49,7 @@
 	var list []*fleet.Server
 	add := func(in domain.Name, card string, n int) {
 		for i := range n {
-			list = append(list, &fleet.Server{ID: fmt.Sprintf("%s-%s-%d", in, card, i), Domain: in, Card: card})
+			list = append(list, &fleet.Server{ID: fmt.Sprintf("%s-%s-%d", in, card, i), Domain: in, Accelerator: card})
 		}
 	}
 	add("a", "h100", 1)
@@ -66,7 +66,7 @@
 }
 
 // carry carries out orders.
-func carry(orders []place.Order) {
+func carry(orders []place.Assignment) {
 	for _, o := range orders {
 		o.Server.First, o.Server.End = o.First, o.End
 	}
@@ -76,7 +76,7 @@
 func covered(list []*fleet.Server, in domain.Name) bool {
 	held := make([]bool, 80)
 	for _, s := range list {
-		if s.Domain != in || s.Leaving || s.Suspect {
+		if s.Domain != in || s.Leaving || s.Suspected {
 			continue
 		}
 		for l := s.First; l < s.End; l++ {
@@ -102,14 +102,14 @@
 
 func TestEachDomainHoldsAll(t *testing.T) {
 	list := today()
-	orders := place.Decide(engine(), list, calm)
+	orders := place.Plan(engine(), list, calm)
 	qt.Assert(t, orders, qt.HasLen, len(list))
 	carry(orders)
 	for _, in := range []domain.Name{"a", "b", "c"} {
 		qt.Check(t, covered(list, in), qt.IsTrue, qt.Commentf("domain %s", in))
 	}
 	// Nothing is left to do: what servers hold stays.
-	qt.Assert(t, place.Decide(engine(), list, calm), qt.HasLen, 0)
+	qt.Assert(t, place.Plan(engine(), list, calm), qt.HasLen, 0)
 }
 
 // A server dies, and nobody else in its domain holds its layers. Every request
@@ -119,13 +119,13 @@
 func TestNeighboursCloseGap(t *testing.T) {
 	for _, dead := range today() {
 		list := today()
-		carry(place.Decide(engine(), list, calm))
+		carry(place.Plan(engine(), list, calm))
 		held := map[string][2]int{}
 		for _, s := range list {
 			held[s.ID] = [2]int{s.First, s.End}
 		}
-		find(list, dead.ID).Suspect = true
-		orders := place.Decide(engine(), list, stir)
+		find(list, dead.ID).Suspected = true
+		orders := place.Plan(engine(), list, stir)
 		for _, o := range orders {
 			was := held[o.Server.ID]
 			if o.First > was[0] || o.End < was[1] {
@@ -141,15 +141,15 @@
 // places. Orders to the rest would tear apart what works on the other side.
 func TestNoOrdersInCutOffDomain(t *testing.T) {
 	list := today()
-	carry(place.Decide(engine(), list, calm))
+	carry(place.Plan(engine(), list, calm))
 	n := 0
 	for _, s := range list {
 		if s.Domain == "b" && n < 6 {
-			s.Suspect = true
+			s.Suspected = true
 			n++
 		}
 	}
-	qt.Assert(t, place.Decide(engine(), list, stir), qt.HasLen, 0)
+	qt.Assert(t, place.Plan(engine(), list, stir), qt.HasLen, 0)
 }
 
 // A server with many layers dies, and small ones hold second copies that no
@@ -157,9 +157,9 @@
 // requests if they took its layers over; the idle ones take them at once.
 func TestIdleServersCloseGap(t *testing.T) {
 	list := today()
-	carry(place.Decide(engine(), list, calm))
-	find(list, "a-a100s-0").Suspect = true
-	orders := place.Decide(engine(), list, times(false, func(id string) bool { return strings.HasPrefix(id, "a-t4") }))
+	carry(place.Plan(engine(), list, calm))
+	find(list, "a-a100s-0").Suspected = true
+	orders := place.Plan(engine(), list, times(false, func(id string) bool { return strings.HasPrefix(id, "a-t4") }))
 	for _, o := range orders {
 		qt.Check(t, strings.HasPrefix(o.Server.ID, "a-t4"), qt.IsTrue, qt.Commentf("%s: %d to %d", o.Server.ID, o.First, o.End))
 	}
@@ -172,22 +172,22 @@
 // up again, but not while it is unclear who lives.
 func TestNeighboursGiveUpInCalm(t *testing.T) {
 	list := today()
-	carry(place.Decide(engine(), list, calm))
+	carry(place.Plan(engine(), list, calm))
 	dead := find(list, "b-l4-3")
-	dead.Suspect = true
-	carry(place.Decide(engine(), list, stir))
-	back := &fleet.Server{ID: "new", Domain: "b", Card: "l4"}
+	dead.Suspected = true
+	carry(place.Plan(engine(), list, stir))
+	back := &fleet.Server{ID: "new", Domain: "b", Accelerator: "l4"}
 	list = append(list, back)
 	dead.Leaving = true
-	orders := place.Decide(engine(), list, stir)
+	orders := place.Plan(engine(), list, stir)
 	qt.Assert(t, orders, qt.HasLen, 1)
 	qt.Assert(t, orders[0].Server, qt.Equals, back)
 	carry(orders)
 	for range 5 {
-		carry(place.Decide(engine(), list, calm))
+		carry(place.Plan(engine(), list, calm))
 	}
 	qt.Assert(t, covered(list, "b"), qt.IsTrue)
-	qt.Assert(t, place.Decide(engine(), list, calm), qt.HasLen, 0)
+	qt.Assert(t, place.Plan(engine(), list, calm), qt.HasLen, 0)
 }
 
 // The servers of a service are replaced one by one. The new one, which came a
@@ -197,15 +197,15 @@
 func TestNewServerTakesOverFromTheOneThatLeaves(t *testing.T) {
 	for _, card := range []string{"l4", "a100s", "t4"} {
 		list := today()
-		carry(place.Decide(engine(), list, calm))
+		carry(place.Plan(engine(), list, calm))
 		old := find(list, "b-"+card+"-0")
-		next := &fleet.Server{ID: "new", Domain: "b", Card: card}
+		next := &fleet.Server{ID: "new", Domain: "b", Accelerator: card}
 		list = append(list, next)
 		now := calm
-		now.New = func(id string) bool { return id == "new" }
-		qt.Assert(t, place.Decide(engine(), list, now), qt.HasLen, 0)
+		now.JustStarted = func(id string) bool { return id == "new" }
+		qt.Assert(t, place.Plan(engine(), list, now), qt.HasLen, 0)
 		old.Leaving = true
-		orders := place.Decide(engine(), list, now)
+		orders := place.Plan(engine(), list, now)
 		qt.Assert(t, orders, qt.HasLen, 1, qt.Commentf("%s", card))
 		qt.Assert(t, orders[0].Server, qt.Equals, next)
 		carry(orders)
@@ -217,13 +217,13 @@
 // Nothing is to be waited for.
 func TestNewServerRelievesACrowdedDomain(t *testing.T) {
 	list := today()
-	carry(place.Decide(engine(), list, calm))
+	carry(place.Plan(engine(), list, calm))
 	find(list, "b-a100s-0").Leaving = true
-	carry(place.Decide(engine(), list, stir))
-	list = append(list, &fleet.Server{ID: "new", Domain: "b", Card: "l4"})
+	carry(place.Plan(engine(), list, stir))
+	list = append(list, &fleet.Server{ID: "new", Domain: "b", Accelerator: "l4"})
 	now := stir
-	now.New = func(id string) bool { return id == "new" }
-	qt.Assert(t, place.Decide(engine(), list, now), qt.HasLen, 1)
+	now.JustStarted = func(id string) bool { return id == "new" }
+	qt.Assert(t, place.Plan(engine(), list, now), qt.HasLen, 1)
 }
 
 // A large server took layers over and has little room left, while small ones
@@ -231,25 +231,25 @@
 // the day; the idle ones relieve it, and it gives the layers up.
 func TestIdleServersRelieve(t *testing.T) {
 	list := today()
-	carry(place.Decide(engine(), list, calm))
+	carry(place.Plan(engine(), list, calm))
 	find(list, "a-a100s-0").Leaving = true
 	big := find(list, "a-h100-0")
 	big.First, big.End = 0, 37
 	idle := times(true, func(id string) bool { return strings.HasPrefix(id, "a-t4") })
 	for range 5 {
-		carry(place.Decide(engine(), list, idle))
+		carry(place.Plan(engine(), list, idle))
 	}
 	qt.Assert(t, covered(list, "a"), qt.IsTrue)
-	qt.Assert(t, big.Holds() <= 25, qt.IsTrue, qt.Commentf("%d layers", big.Holds()))
+	qt.Assert(t, big.LayerCount() <= 25, qt.IsTrue, qt.Commentf("%d layers", big.LayerCount()))
 }
 
 // A domain has too little memory for the whole model. Alone it would serve
 // nobody, so it shares a copy with another small one.
 func TestSmallDomainsShare(t *testing.T) {
 	list := []*fleet.Server{
-		{ID: "a", Domain: "a", Card: "h100"}, {ID: "b", Domain: "b", Card: "h100"}, {ID: "c", Domain: "c", Card: "h100"},
+		{ID: "a", Domain: "a", Accelerator: "h100"}, {ID: "b", Domain: "b", Accelerator: "h100"}, {ID: "c", Domain: "c", Accelerator: "h100"},
 	}
-	carry(place.Decide(engine(), list, calm))
+	carry(place.Plan(engine(), list, calm))
 	held := make([]int, 80)
 	for _, s := range list {
 		for l := s.First; l < s.End; l++ {
@@ -273,31 +273,31 @@
 				s := list[rapid.IntRange(0, len(list)-1).Draw(t, "which")]
 				switch rapid.IntRange(0, 3).Draw(t, "what") {
 				case 0:
-					s.Suspect = !s.Suspect
+					s.Suspected = !s.Suspected
 				case 1:
 					s.First, s.End = 0, 0
 				case 2:
 					s.Leaving = true
 				case 3:
-					list = append(list, &fleet.Server{ID: fmt.Sprintf("new-%d", len(list)), Domain: s.Domain, Card: s.Card})
+					list = append(list, &fleet.Server{ID: fmt.Sprintf("new-%d", len(list)), Domain: s.Domain, Accelerator: s.Accelerator})
 				}
 			}
-			orders := place.Decide(e, list, times(rapid.Bool().Draw(t, "calm"), func(string) bool { return rapid.Bool().Draw(t, "idle") }))
+			orders := place.Plan(e, list, times(rapid.Bool().Draw(t, "calm"), func(string) bool { return rapid.Bool().Draw(t, "idle") }))
 			for _, o := range orders {
 				if o.First < 0 || o.End > e.Layers || o.First >= o.End {
 					t.Fatalf("%s: %d to %d", o.Server.ID, o.First, o.End)
 				}
-				if float64(o.End-o.First)*e.LayerMB > e.Cards[o.Server.Card].MemoryMB {
+				if float64(o.End-o.First)*e.LayerMB > e.Accelerators[o.Server.Accelerator].MemoryMB {
 					t.Fatalf("%s: %d layers do not fit", o.Server.ID, o.End-o.First)
 				}
-				if o.Server.Leaving || o.Server.Suspect {
+				if o.Server.Leaving || o.Server.Suspected {
 					t.Fatalf("%s is not sound", o.Server.ID)
 				}
 			}
 			carry(orders)
 		}
 		for range 20 {
-			orders := place.Decide(e, list, calm)
+			orders := place.Plan(e, list, calm)
 			if len(orders) == 0 {
 				return
 			}
@@ -311,11 +311,11 @@
 // larger ones, beside a few that are large and fast.
 func classrooms() *route.Engine {
 	return &route.Engine{
-		Layers: 80, LayerMB: 1750, TokenBytes: 590_000, Load: 14 * time.Second, Step: 1020 * time.Microsecond, ReadPerSec: 164_000,
-		UsualPrompt: 772, UsualAnswer: 230,
-		Cards: map[string]route.Card{
-			"a100": {MemoryMB: 72_000, Pace: 2.4, Read: 3.2}, "v100": {MemoryMB: 14_400, Pace: 5.3, Read: 7.9},
-			"l4": {MemoryMB: 21_600, Pace: 16, Read: 8.2},
+		Layers: 80, LayerMB: 1750, TokenBytes: 590_000, Load: 14 * time.Second, Step: 1020 * time.Microsecond, PrefillPerSec: 164_000,
+		MeanPrompt: 772, MeanAnswer: 230,
+		Accelerators: map[string]route.Accelerator{
+			"a100": {MemoryMB: 72_000, StepFactor: 2.4, PrefillFactor: 3.2}, "v100": {MemoryMB: 14_400, StepFactor: 5.3, PrefillFactor: 7.9},
+			"l4": {MemoryMB: 21_600, StepFactor: 16, PrefillFactor: 8.2},
 		},
 	}
 }
@@ -333,18 +333,18 @@
 		fastest := 0
 		for card, n := range cards {
 			for i := range n {
-				list = append(list, &fleet.Server{ID: fmt.Sprintf("%s-%02d", card, i), Domain: "a", Card: card})
+				list = append(list, &fleet.Server{ID: fmt.Sprintf("%s-%02d", card, i), Domain: "a", Accelerator: card})
 			}
 		}
-		carry(place.Decide(e, list, calm))
+		carry(place.Plan(e, list, calm))
 		for l := range e.Layers {
 			pace := math.Inf(1)
 			for _, s := range list {
 				if l >= s.First && l < s.End {
-					pace = min(pace, e.Cards[s.Card].Pace)
+					pace = min(pace, e.Accelerators[s.Accelerator].StepFactor)
 				}
 			}
-			if pace < e.Cards["l4"].Pace {
+			if pace < e.Accelerators["l4"].StepFactor {
 				fastest++
 			}
 		}
@@ -354,7 +354,7 @@
 		for card, n := range cards {
 			if card != "l4" {
 				each := e.LayerMB + 150*1002*e.TokenBytes/float64(e.Layers)/1e6
-				want += n * int(e.Cards[card].MemoryMB/each)
+				want += n * int(e.Accelerators[card].MemoryMB/each)
 			}
 		}
 		qt.Check(t, fastest >= min(want, e.Layers), qt.IsTrue, qt.Commentf("%v: %d layers, %d possible", cards, fastest, want))
@@ -380,18 +380,18 @@
 	var list []*fleet.Server
 	for card, n := range map[string]int{"a100": 2, "v100": 4, "l4": 4} {
 		for i := range n {
-			list = append(list, &fleet.Server{ID: fmt.Sprintf("%s-%02d", card, i), Domain: "a", Card: card})
+			list = append(list, &fleet.Server{ID: fmt.Sprintf("%s-%02d", card, i), Domain: "a", Accelerator: card})
 		}
 	}
-	carry(place.Decide(e, list, calm))
+	carry(place.Plan(e, list, calm))
 	qt.Assert(t, covered(list, "a"), qt.IsTrue)
 	harmless := 0
 	for _, dead := range list {
-		dead.Suspect = true
+		dead.Suspected = true
 		if covered(list, "a") {
 			harmless++
 		}
-		dead.Suspect = false
+		dead.Suspected = false
 	}
 	// The four slow ones are spares, and hold enough for each of the four small.
 	qt.Assert(t, harmless >= 8, qt.IsTrue, qt.Commentf("%d of %d deaths leave all layers held", harmless, len(list)))
@@ -405,12 +405,12 @@
 	var list []*fleet.Server
 	for card, n := range map[string]int{"h100": 1, "a100s": 2, "l4": 13, "t4": 18} {
 		for i := range n {
-			list = append(list, &fleet.Server{ID: fmt.Sprintf("%s-%02d", card, i), Domain: "a", Card: card})
+			list = append(list, &fleet.Server{ID: fmt.Sprintf("%s-%02d", card, i), Domain: "a", Accelerator: card})
 		}
 	}
-	carry(place.Decide(e, list, calm))
+	carry(place.Plan(e, list, calm))
 	for _, s := range list {
-		free := (e.Cards[s.Card].MemoryMB - float64(s.Holds())*e.LayerMB) * 1e6 * float64(e.Layers) / e.TokenBytes / float64(s.Holds())
+		free := (e.Accelerators[s.Accelerator].MemoryMB - float64(s.LayerCount())*e.LayerMB) * 1e6 * float64(e.Layers) / e.TokenBytes / float64(s.LayerCount())
 		qt.Check(t, free >= 159*usualTokens, qt.IsTrue, qt.Commentf("%s: room for %.0f requests", s.ID, free/usualTokens))
 	}
 }
--- a/parts/place/room.go
+++ b/parts/place/room.go
@@ -25,7 +25,7 @@
 
 // card is one kind of accelerator in a group.
 type card struct {
-	route.Card
+	route.Accelerator
 	// servers is how many servers have it.
 	servers int
 	// time is the seconds that a usual request takes for each layer there.
@@ -36,12 +36,12 @@
 func cardsOf(e *route.Engine, servers []*fleet.Server) map[string]*card {
 	cards := map[string]*card{}
 	for _, s := range servers {
-		if cards[s.Card] == nil {
-			c := &card{Card: e.Cards[s.Card]}
+		if cards[s.Accelerator] == nil {
+			c := &card{Accelerator: e.Accelerators[s.Accelerator]}
 			c.time = c.layerTime(e)
-			cards[s.Card] = c
+			cards[s.Accelerator] = c
 		}
-		cards[s.Card].servers++
+		cards[s.Accelerator].servers++
 	}
 	return cards
 }
@@ -50,21 +50,21 @@
 // server leaves the most room for requests.
 func (c *card) layerTime(e *route.Engine) float64 {
 	n := max(1, size(e, c.MemoryMB, usualRoom(e)))
-	write := c.stepTime(e, n).Seconds() * float64(e.UsualAnswer) / float64(n)
-	read := float64(e.UsualPrompt) / max(e.ReadPerSec, 1) * c.Read / float64(e.Layers)
+	write := c.stepTime(e, n).Seconds() * float64(e.MeanAnswer) / float64(n)
+	read := float64(e.MeanPrompt) / max(e.PrefillPerSec, 1) * c.PrefillFactor / float64(e.Layers)
 	return write + read
 }
 
 // stepTime returns how long a token takes to get to a server and through so many
 // layers there.
 func (c *card) stepTime(e *route.Engine, layers int) time.Duration {
-	step := float64(e.Step) * c.Pace * float64(layers) / float64(e.Layers)
+	step := float64(e.Step) * c.StepFactor * float64(layers) / float64(e.Layers)
 	return hopTime + time.Duration(step)
 }
 
 // usualRoom returns the most tokens of requests that are kept free.
 func usualRoom(e *route.Engine) float64 {
-	return usualRequests * float64(e.UsualPrompt+e.UsualAnswer)
+	return usualRequests * float64(e.MeanPrompt+e.MeanAnswer)
 }
 
 // balanced returns the room for requests, in tokens, that the servers should
--- a/parts/poison/poison.go
+++ b/parts/poison/poison.go
@@ -11,7 +11,7 @@
 // beyond the step at which the server died clears the request. A second death
 // before that convicts it.
 //
-// A [Book] holds the cases of one pool, for all entry hosts that ask it. It is
+// A [Tracker] holds the cases of one pool, for all entry hosts that ask it. It is
 // a pure state machine: times are arguments, and it is not safe for
 // concurrent use.
 package poison
@@ -29,9 +29,9 @@
 // fingerprintBytes is enough to tell the requests of a few minutes apart.
 const fingerprintBytes = 8
 
-// Of returns the fingerprint of a request. The digest is cryptographic, since
+// NewFingerprint returns the fingerprint of a request. The digest is cryptographic, since
 // a caller could otherwise make another team's request look guilty.
-func Of(team string, body ...string) Fingerprint {
+func NewFingerprint(team string, body ...string) Fingerprint {
 	h := sha256.New()
 	h.Write([]byte(team))
 	for _, part := range body {
@@ -43,11 +43,11 @@
 
 // The times and bounds of a book.
 const (
-	// Deaths is how many servers a request may take down.
-	Deaths = 2
-	// ConvictFor is how long a convicted request is refused. A mended engine
+	// MaxCrashes is how many servers a request may take down.
+	MaxCrashes = 2
+	// BlockFor is how long a convicted request is refused. A mended engine
 	// or a changed prompt is the way out, and neither comes in seconds.
-	ConvictFor = 10 * time.Minute
+	BlockFor = 10 * time.Minute
 	// suspectFor is how long a suspicion lasts without anything new.
 	suspectFor = time.Minute
 	// trialFor bounds a trial whose entry host is never heard of again.
@@ -64,27 +64,27 @@
 
 // The outcomes.
 const (
-	// Free: nothing speaks against the request; it may run.
-	Free Outcome = iota
-	// Alone: the request may run on the servers named, which are kept free
+	// Allowed: nothing speaks against the request; it may run.
+	Allowed Outcome = iota
+	// Isolated: the request may run on the servers named, which are kept free
 	// of other restricted requests until it is cleared or convicted.
-	Alone
+	Isolated
 	// Wait: a trial of this request, or one on these servers, is under way.
 	Wait
-	// Convicted: the request must not run.
-	Convicted
+	// Blocked: the request must not run.
+	Blocked
 )
 
 // String returns the name of the outcome.
 func (o Outcome) String() string {
 	switch o {
-	case Free:
+	case Allowed:
 		return "free"
-	case Alone:
+	case Isolated:
 		return "alone"
 	case Wait:
 		return "wait"
-	case Convicted:
+	case Blocked:
 		return "convicted"
 	}
 	return "unknown"
@@ -108,29 +108,29 @@
 	return r.holder != "" && now.Before(r.trialEnd)
 }
 
-// Book holds the cases of one pool. The zero value is empty.
-type Book struct {
+// Tracker holds the cases of one pool. The zero value is empty.
+type Tracker struct {
 	cases map[Fingerprint]*record
 	// explained holds servers whose death was laid to a request.
 	explained map[string]time.Time
 }
 
-// Died notes that a server died under a request. Progressed says that the
+// RecordCrash notes that a server died under a request. Progressed says that the
 // request had got a token from a chain with that server, so that the death is
 // likely another's doing. The outcome is Convicted, Alone (it may only run
 // alone from now on) or Free.
-func (b *Book) Died(f Fingerprint, server string, progressed bool, now time.Time) Outcome {
+func (b *Tracker) RecordCrash(f Fingerprint, server string, progressed bool, now time.Time) Outcome {
 	b.sweep(now)
 	r := b.cases[f]
-	if r != nil && len(r.dead) >= Deaths {
-		return Convicted
+	if r != nil && len(r.dead) >= MaxCrashes {
+		return Blocked
 	}
 	if r != nil && slices.Contains(r.dead, server) {
 		return r.outcome()
 	}
 	if b.laidToAnother(f, server, now) {
 		if r == nil {
-			return Free
+			return Allowed
 		}
 		return r.outcome()
 	}
@@ -141,8 +141,8 @@
 	r.until = now.Add(suspectFor)
 	r.restricted = r.restricted || !progressed
 	r.holder = ""
-	if len(r.dead) >= Deaths {
-		r.until = now.Add(ConvictFor)
+	if len(r.dead) >= MaxCrashes {
+		r.until = now.Add(BlockFor)
 		b.explain(server, now)
 	}
 	return r.outcome()
@@ -150,17 +150,17 @@
 
 func (r *record) outcome() Outcome {
 	switch {
-	case len(r.dead) >= Deaths:
-		return Convicted
+	case len(r.dead) >= MaxCrashes:
+		return Blocked
 	case r.restricted:
-		return Alone
+		return Isolated
 	}
-	return Free
+	return Allowed
 }
 
 // laidToAnother reports whether the death of a server is another request's
 // doing: one that was tried on it alone, or was convicted by it.
-func (b *Book) laidToAnother(f Fingerprint, server string, now time.Time) bool {
+func (b *Tracker) laidToAnother(f Fingerprint, server string, now time.Time) bool {
 	if now.Before(b.explained[server]) {
 		return true
 	}
@@ -172,14 +172,14 @@
 	return false
 }
 
-func (b *Book) explain(server string, now time.Time) {
+func (b *Tracker) explain(server string, now time.Time) {
 	if b.explained == nil {
 		b.explained = map[string]time.Time{}
 	}
 	b.explained[server] = now.Add(explainFor)
 }
 
-func (b *Book) open(f Fingerprint) *record {
+func (b *Tracker) open(f Fingerprint) *record {
 	if b.cases == nil {
 		b.cases = map[Fingerprint]*record{}
 	}
@@ -191,7 +191,7 @@
 	return r
 }
 
-func (b *Book) evict() {
+func (b *Tracker) evict() {
 	var first Fingerprint
 	for f, r := range b.cases {
 		if first == "" || r.until.Before(b.cases[first].until) {
@@ -201,15 +201,15 @@
 	delete(b.cases, first)
 }
 
-// Try asks whether a request may run now on the given servers. The holder
+// Acquire asks whether a request may run now on the given servers. The holder
 // names the copy of the request that asks; with Alone, it has the trial.
-func (b *Book) Try(f Fingerprint, holder string, servers []string, now time.Time) Outcome {
+func (b *Tracker) Acquire(f Fingerprint, holder string, servers []string, now time.Time) Outcome {
 	b.sweep(now)
 	r := b.cases[f]
 	if r == nil {
-		return Free
+		return Allowed
 	}
-	if o := r.outcome(); o != Alone {
+	if o := r.outcome(); o != Isolated {
 		return o
 	}
 	if r.onTrial(now) && r.holder != holder {
@@ -221,13 +221,13 @@
 		}
 	}
 	r.holder, r.servers, r.trialEnd = holder, slices.Clone(servers), now.Add(trialFor)
-	return Alone
+	return Isolated
 }
 
-// Learn takes the deaths that an entry host knows of. A book that has just
+// Merge takes the deaths that an entry host knows of. A book that has just
 // begun, since the one that kept it before is gone, learns them so that no
 // death is forgotten.
-func (b *Book) Learn(f Fingerprint, dead []string, now time.Time) {
+func (b *Tracker) Merge(f Fingerprint, dead []string, now time.Time) {
 	if len(dead) == 0 {
 		return
 	}
@@ -238,40 +238,40 @@
 		r.until = now.Add(suspectFor)
 	}
 	for _, server := range dead {
-		if len(r.dead) < Deaths && !slices.Contains(r.dead, server) {
+		if len(r.dead) < MaxCrashes && !slices.Contains(r.dead, server) {
 			r.dead = append(r.dead, server)
 		}
 	}
-	if len(r.dead) >= Deaths {
-		r.until = now.Add(ConvictFor)
+	if len(r.dead) >= MaxCrashes {
+		r.until = now.Add(BlockFor)
 	}
 }
 
-// Passed clears a request that got a token beyond the step at which a server
+// Clear clears a request that got a token beyond the step at which a server
 // had died under it. A conviction stays.
-func (b *Book) Passed(f Fingerprint) {
-	if r := b.cases[f]; r != nil && len(r.dead) < Deaths {
+func (b *Tracker) Clear(f Fingerprint) {
+	if r := b.cases[f]; r != nil && len(r.dead) < MaxCrashes {
 		delete(b.cases, f)
 	}
 }
 
-// Gave ends the trial of a holder that did not come to a result, for example
+// Release ends the trial of a holder that did not come to a result, for example
 // since its caller went away.
-func (b *Book) Gave(f Fingerprint, holder string) {
+func (b *Tracker) Release(f Fingerprint, holder string) {
 	if r := b.cases[f]; r != nil && r.holder == holder {
 		r.holder = ""
 	}
 }
 
-// Count returns how many deaths are laid to a request.
-func (b *Book) Count(f Fingerprint) int {
+// Crashes returns how many deaths are laid to a request.
+func (b *Tracker) Crashes(f Fingerprint) int {
 	if r := b.cases[f]; r != nil {
 		return len(r.dead)
 	}
 	return 0
 }
 
-func (b *Book) sweep(now time.Time) {
+func (b *Tracker) sweep(now time.Time) {
 	for f, r := range b.cases {
 		if !now.Before(r.until) && !r.onTrial(now) {
 			delete(b.cases, f)
--- a/parts/poison/poison_test.go
+++ b/parts/poison/poison_test.go
@@ -16,16 +16,16 @@
 // server may be lost.
 func TestSecondDeathConvicts(t *testing.T) {
 	c := qt.New(t)
-	var b Book
-	c.Assert(b.Try("f", "e1/1", []string{"a1"}, start), qt.Equals, Free)
-	c.Assert(b.Died("f", "a1", false, start), qt.Equals, Alone)
-	c.Assert(b.Died("f", "a1", false, start), qt.Equals, Alone)
-	c.Assert(b.Try("f", "e1/1", []string{"b1"}, start), qt.Equals, Alone)
-	c.Assert(b.Try("f", "e2/1", []string{"c1"}, start), qt.Equals, Wait)
-	c.Assert(b.Died("f", "b1", false, start), qt.Equals, Convicted)
-	b.Passed("f")
-	c.Assert(b.Try("f", "e2/1", []string{"c1"}, start), qt.Equals, Convicted)
-	c.Assert(b.Try("f", "e2/1", []string{"c1"}, start.Add(ConvictFor)), qt.Equals, Free)
+	var b Tracker
+	c.Assert(b.Acquire("f", "e1/1", []string{"a1"}, start), qt.Equals, Allowed)
+	c.Assert(b.RecordCrash("f", "a1", false, start), qt.Equals, Isolated)
+	c.Assert(b.RecordCrash("f", "a1", false, start), qt.Equals, Isolated)
+	c.Assert(b.Acquire("f", "e1/1", []string{"b1"}, start), qt.Equals, Isolated)
+	c.Assert(b.Acquire("f", "e2/1", []string{"c1"}, start), qt.Equals, Wait)
+	c.Assert(b.RecordCrash("f", "b1", false, start), qt.Equals, Blocked)
+	b.Clear("f")
+	c.Assert(b.Acquire("f", "e2/1", []string{"c1"}, start), qt.Equals, Blocked)
+	c.Assert(b.Acquire("f", "e2/1", []string{"c1"}, start.Add(BlockFor)), qt.Equals, Allowed)
 }
 
 // Others ran on the server that died. One that had got tokens goes on at
@@ -33,57 +33,57 @@
 // is blamed for the trial's death.
 func TestInnocentsAreNotBlamed(t *testing.T) {
 	c := qt.New(t)
-	var b Book
-	b.Died("bad", "a1", false, start)
-	c.Assert(b.Died("young", "a1", false, start), qt.Equals, Alone)
-	c.Assert(b.Died("old", "a1", true, start), qt.Equals, Free)
-	c.Assert(b.Try("bad", "e1/1", []string{"b1", "b2"}, start), qt.Equals, Alone)
-	c.Assert(b.Try("young", "e2/1", []string{"c1", "b2"}, start), qt.Equals, Wait)
-	c.Assert(b.Try("old", "e2/2", []string{"b1"}, start), qt.Equals, Free)
-	c.Assert(b.Died("old", "b1", false, start), qt.Equals, Free)
-	c.Assert(b.Died("bad", "b1", false, start), qt.Equals, Convicted)
-	c.Assert(b.Died("late", "b1", false, start), qt.Equals, Free)
-	c.Assert(b.Try("young", "e2/1", []string{"c1", "b2"}, start), qt.Equals, Alone)
-	b.Passed("young")
-	c.Assert(b.Count("young"), qt.Equals, 0)
+	var b Tracker
+	b.RecordCrash("bad", "a1", false, start)
+	c.Assert(b.RecordCrash("young", "a1", false, start), qt.Equals, Isolated)
+	c.Assert(b.RecordCrash("old", "a1", true, start), qt.Equals, Allowed)
+	c.Assert(b.Acquire("bad", "e1/1", []string{"b1", "b2"}, start), qt.Equals, Isolated)
+	c.Assert(b.Acquire("young", "e2/1", []string{"c1", "b2"}, start), qt.Equals, Wait)
+	c.Assert(b.Acquire("old", "e2/2", []string{"b1"}, start), qt.Equals, Allowed)
+	c.Assert(b.RecordCrash("old", "b1", false, start), qt.Equals, Allowed)
+	c.Assert(b.RecordCrash("bad", "b1", false, start), qt.Equals, Blocked)
+	c.Assert(b.RecordCrash("late", "b1", false, start), qt.Equals, Allowed)
+	c.Assert(b.Acquire("young", "e2/1", []string{"c1", "b2"}, start), qt.Equals, Isolated)
+	b.Clear("young")
+	c.Assert(b.Crashes("young"), qt.Equals, 0)
 }
 
 // The entry host that holds a trial is gone, or its caller is. The trial must
 // not keep the servers for ever.
 func TestTrialEnds(t *testing.T) {
 	c := qt.New(t)
-	var b Book
-	b.Died("f", "a1", false, start)
-	b.Died("g", "a1", false, start)
-	c.Assert(b.Try("f", "e1/1", []string{"b1"}, start), qt.Equals, Alone)
-	c.Assert(b.Try("g", "e2/1", []string{"b1"}, start), qt.Equals, Wait)
-	c.Assert(b.Try("g", "e2/1", []string{"b1"}, start.Add(trialFor)), qt.Equals, Alone)
-	b.Gave("g", "e2/1")
-	c.Assert(b.Try("f", "e1/1", []string{"b1"}, start.Add(trialFor)), qt.Equals, Alone)
+	var b Tracker
+	b.RecordCrash("f", "a1", false, start)
+	b.RecordCrash("g", "a1", false, start)
+	c.Assert(b.Acquire("f", "e1/1", []string{"b1"}, start), qt.Equals, Isolated)
+	c.Assert(b.Acquire("g", "e2/1", []string{"b1"}, start), qt.Equals, Wait)
+	c.Assert(b.Acquire("g", "e2/1", []string{"b1"}, start.Add(trialFor)), qt.Equals, Isolated)
+	b.Release("g", "e2/1")
+	c.Assert(b.Acquire("f", "e1/1", []string{"b1"}, start.Add(trialFor)), qt.Equals, Isolated)
 }
 
 // The entry host that kept the book is gone. The next one learns what the
 // asker knows, or the request would have two more servers to take down.
 func TestNextBookLearns(t *testing.T) {
 	c := qt.New(t)
-	var b Book
-	b.Learn("f", []string{"a1"}, start)
-	c.Assert(b.Died("f", "b1", false, start), qt.Equals, Convicted)
+	var b Tracker
+	b.Merge("f", []string{"a1"}, start)
+	c.Assert(b.RecordCrash("f", "b1", false, start), qt.Equals, Blocked)
 	for i := range maxCases + 5 {
-		b.Learn(Fingerprint(fmt.Sprint(i)), []string{"x"}, start.Add(time.Duration(i)))
+		b.Merge(Fingerprint(fmt.Sprint(i)), []string{"x"}, start.Add(time.Duration(i)))
 	}
 	c.Assert(len(b.cases), qt.Equals, maxCases)
 }
 
 func TestFingerprintTellsTeamsApart(t *testing.T) {
 	c := qt.New(t)
-	c.Assert(Of("a", "bc"), qt.Not(qt.Equals), Of("ab", "c"))
-	c.Assert(Of("a", "x", "y"), qt.Equals, Of("a", "x", "y"))
+	c.Assert(NewFingerprint("a", "bc"), qt.Not(qt.Equals), NewFingerprint("ab", "c"))
+	c.Assert(NewFingerprint("a", "x", "y"), qt.Equals, NewFingerprint("a", "x", "y"))
 }
 
 // world is a model of servers, entry hosts and callers round one book.
 type world struct {
-	book    Book
+	book    Tracker
 	now     time.Time
 	servers []string
 	dead    map[string]bool
@@ -128,11 +128,11 @@
 
 // admit lets a waiting copy begin on a server if the book says so.
 func (w *world) admit(r *run, server string) {
-	w.book.Learn(r.mark, r.dead, w.now)
-	switch w.book.Try(r.mark, r.holder, []string{server}, w.now) {
-	case Free, Alone:
+	w.book.Merge(r.mark, r.dead, w.now)
+	switch w.book.Acquire(r.mark, r.holder, []string{server}, w.now) {
+	case Allowed, Isolated:
 		r.server, r.waiting, r.progressed = server, false, false
-	case Convicted:
+	case Blocked:
 		w.end(r)
 	case Wait:
 	}
@@ -166,12 +166,12 @@
 func (w *world) deliver(i int) {
 	p := w.reports[i]
 	w.reports = append(w.reports[:i], w.reports[i+1:]...)
-	before := w.book.Count(p.run.mark)
-	outcome := w.book.Died(p.run.mark, p.server, p.run.progressed, w.now)
-	if w.book.Count(p.run.mark) > before {
+	before := w.book.Crashes(p.run.mark)
+	outcome := w.book.RecordCrash(p.run.mark, p.server, p.run.progressed, w.now)
+	if w.book.Crashes(p.run.mark) > before {
 		p.run.dead = append(p.run.dead, p.server)
 	}
-	if outcome == Convicted {
+	if outcome == Blocked {
 		w.convicted = w.convicted || p.run.crasher
 		w.end(p.run)
 		return
@@ -260,11 +260,11 @@
 			"token": func(t *rapid.T) {
 				r := pickRun(t, func(r *run) bool { return !r.crasher && r.server != "" })
 				r.progressed, r.dead = true, nil
-				w.book.Passed(r.mark)
+				w.book.Clear(r.mark)
 			},
 			"time": func(*rapid.T) { w.now = w.now.Add(100 * time.Millisecond) },
 			"": func(t *rapid.T) {
-				if w.lost > Deaths+w.unaware {
+				if w.lost > MaxCrashes+w.unaware {
 					t.Fatalf("%d servers lost, %d sent where it was not known", w.lost, w.unaware)
 				}
 				if w.innocentGone && w.unaware == 0 {
--- a/parts/poison/tally.go
+++ b/parts/poison/tally.go
@@ -6,8 +6,8 @@
 	"time"
 )
 
-// Mark is what is known against a request: the servers that died under it.
-type Mark struct {
+// Suspect is what is known against a request: the servers that died under it.
+type Suspect struct {
 	Print   Fingerprint
 	Servers []string
 	// Left is how long the mark lasts.
@@ -16,10 +16,10 @@
 
 // The bounds of a tally.
 const (
-	// TallyDeaths is how many servers must have died under a request before it
+	// CounterMaxCrashes is how many servers must have died under a request before it
 	// is refused. One that is hit by two deaths within a minute by chance is
 	// not rare on a bad day; one hit by three has caused them.
-	TallyDeaths = 3
+	CounterMaxCrashes = 3
 	// tallyFor is how long a death is remembered. A request that crashes
 	// servers comes again within seconds.
 	tallyFor = time.Minute
@@ -28,9 +28,9 @@
 	maxTally = 4096
 )
 
-// Tally counts the servers that died under requests, where entry hosts only
-// tell each other and no one keeps a [Book]. The zero value is ready.
-type Tally struct {
+// Counter counts the servers that died under requests, where entry hosts only
+// tell each other and no one keeps a [Tracker]. The zero value is ready.
+type Counter struct {
 	mu    sync.Mutex
 	marks map[Fingerprint]*tallied
 	// cleared holds requests that were served lately, until when that counts.
@@ -42,15 +42,15 @@
 	until   time.Time
 }
 
-// Died notes that a server died while it ran a request.
-func (t *Tally) Died(print Fingerprint, server string, now time.Time) {
-	t.Take(Mark{Print: print, Servers: []string{server}, Left: tallyFor}, now)
+// RecordCrash notes that a server died while it ran a request.
+func (t *Counter) RecordCrash(print Fingerprint, server string, now time.Time) {
+	t.Merge(Suspect{Print: print, Servers: []string{server}, Left: tallyFor}, now)
 }
 
-// Served notes that a request was served: it crashes nothing. Many callers may
+// RecordSuccess notes that a request was served: it crashes nothing. Many callers may
 // send the same one, and servers die under any of them on a bad day; without
 // this, all would be refused for a minute.
-func (t *Tally) Served(print Fingerprint, now time.Time) {
+func (t *Counter) RecordSuccess(print Fingerprint, now time.Time) {
 	t.mu.Lock()
 	defer t.mu.Unlock()
 	if t.cleared == nil {
@@ -65,8 +65,8 @@
 	delete(t.marks, print)
 }
 
-// Take takes over what another entry host knows.
-func (t *Tally) Take(m Mark, now time.Time) {
+// Merge takes over what another entry host knows.
+func (t *Counter) Merge(m Suspect, now time.Time) {
 	t.mu.Lock()
 	defer t.mu.Unlock()
 	if now.Before(t.cleared[m.Print]) {
@@ -95,7 +95,7 @@
 }
 
 // forget drops what is over. The mutex is held.
-func (t *Tally) forget(now time.Time) {
+func (t *Counter) forget(now time.Time) {
 	for print, known := range t.marks {
 		if now.After(known.until) {
 			delete(t.marks, print)
@@ -108,23 +108,23 @@
 	}
 }
 
-// Convicted reports whether a request must not run any more.
-func (t *Tally) Convicted(print Fingerprint, now time.Time) bool {
+// Blocked reports whether a request must not run any more.
+func (t *Counter) Blocked(print Fingerprint, now time.Time) bool {
 	t.mu.Lock()
 	defer t.mu.Unlock()
 	known := t.marks[print]
-	return known != nil && !now.After(known.until) && len(known.servers) >= TallyDeaths
+	return known != nil && !now.After(known.until) && len(known.servers) >= CounterMaxCrashes
 }
 
-// Marks returns the marks to tell others: those of requests under which two
+// Suspects returns the marks to tell others: those of requests under which two
 // servers died at least. One death marks too many to tell.
-func (t *Tally) Marks(now time.Time) []Mark {
+func (t *Counter) Suspects(now time.Time) []Suspect {
 	t.mu.Lock()
 	defer t.mu.Unlock()
-	var list []Mark
+	var list []Suspect
 	for print, known := range t.marks {
 		if len(known.servers) > 1 && known.until.After(now) {
-			list = append(list, Mark{Print: print, Servers: slices.Clone(known.servers), Left: known.until.Sub(now)})
+			list = append(list, Suspect{Print: print, Servers: slices.Clone(known.servers), Left: known.until.Sub(now)})
 		}
 	}
 	return list
