--- a/parts/poison/tally_test.go
+++ b/parts/poison/tally_test.go
@@ -14,20 +14,20 @@
 // other. One that was on two dying servers by chance goes on.
 func TestTally(t *testing.T) {
 	now := time.Unix(1_700_000_000, 0)
-	var a, b poison.Tally
-	print := poison.Of("choir", "POST", "/ask/1", "body")
-	a.Died(print, "i-1", now)
-	a.Died(print, "i-1", now)
-	a.Died(print, "i-2", now)
-	qt.Assert(t, a.Convicted(print, now), qt.IsFalse)
-	qt.Assert(t, a.Marks(now), qt.HasLen, 1)
-	for _, m := range a.Marks(now) {
-		b.Take(m, now)
+	var a, b poison.Counter
+	print := poison.NewFingerprint("choir", "POST", "/ask/1", "body")
+	a.RecordCrash(print, "i-1", now)
+	a.RecordCrash(print, "i-1", now)
+	a.RecordCrash(print, "i-2", now)
+	qt.Assert(t, a.Blocked(print, now), qt.IsFalse)
+	qt.Assert(t, a.Suspects(now), qt.HasLen, 1)
+	for _, m := range a.Suspects(now) {
+		b.Merge(m, now)
 	}
-	b.Died(print, "i-3", now)
-	qt.Assert(t, b.Convicted(print, now), qt.IsTrue)
-	qt.Assert(t, b.Convicted(poison.Of("choir", "POST", "/ask/1", "other"), now), qt.IsFalse)
-	qt.Assert(t, b.Convicted(print, now.Add(2*time.Minute)), qt.IsFalse)
+	b.RecordCrash(print, "i-3", now)
+	qt.Assert(t, b.Blocked(print, now), qt.IsTrue)
+	qt.Assert(t, b.Blocked(poison.NewFingerprint("choir", "POST", "/ask/1", "other"), now), qt.IsFalse)
+	qt.Assert(t, b.Blocked(print, now.Add(2*time.Minute)), qt.IsFalse)
 }
 
 // Many callers send the same look-up on a day on which three servers die. One
@@ -35,16 +35,16 @@
 // whatever other entry hosts still tell.
 func TestServedRequestsAreCleared(t *testing.T) {
 	now := time.Unix(1_700_000_000, 0)
-	var a poison.Tally
-	print := poison.Of("choir", "GET", "/look/1")
+	var a poison.Counter
+	print := poison.NewFingerprint("choir", "GET", "/look/1")
 	for _, server := range []string{"i-1", "i-2", "i-3"} {
-		a.Died(print, server, now)
+		a.RecordCrash(print, server, now)
 	}
-	marks := a.Marks(now)
-	qt.Assert(t, a.Convicted(print, now), qt.IsTrue)
-	a.Served(print, now)
+	marks := a.Suspects(now)
+	qt.Assert(t, a.Blocked(print, now), qt.IsTrue)
+	a.RecordSuccess(print, now)
 	for _, m := range marks {
-		a.Take(m, now)
+		a.Merge(m, now)
 	}
-	qt.Assert(t, a.Convicted(print, now), qt.IsFalse)
+	qt.Assert(t, a.Blocked(print, now), qt.IsFalse)
 }
--- a/parts/probe/probe.go
+++ b/parts/probe/probe.go
@@ -11,7 +11,7 @@
 // A single stream must be silent for several of its usual pauses. All streams of
 // a server being silent at the same time is a much earlier sign.
 //
-// A [Book] is a pure state machine: times are arguments.
+// A [Scheduler] is a pure state machine: times are arguments.
 package probe
 
 import (
@@ -21,18 +21,18 @@
 )
 
 const (
-	// Every is the interval between probes of a server that has not answered, and
+	// Interval is the interval between probes of a server that has not answered, and
 	// Later of one whose state is known.
-	Every = 20 * time.Millisecond
-	Later = 300 * time.Millisecond
-	// PerSecond bounds the probes of one entry host: where everything is slow, all
+	Interval        = 20 * time.Millisecond
+	RecheckInterval = 300 * time.Millisecond
+	// MaxPerSecond bounds the probes of one entry host: where everything is slow, all
 	// streams are silent at times.
-	PerSecond = 60
+	MaxPerSecond = 60
 	// Burst is how many probes may be sent at once.
 	Burst = 24
-	// MissesUntilDead is how many unanswered probes in a row mean that a server is
+	// FailureThreshold is how many unanswered probes in a row mean that a server is
 	// dead. A single one may be a lost packet.
-	MissesUntilDead = 2
+	FailureThreshold = 2
 	// forget is how long after its last probe a server's misses count.
 	forget = time.Second
 	// leastTogether is from how many streams on their silence together counts.
@@ -48,20 +48,20 @@
 	Servers []string
 	// Silent says that its pause alone is longer than usual.
 	Silent bool
-	// Pause is the time since its last event, and Usual the time that usually
+	// Pause is the time since its last event, and TypicalGap the time that usually
 	// lies between two; it is zero until there were two.
-	Pause, Usual time.Duration
+	Pause, TypicalGap time.Duration
 }
 
-// Finding is what is believed of a server that was asked.
-type Finding uint8
+// State is what is believed of a server that was asked.
+type State uint8
 
 // The findings, from the best to the worst.
 const (
 	// Alive means that it answered.
-	Alive Finding = iota
-	// Doubtful means that one probe was not answered. Silent streams avoid it.
-	Doubtful
+	Alive State = iota
+	// Suspected means that one probe was not answered. Silent streams avoid it.
+	Suspected
 	// Unreachable means that several were not answered: it is cut off from this
 	// entry host, frozen or without power. Its peers may still reach it.
 	Unreachable
@@ -70,11 +70,11 @@
 )
 
 // String returns the name of the finding.
-func (f Finding) String() string {
+func (f State) String() string {
 	switch f {
 	case Alive:
 		return "alive"
-	case Doubtful:
+	case Suspected:
 		return "doubtful"
 	case Unreachable:
 		return "unreachable"
@@ -85,13 +85,13 @@
 }
 
 // Dead reports whether a new run must not begin at the server.
-func (f Finding) Dead() bool {
+func (f State) Dead() bool {
 	return f == Unreachable || f == Gone
 }
 
-// Book holds what is known of the servers that were asked. The zero value is
+// Scheduler holds what is known of the servers that were asked. The zero value is
 // ready. It is not safe for concurrent use.
-type Book struct {
+type Scheduler struct {
 	asked map[string]*entry
 	// left is the number of questions that may be asked now, as of filled.
 	left   float64
@@ -102,12 +102,12 @@
 	last   time.Time
 	under  bool
 	misses int
-	found  Finding
+	found  State
 }
 
-// Ask returns the addresses to be asked now, and notes that they are. Each
+// Next returns the addresses to be asked now, and notes that they are. Each
 // must be followed by one call of Answer.
-func (b *Book) Ask(streams []Stream, now time.Time) []string {
+func (b *Scheduler) Next(streams []Stream, now time.Time) []string {
 	b.fill(now)
 	var list []string
 	for _, c := range b.candidates(streams) {
@@ -124,9 +124,9 @@
 	return list
 }
 
-// Answer notes the outcome of a question: whether the server answered, and if
+// Record notes the outcome of a question: whether the server answered, and if
 // not, whether its address refuses connections.
-func (b *Book) Answer(address string, answered, refused bool) Finding {
+func (b *Scheduler) Record(address string, answered, refused bool) State {
 	e := b.entry(address)
 	e.under = false
 	switch {
@@ -134,25 +134,25 @@
 		e.misses, e.found = 0, Alive
 	case refused:
 		e.misses, e.found = e.misses+1, Gone
-	case e.misses+1 < MissesUntilDead:
-		e.misses, e.found = e.misses+1, Doubtful
+	case e.misses+1 < FailureThreshold:
+		e.misses, e.found = e.misses+1, Suspected
 	default:
 		e.misses, e.found = e.misses+1, Unreachable
 	}
 	return e.found
 }
 
-// Void ends a question from which nothing follows.
-func (b *Book) Void(address string) {
+// Discard ends a question from which nothing follows.
+func (b *Scheduler) Discard(address string) {
 	b.entry(address).under = false
 }
 
 // fill adds the questions that time has earned, and forgets old ones.
-func (b *Book) fill(now time.Time) {
+func (b *Scheduler) fill(now time.Time) {
 	if b.filled.IsZero() {
 		b.left, b.filled = Burst, now
 	}
-	b.left = min(Burst, b.left+PerSecond*now.Sub(b.filled).Seconds())
+	b.left = min(Burst, b.left+MaxPerSecond*now.Sub(b.filled).Seconds())
 	b.filled = now
 	for address, e := range b.asked {
 		if !e.under && now.Sub(e.last) > forget {
@@ -161,16 +161,16 @@
 	}
 }
 
-func (b *Book) due(address string, now time.Time) bool {
+func (b *Scheduler) due(address string, now time.Time) bool {
 	e := b.entry(address)
-	every := Later
-	if e.found == Doubtful {
-		every = Every
+	every := RecheckInterval
+	if e.found == Suspected {
+		every = Interval
 	}
 	return !e.under && now.Sub(e.last) >= every
 }
 
-func (b *Book) entry(address string) *entry {
+func (b *Scheduler) entry(address string) *entry {
 	if b.asked == nil {
 		b.asked = map[string]*entry{}
 	}
@@ -201,14 +201,14 @@
 	if s.Silent {
 		c.silent++
 	}
-	if s.Usual <= 0 {
+	if s.TypicalGap <= 0 {
 		return
 	}
 	if c.paced == 0 || s.Pause < c.freshest {
 		c.freshest = s.Pause
 	}
 	c.paced++
-	c.usual += s.Usual
+	c.usual += s.TypicalGap
 }
 
 // together reports whether the streams of the server are silent together: the
@@ -223,7 +223,7 @@
 
 // candidates lists the servers of silent streams: first those of which nothing
 // is known yet, and of these the most suspicious.
-func (b *Book) candidates(streams []Stream) []candidate {
+func (b *Scheduler) candidates(streams []Stream) []candidate {
 	counts := map[string]*candidate{}
 	for _, s := range streams {
 		for _, address := range s.Servers {
@@ -240,7 +240,7 @@
 		if c.silent == 0 && !c.together() {
 			continue
 		}
-		if e := b.asked[c.address]; e != nil && e.found != Doubtful {
+		if e := b.asked[c.address]; e != nil && e.found != Suspected {
 			c.rank += 2
 		}
 		if !c.together() {
--- a/parts/probe/probe_test.go
+++ b/parts/probe/probe_test.go
@@ -24,8 +24,8 @@
 		{Servers: []string{"a", "e", "c"}},
 		{Servers: []string{"b", "e", "d"}},
 	}
-	b := &probe.Book{}
-	qt.Assert(t, b.Ask(streams, start)[0], qt.Equals, "dead")
+	b := &probe.Scheduler{}
+	qt.Assert(t, b.Next(streams, start)[0], qt.Equals, "dead")
 }
 
 // Streams have an event every 80 ms, and one is late for once now and then. A
@@ -45,10 +45,10 @@
 	next := make([]time.Duration, len(streams))
 	last := make([]time.Duration, len(streams))
 	for i := range streams {
-		streams[i] = probe.Stream{Servers: chains[i%2], Usual: usual}
+		streams[i] = probe.Stream{Servers: chains[i%2], TypicalGap: usual}
 		next[i] = time.Duration(rng.Int64N(int64(usual)))
 	}
-	b := &probe.Book{}
+	b := &probe.Scheduler{}
 	for at := time.Duration(0); ; at += step {
 		for i := range streams {
 			if next[i] <= at && (at < death || i%2 == 1) {
@@ -56,7 +56,7 @@
 			}
 			streams[i].Pause = at - last[i]
 		}
-		list := b.Ask(streams, start.Add(at))
+		list := b.Next(streams, start.Add(at))
 		if len(list) == 0 {
 			qt.Assert(t, at < death+within, qt.IsTrue, qt.Commentf("nobody was asked"))
 			continue
@@ -68,8 +68,8 @@
 }
 
 func TestNobodyIsAskedWithoutSilence(t *testing.T) {
-	b := &probe.Book{}
-	qt.Assert(t, b.Ask([]probe.Stream{{Servers: []string{"a", "b"}}}, start), qt.HasLen, 0)
+	b := &probe.Scheduler{}
+	qt.Assert(t, b.Next([]probe.Stream{{Servers: []string{"a", "b"}}}, start), qt.HasLen, 0)
 }
 
 // On an overloaded evening every stream pauses at times. Questions to all
@@ -79,28 +79,28 @@
 	for i := range 100 {
 		streams = append(streams, probe.Stream{Servers: []string{fmt.Sprintf("s%d", i)}, Silent: true})
 	}
-	b := &probe.Book{}
+	b := &probe.Scheduler{}
 	asked := 0
 	const seconds = 10
 	for ms := 0; ms < seconds*1000; ms += 25 {
-		list := b.Ask(streams, start.Add(time.Duration(ms)*time.Millisecond))
+		list := b.Next(streams, start.Add(time.Duration(ms)*time.Millisecond))
 		asked += len(list)
 		for _, address := range list {
-			b.Answer(address, true, false)
+			b.Record(address, true, false)
 		}
 	}
-	qt.Assert(t, asked <= probe.Burst+probe.PerSecond*seconds, qt.IsTrue, qt.Commentf("%d questions", asked))
+	qt.Assert(t, asked <= probe.Burst+probe.MaxPerSecond*seconds, qt.IsTrue, qt.Commentf("%d questions", asked))
 }
 
 func TestOneQuestionAtATime(t *testing.T) {
 	streams := []probe.Stream{{Servers: []string{"a"}, Silent: true}}
-	b := &probe.Book{}
-	qt.Assert(t, b.Ask(streams, start), qt.DeepEquals, []string{"a"})
-	qt.Assert(t, b.Ask(streams, start.Add(time.Second)), qt.HasLen, 0)
-	b.Answer("a", true, false)
-	qt.Assert(t, b.Ask(streams, start.Add(time.Second)), qt.DeepEquals, []string{"a"})
-	b.Answer("a", true, false)
-	qt.Assert(t, b.Ask(streams, start.Add(time.Second+probe.Every)), qt.HasLen, 0)
+	b := &probe.Scheduler{}
+	qt.Assert(t, b.Next(streams, start), qt.DeepEquals, []string{"a"})
+	qt.Assert(t, b.Next(streams, start.Add(time.Second)), qt.HasLen, 0)
+	b.Record("a", true, false)
+	qt.Assert(t, b.Next(streams, start.Add(time.Second)), qt.DeepEquals, []string{"a"})
+	b.Record("a", true, false)
+	qt.Assert(t, b.Next(streams, start.Add(time.Second+probe.Interval)), qt.HasLen, 0)
 }
 
 // A whole domain is silent, and its servers live but for one. The entry host
@@ -111,12 +111,12 @@
 	for i := range 3 * probe.Burst {
 		streams = append(streams, probe.Stream{Servers: []string{fmt.Sprintf("s%02d", i)}, Silent: true})
 	}
-	b := &probe.Book{}
+	b := &probe.Scheduler{}
 	asked := map[string]bool{}
 	for ms := 0; ms <= 1000; ms += 25 {
-		for _, address := range b.Ask(streams, start.Add(time.Duration(ms)*time.Millisecond)) {
+		for _, address := range b.Next(streams, start.Add(time.Duration(ms)*time.Millisecond)) {
 			asked[address] = true
-			b.Answer(address, true, false)
+			b.Record(address, true, false)
 		}
 	}
 	qt.Assert(t, asked, qt.HasLen, len(streams))
@@ -126,29 +126,29 @@
 // once: its streams have 200 ms before their callers notice.
 func TestSilentServerIsAskedAgainAtOnce(t *testing.T) {
 	streams := []probe.Stream{{Servers: []string{"a"}, Silent: true}}
-	b := &probe.Book{}
-	b.Ask(streams, start)
-	b.Answer("a", false, false)
-	qt.Assert(t, b.Ask(streams, start.Add(probe.Every)), qt.DeepEquals, []string{"a"})
+	b := &probe.Scheduler{}
+	b.Next(streams, start)
+	b.Record("a", false, false)
+	qt.Assert(t, b.Next(streams, start.Add(probe.Interval)), qt.DeepEquals, []string{"a"})
 }
 
 func TestFindings(t *testing.T) {
-	b := &probe.Book{}
-	qt.Assert(t, b.Answer("a", true, false), qt.Equals, probe.Alive)
-	qt.Assert(t, b.Answer("a", false, true), qt.Equals, probe.Gone)
-	qt.Assert(t, b.Answer("b", false, false), qt.Equals, probe.Doubtful)
-	qt.Assert(t, b.Answer("b", false, false), qt.Equals, probe.Unreachable)
-	qt.Assert(t, b.Answer("b", true, false), qt.Equals, probe.Alive)
-	qt.Assert(t, b.Answer("b", false, false), qt.Equals, probe.Doubtful)
+	b := &probe.Scheduler{}
+	qt.Assert(t, b.Record("a", true, false), qt.Equals, probe.Alive)
+	qt.Assert(t, b.Record("a", false, true), qt.Equals, probe.Gone)
+	qt.Assert(t, b.Record("b", false, false), qt.Equals, probe.Suspected)
+	qt.Assert(t, b.Record("b", false, false), qt.Equals, probe.Unreachable)
+	qt.Assert(t, b.Record("b", true, false), qt.Equals, probe.Alive)
+	qt.Assert(t, b.Record("b", false, false), qt.Equals, probe.Suspected)
 }
 
 // A question was lost an hour ago, and now another one is. Taken together they
 // would end the runs of a server that lives.
 func TestOldMissesDoNotCount(t *testing.T) {
 	streams := []probe.Stream{{Servers: []string{"a"}, Silent: true}}
-	b := &probe.Book{}
-	b.Ask(streams, start)
-	qt.Assert(t, b.Answer("a", false, false), qt.Equals, probe.Doubtful)
-	b.Ask(streams, start.Add(time.Hour))
-	qt.Assert(t, b.Answer("a", false, false), qt.Equals, probe.Doubtful)
+	b := &probe.Scheduler{}
+	b.Next(streams, start)
+	qt.Assert(t, b.Record("a", false, false), qt.Equals, probe.Suspected)
+	b.Next(streams, start.Add(time.Hour))
+	qt.Assert(t, b.Record("a", false, false), qt.Equals, probe.Suspected)
 }
--- a/parts/probe/wait.go
+++ b/parts/probe/wait.go
@@ -3,10 +3,10 @@
 import "time"
 
 const (
-	// ShortWait is the shortest time that a question is waited for, and LongWait
+	// MinTimeout is the shortest time that a question is waited for, and LongWait
 	// the longest. An answer takes one to three milliseconds.
-	ShortWait = 40 * time.Millisecond
-	LongWait  = 300 * time.Millisecond
+	MinTimeout = 40 * time.Millisecond
+	MaxTimeout = 300 * time.Millisecond
 	// learnMean and learnSpread are the parts of a new answer in the mean time
 	// that answers take and in how far they are from it, and spreads how many
 	// times that far an answer may be.
@@ -18,32 +18,32 @@
 	held = 25 * time.Millisecond
 )
 
-// Wait learns how long an answer may take until it counts as none. An entry host
+// Timeout learns how long an answer may take until it counts as none. An entry host
 // that is short of processor time, or whose link is slow, gets answers late from
 // servers that are well; taken for dead, they would lose all their streams. The
 // zero value is ready. It is not safe for concurrent use.
-type Wait struct {
+type Timeout struct {
 	mean, spread time.Duration
 }
 
-// Bound returns how long the next question is waited for.
-func (w *Wait) Bound() time.Duration {
-	return min(max(ShortWait, w.mean+spreads*w.spread), LongWait)
+// Current returns how long the next question is waited for.
+func (w *Timeout) Current() time.Duration {
+	return min(max(MinTimeout, w.mean+spreads*w.spread), MaxTimeout)
 }
 
-// Answered notes how long an answer took. One that came only to a later question
+// Record notes how long an answer took. One that came only to a later question
 // counts as twice the bound.
-func (w *Wait) Answered(took time.Duration, first bool) {
+func (w *Timeout) Record(took time.Duration, first bool) {
 	if !first {
-		took = max(took, 2*w.Bound())
+		took = max(took, 2*w.Current())
 	}
 	off := took - w.mean
 	w.mean += time.Duration(learnMean * float64(off))
 	w.spread += time.Duration(learnSpread * float64(max(off, -off)-w.spread))
 }
 
-// Held reports whether a question that was to end after some time ended so late
+// Stalled reports whether a question that was to end after some time ended so late
 // that the process was held up: then nothing follows from it.
-func Held(due, took time.Duration) bool {
+func Stalled(due, took time.Duration) bool {
 	return took > due+held
 }
--- a/parts/retry/budget.go
+++ b/parts/retry/budget.go
@@ -33,9 +33,9 @@
 	return b
 }
 
-// Earn adds relayed tokens. The bucket holds as much as is needed to resume
+// Deposit adds relayed tokens. The bucket holds as much as is needed to resume
 // each request in flight once, since one failure domain's end may hit all.
-func (b *Budget) Earn(tokens int, inFlight int64) {
+func (b *Budget) Deposit(tokens int, inFlight int64) {
 	most := max(floorAttempts, inFlight) * tokensPerAttempt
 	for {
 		old := b.credit.Load()
@@ -46,8 +46,8 @@
 	}
 }
 
-// Take spends one attempt, and reports whether there was one.
-func (b *Budget) Take() bool {
+// Withdraw spends one attempt, and reports whether there was one.
+func (b *Budget) Withdraw() bool {
 	for {
 		old := b.credit.Load()
 		if old < tokensPerAttempt {
--- a/parts/retry/decide.go
+++ b/parts/retry/decide.go
@@ -9,9 +9,9 @@
 // MaxAttempts bounds the chains that one request is sent to.
 const MaxAttempts = 6
 
-// ComeBack is when a caller whose request was given up should come again: by
+// RetryAfter is when a caller whose request was given up should come again: by
 // then a server that failed is avoided, or serves again.
-const ComeBack = time.Second
+const RetryAfter = time.Second
 
 // Failure is a failed attempt.
 type Failure struct {
@@ -21,17 +21,17 @@
 	Attempt int
 	// Left is the time until the request's deadline.
 	Left time.Duration
-	// Caller says that the caller is still there.
-	Caller bool
+	// CallerConnected says that the caller is still there.
+	CallerConnected bool
 	// Sent is the number of tokens that the caller has.
 	Sent int
 }
 
-// Again reports whether another attempt may help, and whether it has to be
+// ShouldRetry reports whether another attempt may help, and whether it has to be
 // paid for from the budget. An attempt that is known not to have run costs
 // the servers next to nothing.
-func (f Failure) Again() (again, pay bool) {
-	if !f.Caller || f.Left <= 0 || f.Attempt >= MaxAttempts {
+func (f Failure) ShouldRetry() (again, pay bool) {
+	if !f.CallerConnected || f.Left <= 0 || f.Attempt >= MaxAttempts {
 		return false, false
 	}
 	switch f.Error.Code {
@@ -48,7 +48,7 @@
 	final.Verdict = all
 	switch final.Code {
 	case fault.ServerFailed, fault.ServerRefused, fault.BrokenAnswer, fault.NoCover, fault.NoServer, fault.Overloaded:
-		final.RetryAfter = max(final.RetryAfter, ComeBack)
+		final.RetryAfter = max(final.RetryAfter, RetryAfter)
 	}
 	return &final
 }
--- a/parts/retry/example_test.go
+++ b/parts/retry/example_test.go
@@ -8,15 +8,15 @@
 )
 
 // A chain whose tokens come every 20 ms has sent nothing for a while.
-func ExampleLimits_Next() {
+func ExampleTimeouts_Next() {
 	var gaps retry.Gaps
 	for range 100 {
 		gaps.Observe(20 * time.Millisecond)
 	}
-	limits := gaps.Limits()
+	limits := gaps.Timeouts()
 	for _, idle := range []time.Duration{50, 120, 260} {
 		phase, wait := limits.Next(idle*time.Millisecond, false)
-		fmt.Println(phase == retry.Silent, wait)
+		fmt.Println(phase == retry.Failed, wait)
 	}
 	// Output:
 	// false 50ms
--- a/parts/retry/gaps.go
+++ b/parts/retry/gaps.go
@@ -34,12 +34,12 @@
 	g.dev += devWeight * (off - g.dev)
 }
 
-// Limits say when a chain that has sent nothing is looked at.
-type Limits struct {
+// Timeouts say when a chain that has sent nothing is looked at.
+type Timeouts struct {
 	// Probe is when its servers are asked whether they are there.
 	Probe time.Duration
-	// Silent is when it counts as failed though all of them answer.
-	Silent time.Duration
+	// Failure is when it counts as failed though all of them answer.
+	Failure time.Duration
 }
 
 // The limits in terms of the usual gap. Below the floors, a pause of the
@@ -58,25 +58,25 @@
 )
 
 // unknown are the limits while nothing is known of a pool.
-var unknown = Limits{Probe: firstProbeFloor, Silent: 5 * time.Second}
+var unknown = Timeouts{Probe: firstProbeFloor, Failure: 5 * time.Second}
 
-// Limits returns the limits for the next token of a chain.
-func (g *Gaps) Limits() Limits {
+// Timeouts returns the limits for the next token of a chain.
+func (g *Gaps) Timeouts() Timeouts {
 	if !g.known {
 		return unknown
 	}
-	return Limits{
-		Probe:  max(probeFloor, g.times(probeTimes, probeDevs)),
-		Silent: max(silentFloor, g.times(silentTimes, silentDevs)),
+	return Timeouts{
+		Probe:   max(probeFloor, g.times(probeTimes, probeDevs)),
+		Failure: max(silentFloor, g.times(silentTimes, silentDevs)),
 	}
 }
 
 // first returns the limits for a first token, if these are times to first
 // tokens.
-func (g *Gaps) first() Limits {
-	return Limits{
-		Probe:  max(firstProbeFloor, g.times(probeTimes, probeDevs)),
-		Silent: max(firstSilentFloor, g.times(firstTimes, firstDevs)),
+func (g *Gaps) first() Timeouts {
+	return Timeouts{
+		Probe:   max(firstProbeFloor, g.times(probeTimes, probeDevs)),
+		Failure: max(firstSilentFloor, g.times(firstTimes, firstDevs)),
 	}
 }
 
@@ -84,9 +84,9 @@
 	return time.Duration(means*g.mean + devs*g.dev)
 }
 
-// Usual is what a pool's chains usually take. It stands in for a chain's own
+// Baseline is what a pool's chains usually take. It stands in for a chain's own
 // figures until there are any. Threads may use it together without locks.
-type Usual struct {
+type Baseline struct {
 	gap   atomic.Pointer[Gaps]
 	first [sizes]atomic.Pointer[Gaps]
 }
@@ -114,22 +114,22 @@
 	}
 }
 
-// ObserveFirst folds in the time to the first token of an attempt that had
+// ObserveFirstToken folds in the time to the first token of an attempt that had
 // to read so many bytes.
-func (u *Usual) ObserveFirst(length int, d time.Duration) {
+func (u *Baseline) ObserveFirstToken(length int, d time.Duration) {
 	update(&u.first[size(length)], func(g *Gaps) { g.Observe(d) })
 }
 
-// First returns the limits for the first token of an attempt. A length that
+// FirstToken returns the limits for the first token of an attempt. A length that
 // was not seen yet is judged by the next shorter one, and given the more time
 // the longer it is. Its servers are asked no later for that: a server that is
 // there answers while it reads.
-func (u *Usual) First(length int) Limits {
+func (u *Baseline) FirstToken(length int) Timeouts {
 	class := size(length)
 	for below := class; below >= 0; below-- {
 		if g := u.first[below].Load(); g != nil {
 			l := g.first()
-			l.Silent <<= class - below
+			l.Failure <<= class - below
 			return l
 		}
 	}
@@ -137,7 +137,7 @@
 }
 
 // ObserveGaps folds in what one chain usually took.
-func (u *Usual) ObserveGaps(g Gaps) {
+func (u *Baseline) ObserveGaps(g Gaps) {
 	if !g.known {
 		return
 	}
@@ -148,7 +148,7 @@
 }
 
 // Gaps returns the figures that a new chain begins with.
-func (u *Usual) Gaps() Gaps {
+func (u *Baseline) Gaps() Gaps {
 	if g := u.gap.Load(); g != nil {
 		return *g
 	}
--- a/parts/retry/retry_test.go
+++ b/parts/retry/retry_test.go
@@ -25,18 +25,18 @@
 // reads the pause as the end.
 func TestFreezeIsSeenSoon(t *testing.T) {
 	c := quicktest.New(t)
-	l := settled(20 * ms).Limits()
+	l := settled(20 * ms).Timeouts()
 	phase, wait := l.Next(0, true)
-	c.Assert(phase, quicktest.Equals, Listening)
+	c.Assert(phase, quicktest.Equals, Healthy)
 	c.Assert(wait, quicktest.Equals, l.Probe)
 	phase, _ = l.Next(l.Probe, false)
 	c.Assert(phase, quicktest.Equals, Probing)
 	phase, _ = l.Next(250*ms, false)
-	c.Assert(phase, quicktest.Equals, Silent)
+	c.Assert(phase, quicktest.Equals, Failed)
 	phase, _ = l.Next(250*ms, true)
-	c.Assert(phase, quicktest.Equals, Doubting)
+	c.Assert(phase, quicktest.Equals, Stalled)
 	phase, _ = l.Next(400*ms, true)
-	c.Assert(phase, quicktest.Equals, Silent)
+	c.Assert(phase, quicktest.Equals, Failed)
 }
 
 // A chain is slow but healthy, and its gaps vary. Were it given up, its
@@ -48,7 +48,7 @@
 		g := settled(time.Duration(usual) * ms)
 		for _, part := range rapid.SliceOfN(rapid.Int64Range(20, 200), 1, 100).Draw(t, "parts") {
 			gap := time.Duration(usual*part/100) * ms
-			if phase, _ := g.Limits().Next(gap, true); phase > Listening {
+			if phase, _ := g.Timeouts().Next(gap, true); phase > Healthy {
 				t.Fatalf("a gap of %s at a usual %d ms is in phase %d", gap, usual, phase)
 			}
 			g.Observe(gap)
@@ -59,18 +59,18 @@
 // The waits of the phases lead to an end, in order, whatever the limits.
 func TestPhasesEnd(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
-		l := Limits{
-			Probe:  time.Duration(rapid.Int64Range(1, 1e10).Draw(t, "probe")),
-			Silent: time.Duration(rapid.Int64Range(1, 1e10).Draw(t, "silent")),
+		l := Timeouts{
+			Probe:   time.Duration(rapid.Int64Range(1, 1e10).Draw(t, "probe")),
+			Failure: time.Duration(rapid.Int64Range(1, 1e10).Draw(t, "silent")),
 		}
 		there := rapid.Bool().Draw(t, "there")
-		idle, last := time.Duration(0), Listening
+		idle, last := time.Duration(0), Healthy
 		for range 4 {
 			phase, wait := l.Next(idle, there)
 			if phase < last {
 				t.Fatalf("phase %d after %d", phase, last)
 			}
-			if phase == Silent {
+			if phase == Failed {
 				return
 			}
 			last = phase
@@ -82,18 +82,18 @@
 
 func TestFirstGivesLongPromptsTime(t *testing.T) {
 	c := quicktest.New(t)
-	u := &Usual{}
-	c.Assert(u.First(100), quicktest.Equals, unknown)
+	u := &Baseline{}
+	c.Assert(u.FirstToken(100), quicktest.Equals, unknown)
 	for range 50 {
-		u.ObserveFirst(100, 500*ms)
+		u.ObserveFirstToken(100, 500*ms)
 	}
-	short := u.First(100)
-	c.Assert(short.Silent < unknown.Silent, quicktest.IsTrue)
-	c.Assert(u.First(450).Silent, quicktest.Equals, 4*short.Silent)
-	c.Assert(u.First(60000).Probe, quicktest.Equals, short.Probe, quicktest.Commentf("a frozen server is found as soon"))
+	short := u.FirstToken(100)
+	c.Assert(short.Failure < unknown.Failure, quicktest.IsTrue)
+	c.Assert(u.FirstToken(450).Failure, quicktest.Equals, 4*short.Failure)
+	c.Assert(u.FirstToken(60000).Probe, quicktest.Equals, short.Probe, quicktest.Commentf("a frozen server is found as soon"))
 	u.ObserveGaps(*settled(30 * ms))
 	begin := u.Gaps()
-	c.Assert(begin.Limits().Silent < 2*time.Second, quicktest.IsTrue)
+	c.Assert(begin.Timeouts().Failure < 2*time.Second, quicktest.IsTrue)
 }
 
 // A fault hits every chain of a pool. Repeats are paid from what the pool has
@@ -106,10 +106,10 @@
 			if rapid.Bool().Draw(t, "earn") {
 				n := rapid.IntRange(1, 100).Draw(t, "tokens")
 				earned += n
-				b.Earn(n, int64(rapid.IntRange(0, 200).Draw(t, "flight")))
+				b.Deposit(n, int64(rapid.IntRange(0, 200).Draw(t, "flight")))
 				continue
 			}
-			if b.Take() {
+			if b.Withdraw() {
 				taken++
 			}
 		}
@@ -125,15 +125,15 @@
 		f          Failure
 		again, pay bool
 	}{
-		{"a server failed", Failure{Error: &fault.Error{Code: fault.ServerFailed}, Attempt: 1, Left: 1, Caller: true}, true, true},
-		{"a server refused", Failure{Error: &fault.Error{Code: fault.ServerRefused, Verdict: fault.NotRun}, Attempt: 1, Left: 1, Caller: true}, true, false},
-		{"no cover", Failure{Error: &fault.Error{Code: fault.NoCover}, Attempt: 1, Left: 1, Caller: true}, false, false},
-		{"too many", Failure{Error: &fault.Error{Code: fault.ServerFailed}, Attempt: MaxAttempts, Left: 1, Caller: true}, false, false},
-		{"too late", Failure{Error: &fault.Error{Code: fault.ServerFailed}, Attempt: 1, Caller: true}, false, false},
+		{"a server failed", Failure{Error: &fault.Error{Code: fault.ServerFailed}, Attempt: 1, Left: 1, CallerConnected: true}, true, true},
+		{"a server refused", Failure{Error: &fault.Error{Code: fault.ServerRefused, Verdict: fault.NotRun}, Attempt: 1, Left: 1, CallerConnected: true}, true, false},
+		{"no cover", Failure{Error: &fault.Error{Code: fault.NoCover}, Attempt: 1, Left: 1, CallerConnected: true}, false, false},
+		{"too many", Failure{Error: &fault.Error{Code: fault.ServerFailed}, Attempt: MaxAttempts, Left: 1, CallerConnected: true}, false, false},
+		{"too late", Failure{Error: &fault.Error{Code: fault.ServerFailed}, Attempt: 1, CallerConnected: true}, false, false},
 		{"caller left", Failure{Error: &fault.Error{Code: fault.ServerFailed}, Attempt: 1, Left: 1}, false, false},
 	} {
 		t.Run(test.name, func(t *testing.T) {
-			again, pay := test.f.Again()
+			again, pay := test.f.ShouldRetry()
 			quicktest.Assert(t, again, quicktest.Equals, test.again)
 			quicktest.Assert(t, pay, quicktest.Equals, test.pay)
 		})
@@ -142,6 +142,6 @@
 	f := Failure{Error: &fault.Error{Code: fault.ServerRefused, Verdict: fault.NotRun}}
 	final := f.Final(fault.MayHaveRun)
 	c.Assert(final.Verdict, quicktest.Equals, fault.MayHaveRun)
-	c.Assert(final.RetryAfter, quicktest.Equals, ComeBack)
+	c.Assert(final.RetryAfter, quicktest.Equals, RetryAfter)
 	c.Assert(f.Error.Verdict, quicktest.Equals, fault.NotRun)
 }
--- a/parts/retry/share.go
+++ b/parts/retry/share.go
@@ -5,15 +5,15 @@
 	"time"
 )
 
-// Share bounds repeats to a share of the requests of the last seconds, and a
+// WindowBudget bounds repeats to a share of the requests of the last seconds, and a
 // fixed number beyond. The bound is meant for all entry hosts together: each
 // counts its own requests and spends its part of the fixed number, so the sum
 // keeps to the bound without a word between them.
-type Share struct {
+type WindowBudget struct {
 	// Ratio is how many repeats a request earns.
 	Ratio float64
-	// Slack returns how many repeats may come on top in one window.
-	Slack func() float64
+	// MinRetries returns how many repeats may come on top in one window.
+	MinRetries func() float64
 	// Window is the length of the window.
 	Window time.Duration
 
@@ -30,15 +30,15 @@
 	requests, repeats int
 }
 
-// Note counts a request.
-func (s *Share) Note(now time.Time) {
+// Record counts a request.
+func (s *WindowBudget) Record(now time.Time) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	s.slot(now).requests++
 }
 
-// Take spends a repeat, and reports whether there was one.
-func (s *Share) Take(now time.Time) bool {
+// Withdraw spends a repeat, and reports whether there was one.
+func (s *WindowBudget) Withdraw(now time.Time) bool {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	slot := s.slot(now)
@@ -49,14 +49,14 @@
 			repeats += c.repeats
 		}
 	}
-	if float64(repeats+1) > s.Ratio*float64(requests)+s.Slack() {
+	if float64(repeats+1) > s.Ratio*float64(requests)+s.MinRetries() {
 		return false
 	}
 	slot.repeats++
 	return true
 }
 
-func (s *Share) slot(now time.Time) *shareCount {
+func (s *WindowBudget) slot(now time.Time) *shareCount {
 	if s.start.IsZero() {
 		s.start = now
 	}
--- a/parts/retry/silence.go
+++ b/parts/retry/silence.go
@@ -7,18 +7,18 @@
 
 // The phases, in order. A token leads back to Listening.
 const (
-	// Listening: the chain is as usual.
-	Listening Phase = iota
+	// Healthy: the chain is as usual.
+	Healthy Phase = iota
 	// Probing: it is late, and its servers are asked whether they are there.
 	Probing
-	// Doubting: all of them answer; it may be a link, or the chain is slow.
-	Doubting
-	// Silent: the chain has failed.
-	Silent
+	// Stalled: all of them answer; it may be a link, or the chain is slow.
+	Stalled
+	// Failed: the chain has failed.
+	Failed
 )
 
-// ProbeWait is how long a server may take to say that it is there.
-const ProbeWait = 150 * time.Millisecond
+// ProbeTimeout is how long a server may take to say that it is there.
+const ProbeTimeout = 150 * time.Millisecond
 
 // Next returns the phase of a chain that has sent nothing for the idle time,
 // and how long to wait before the next look. There says that each server that
@@ -27,16 +27,16 @@
 // A server that hangs keeps its connections open, so that nothing but the
 // silence tells of it. Silence alone would have to last long to be told from
 // a slow chain; a server that does not even answer a probe is given up early.
-func (l Limits) Next(idle time.Duration, there bool) (Phase, time.Duration) {
-	judged := l.Probe + ProbeWait
-	silent := max(l.Silent, judged)
+func (l Timeouts) Next(idle time.Duration, there bool) (Phase, time.Duration) {
+	judged := l.Probe + ProbeTimeout
+	silent := max(l.Failure, judged)
 	switch {
 	case idle < l.Probe:
-		return Listening, l.Probe - idle
+		return Healthy, l.Probe - idle
 	case idle < judged:
 		return Probing, judged - idle
 	case !there || idle >= silent:
-		return Silent, 0
+		return Failed, 0
 	}
-	return Doubting, silent - idle
+	return Stalled, silent - idle
 }
--- a/parts/route/route.go
+++ b/parts/route/route.go
@@ -18,8 +18,8 @@
 
 // The kinds.
 const (
-	// Once requests run at most once for each attempt of the caller.
-	Once Kind = iota
+	// AtMostOnce requests run at most once for each attempt of the caller.
+	AtMostOnce Kind = iota
 	// Idempotent requests may run more than once.
 	Idempotent
 	// Stream requests are answered by a series of events.
@@ -29,7 +29,7 @@
 // String returns the name of the kind.
 func (k Kind) String() string {
 	switch k {
-	case Once:
+	case AtMostOnce:
 		return "once"
 	case Idempotent:
 		return "idempotent"
@@ -59,11 +59,11 @@
 	// Target is the time to the answer, or to its first event, that counts
 	// as on time.
 	Target time.Duration
-	// Gap is the longest pause between two events that is still on time.
-	Gap time.Duration
-	// Silence is the pause after which callers leave a stream; zero means that it
+	// MaxGap is the longest pause between two events that is still on time.
+	MaxGap time.Duration
+	// CallerTimeout is the pause after which callers leave a stream; zero means that it
 	// is not known.
-	Silence time.Duration
+	CallerTimeout time.Duration
 	// Attempts is how many backend servers one request may be sent to.
 	Attempts int
 	// Priority is the rank of the route; 0 is the highest.
@@ -79,9 +79,9 @@
 	return r.Kind == Idempotent || r.Kind == Stream && r.Resumable
 }
 
-// Pick returns the service of the share that a number drawn evenly from
+// ServiceFor returns the service of the share that a number drawn evenly from
 // [0, 1) falls into.
-func (r *Route) Pick(draw float64) string {
+func (r *Route) ServiceFor(draw float64) string {
 	total := 0
 	for _, s := range r.Shares {
 		total += s.Weight
--- a/parts/route/route_test.go
+++ b/parts/route/route_test.go
@@ -26,10 +26,10 @@
 
 func TestPickByWeight(t *testing.T) {
 	r := &route.Route{Shares: []route.Share{{Service: "old", Weight: 90}, {Service: "new", Weight: 10}}}
-	qt.Assert(t, r.Pick(0), qt.Equals, "old")
-	qt.Assert(t, r.Pick(0.89), qt.Equals, "old")
-	qt.Assert(t, r.Pick(0.9), qt.Equals, "new")
-	qt.Assert(t, r.Pick(0.9999), qt.Equals, "new")
+	qt.Assert(t, r.ServiceFor(0), qt.Equals, "old")
+	qt.Assert(t, r.ServiceFor(0.89), qt.Equals, "old")
+	qt.Assert(t, r.ServiceFor(0.9), qt.Equals, "new")
+	qt.Assert(t, r.ServiceFor(0.9999), qt.Equals, "new")
 }
 
 func TestKeys(t *testing.T) {
@@ -46,5 +46,5 @@
 	qt.Assert(t, (&route.Route{Kind: route.Idempotent}).Repeatable(), qt.IsTrue)
 	qt.Assert(t, (&route.Route{Kind: route.Stream}).Repeatable(), qt.IsFalse)
 	qt.Assert(t, (&route.Route{Kind: route.Stream, Resumable: true}).Repeatable(), qt.IsTrue)
-	qt.Assert(t, (&route.Route{Kind: route.Once, Resumable: true}).Repeatable(), qt.IsFalse)
+	qt.Assert(t, (&route.Route{Kind: route.AtMostOnce, Resumable: true}).Repeatable(), qt.IsFalse)
 }
--- a/parts/route/service.go
+++ b/parts/route/service.go
@@ -26,31 +26,31 @@
 	// chain to the next.
 	HopBytes float64
 	// Step is the time of one token step over all layers on a card of pace 1,
-	// StepEach what each further request of the batch adds, and StepContext
+	// StepPerRequest what each further request of the batch adds, and StepPerKiloToken
 	// what 1,000 tokens of context add.
-	Step, StepEach, StepContext time.Duration
-	// ReadPerSec is how many prompt tokens a card of pace 1 reads in a second.
-	ReadPerSec float64
-	// Stride is how many steps one pass makes.
-	Stride int
-	// PipeMbps is the rate of the link that all backend servers of two failure
+	Step, StepPerRequest, StepPerKiloToken time.Duration
+	// PrefillPerSec is how many prompt tokens a card of pace 1 reads in a second.
+	PrefillPerSec float64
+	// StepsPerPass is how many steps one pass makes.
+	StepsPerPass int
+	// InterDomainMbps is the rate of the link that all backend servers of two failure
 	// domains share.
-	PipeMbps float64
+	InterDomainMbps float64
 	// Load is the time to load all layers.
 	Load time.Duration
 	// Usual are the mean sizes of a prompt and of an answer, in tokens.
-	UsualPrompt, UsualAnswer int
-	// Cards are the kinds of accelerators by name.
-	Cards map[string]Card
+	MeanPrompt, MeanAnswer int
+	// Accelerators are the kinds of accelerators by name.
+	Accelerators map[string]Accelerator
 	// Model is the name of the model.
 	Model string
 }
 
-// Card is a kind of accelerator.
-type Card struct {
+// Accelerator is a kind of accelerator.
+type Accelerator struct {
 	// MemoryMB holds the layers and the requests.
 	MemoryMB float64
-	// Pace and Read say how many times longer than the reference card it takes
+	// StepFactor and PrefillFactor say how many times longer than the reference card it takes
 	// for a token step and for reading a prompt.
-	Pace, Read float64
+	StepFactor, PrefillFactor float64
 }
--- a/parts/rule/rule.go
+++ b/parts/rule/rule.go
@@ -12,12 +12,12 @@
 	Model string `json:"model,omitempty"`
 	// Path is the path prefix of a plain service, for example "/booking".
 	Path string `json:"path,omitempty"`
-	// Repeat says that a call may be repeated. Calls of a service without it
+	// Retryable says that a call may be repeated. Calls of a service without it
 	// are sent to a backend server at most once.
-	Repeat bool `json:"repeat"`
-	// FreeID says that a call that may not be repeated needs no id of the
+	Retryable bool `json:"repeat"`
+	// OptionalID says that a call that may not be repeated needs no id of the
 	// caller's. Each call without one is then a new request.
-	FreeID bool `json:"freeId,omitempty"`
+	OptionalID bool `json:"freeId,omitempty"`
 	// Guarded says that the backend servers themselves refuse repeats, so
 	// that calls may go on while the object API is down.
 	Guarded bool `json:"guarded,omitempty"`
@@ -35,8 +35,8 @@
 // DefaultDeadline is the deadline of a service that states none.
 const DefaultDeadline = 30 * time.Second
 
-// Limit returns the deadline in force for one request.
-func (s Service) Limit() time.Duration {
+// EffectiveDeadline returns the deadline in force for one request.
+func (s Service) EffectiveDeadline() time.Duration {
 	if s.Deadline == 0 {
 		return DefaultDeadline
 	}
--- a/parts/store/client.go
+++ b/parts/store/client.go
@@ -32,8 +32,8 @@
 // The defaults of a Client. A watch that waits long costs the platform few
 // calls; the timeout is far above its usual few milliseconds.
 const (
-	DefaultWait    = 20 * time.Second
-	DefaultTimeout = 2 * time.Second
+	DefaultWatchTimeout = 20 * time.Second
+	DefaultTimeout      = 2 * time.Second
 )
 
 // maxValue bounds what is read of one answer: a list may hold many objects.
@@ -114,7 +114,7 @@
 
 func (c *Client) wait() time.Duration {
 	if c.Wait == 0 {
-		return DefaultWait
+		return DefaultWatchTimeout
 	}
 	return c.Wait
 }
@@ -202,7 +202,7 @@
 	}
 	resp, err := transport.Do(req)
 	if err != nil {
-		return reply{}, down(fault.Sending(err), err)
+		return reply{}, down(fault.SendVerdict(err), err)
 	}
 	defer resp.Body.Close()
 	value, err := io.ReadAll(io.LimitReader(resp.Body, maxValue))
--- a/parts/team/team.go
+++ b/parts/team/team.go
@@ -18,32 +18,32 @@
 	// TokenHash is the SHA-256 of the bearer token, in lower-case hex. The
 	// token itself is kept nowhere.
 	TokenHash string `json:"tokenHash"`
-	// Deal is the team's contract.
-	Deal quota.Quota `json:"deal"`
+	// Quota is the team's contract.
+	Quota quota.Quota `json:"deal"`
 }
 
-// Book holds all teams at one version of their object.
-type Book struct {
+// Directory holds all teams at one version of their object.
+type Directory struct {
 	// Version is the version of the object that the book was read from.
 	Version uint64 `json:"-"`
 	// Teams are in no particular order.
 	Teams []Team `json:"teams"`
 }
 
-// Hash returns the form in which a bearer token is kept.
-func Hash(token string) string {
+// HashToken returns the form in which a bearer token is kept.
+func HashToken(token string) string {
 	sum := sha256.Sum256([]byte(token))
 	return hex.EncodeToString(sum[:])
 }
 
-// Find returns the team that a bearer token belongs to. It compares with all
+// ByToken returns the team that a bearer token belongs to. It compares with all
 // teams in constant time, so that the time taken tells nothing about how much
 // of a guessed token was right.
-func (b *Book) Find(token string) (Team, bool) {
+func (b *Directory) ByToken(token string) (Team, bool) {
 	if b == nil {
 		return Team{}, false
 	}
-	want := []byte(Hash(token))
+	want := []byte(HashToken(token))
 	found := -1
 	for i := range b.Teams {
 		if subtle.ConstantTimeCompare(want, []byte(b.Teams[i].TokenHash)) == 1 {
--- a/parts/ticket/ticket.go
+++ b/parts/ticket/ticket.go
@@ -24,9 +24,9 @@
 // Prefix opens every ticket. An id of a caller's own may not start with it.
 const Prefix = "fst1."
 
-// Life is how long a ticket may be used. It bounds what its issuer has to
+// TTL is how long a ticket may be used. It bounds what its issuer has to
 // remember.
-const Life = 10 * time.Minute
+const TTL = 10 * time.Minute
 
 // Ticket is the content of a ticket.
 type Ticket struct {
@@ -45,7 +45,7 @@
 // Expired reports whether the ticket may no longer be used; up is how long
 // the incarnation has run.
 func (t Ticket) Expired(up time.Duration) bool {
-	return up-t.Issued >= Life
+	return up-t.Issued >= TTL
 }
 
 // Signer issues and reads tickets.
--- a/parts/ticket/ticket_test.go
+++ b/parts/ticket/ticket_test.go
@@ -20,8 +20,8 @@
 	qt.Assert(t, err, qt.IsNil)
 	qt.Assert(t, got.Entry, qt.Equals, "e1")
 	qt.Assert(t, got.Incarnation, qt.Equals, uint64(7))
-	qt.Assert(t, got.Expired(time.Second+Life-1), qt.IsFalse)
-	qt.Assert(t, got.Expired(time.Second+Life), qt.IsTrue)
+	qt.Assert(t, got.Expired(time.Second+TTL-1), qt.IsFalse)
+	qt.Assert(t, got.Expired(time.Second+TTL), qt.IsTrue)
 }
 
 // A ticket that was changed, or taken from another team, would let a caller
--- a/parts/trace/trace.go
+++ b/parts/trace/trace.go
@@ -19,19 +19,19 @@
 	Clock uint64 `json:"clock"`
 	// Process is the name of the entry host.
 	Process string `json:"process"`
-	// Part names the part of the program, as the logs do.
-	Part string `json:"part"`
+	// Component names the part of the program, as the logs do.
+	Component string `json:"part"`
 	// Request is the request that the event belongs to, if any.
 	Request string `json:"request,omitempty"`
-	// What is a short sentence.
-	What string `json:"what"`
+	// Message is a short sentence.
+	Message string `json:"what"`
 }
 
-// Size is how many events a process keeps.
-const Size = 4096
+// RingSize is how many events a process keeps.
+const RingSize = 4096
 
-// Line is the time line of one process. Set Process before first use.
-type Line struct {
+// Recorder is the time line of one process. Set Process before first use.
+type Recorder struct {
 	// Process is written into each event.
 	Process string
 
@@ -42,7 +42,7 @@
 }
 
 // Now returns the next reading of the clock.
-func (l *Line) Now() uint64 {
+func (l *Recorder) Now() uint64 {
 	for {
 		last := l.clock.Load()
 		now := max(uint64(time.Now().UnixNano()), last+1)
@@ -53,7 +53,7 @@
 }
 
 // Observe pushes the clock past one that came with a message.
-func (l *Line) Observe(clock uint64) {
+func (l *Recorder) Observe(clock uint64) {
 	for {
 		last := l.clock.Load()
 		if clock <= last || l.clock.CompareAndSwap(last, clock) {
@@ -62,25 +62,25 @@
 	}
 }
 
-// Add records an event. A nil line records nothing.
-func (l *Line) Add(part, request, what string) {
+// Record records an event. A nil line records nothing.
+func (l *Recorder) Record(part, request, what string) {
 	if l == nil {
 		return
 	}
-	event := Event{Clock: l.Now(), Process: l.Process, Part: part, Request: request, What: what}
+	event := Event{Clock: l.Now(), Process: l.Process, Component: part, Request: request, Message: what}
 	l.mu.Lock()
 	defer l.mu.Unlock()
-	if len(l.events) < Size {
+	if len(l.events) < RingSize {
 		l.events = append(l.events, event)
 		return
 	}
 	l.events[l.next] = event
-	l.next = (l.next + 1) % Size
+	l.next = (l.next + 1) % RingSize
 }
 
 // Find returns the kept events of a request, or all for an empty name, in
 // the order of their clocks.
-func (l *Line) Find(request string) []Event {
+func (l *Recorder) Find(request string) []Event {
 	l.mu.Lock()
 	defer l.mu.Unlock()
 	var found []Event
--- a/parts/trace/trace_test.go
+++ b/parts/trace/trace_test.go
@@ -13,29 +13,29 @@
 // the slow one, whose answer would sort before the question, and an operator
 // would read the time line backwards.
 func TestEffectSortsAfterCause(t *testing.T) {
-	ahead := &trace.Line{Process: "e1"}
-	behind := &trace.Line{Process: "e2"}
+	ahead := &trace.Recorder{Process: "e1"}
+	behind := &trace.Recorder{Process: "e2"}
 	const hour = 3_600_000_000_000
 	ahead.Observe(ahead.Now() + hour)
 
-	ahead.Add("mesh", "r1", "asked")
+	ahead.Record("mesh", "r1", "asked")
 	behind.Observe(ahead.Now())
-	behind.Add("mesh", "r1", "answered")
+	behind.Record("mesh", "r1", "answered")
 
 	events := append(behind.Find("r1"), ahead.Find("r1")...)
 	trace.Sort(events)
-	qt.Assert(t, events[0].What, qt.Equals, "asked")
-	qt.Assert(t, events[1].What, qt.Equals, "answered")
+	qt.Assert(t, events[0].Message, qt.Equals, "asked")
+	qt.Assert(t, events[1].Message, qt.Equals, "answered")
 }
 
 // A process makes far more events than it keeps. The newest stay; memory
 // does not grow.
 func TestKeepsTheNewest(t *testing.T) {
-	line := &trace.Line{Process: "e1"}
-	for i := range 2*trace.Size + 3 {
-		line.Add("gate", "", fmt.Sprint(i))
+	line := &trace.Recorder{Process: "e1"}
+	for i := range 2*trace.RingSize + 3 {
+		line.Record("gate", "", fmt.Sprint(i))
 	}
 	events := line.Find("")
-	qt.Assert(t, events, qt.HasLen, trace.Size)
-	qt.Assert(t, events[len(events)-1].What, qt.Equals, fmt.Sprint(2*trace.Size+2))
+	qt.Assert(t, events, qt.HasLen, trace.RingSize)
+	qt.Assert(t, events[len(events)-1].Message, qt.Equals, fmt.Sprint(2*trace.RingSize+2))
 }
--- a/parts/trail/trail.go
+++ b/parts/trail/trail.go
@@ -45,8 +45,8 @@
 	Attrs map[string]any
 }
 
-// Log is the output of one process.
-type Log struct {
+// Source is the output of one process.
+type Source struct {
 	// Name is shown in errors and for lines that name no host.
 	Name string
 	From io.Reader
@@ -54,7 +54,7 @@
 
 // Find returns what explains a request, in the order of time. The error joins
 // what could not be read; the entries of what could are returned all the same.
-func Find(request string, logs ...Log) ([]Entry, error) {
+func Find(request string, logs ...Source) ([]Entry, error) {
 	all, err := Read(logs...)
 	for i := range all {
 		all[i].Own = all[i].Attrs["request"] == request
@@ -64,7 +64,7 @@
 
 // Read returns all lines, in the order of time. The error joins what could not
 // be read; the entries of what could are returned all the same.
-func Read(logs ...Log) ([]Entry, error) {
+func Read(logs ...Source) ([]Entry, error) {
 	var all []Entry
 	var faults []error
 	for _, l := range logs {
@@ -80,7 +80,7 @@
 
 // read decodes the lines of a log. Lines that are no JSON objects are of
 // another writer, for example a runtime that ends, and are passed over.
-func read(l Log) ([]Entry, error) {
+func read(l Source) ([]Entry, error) {
 	var list []Entry
 	scan := bufio.NewScanner(l.From)
 	scan.Buffer(nil, longest)
--- a/parts/turns/turns.go
+++ b/parts/turns/turns.go
@@ -27,29 +27,29 @@
 	slowest = time.Second
 )
 
-// Ticket is one request's place.
-type Ticket struct {
+// Waiter is one request's place.
+type Waiter struct {
 	priority int
 }
 
 // Queue holds the requests that wait. The zero value is ready.
 type Queue struct {
 	mu      sync.Mutex
-	waiting []*Ticket
+	waiting []*Waiter
 	// gap is the mean time between two services, last the time of the newest.
 	gap  time.Duration
 	last time.Time
 }
 
-// Join enqueues a request behind all of the same priority; a lower value is more
+// Enqueue enqueues a request behind all of the same priority; a lower value is more
 // urgent. If the queue is full it returns nil and when to retry.
-func (q *Queue) Join(priority int, longest time.Duration) (place *Ticket, comeBack time.Duration) {
+func (q *Queue) Enqueue(priority int, longest time.Duration) (place *Waiter, comeBack time.Duration) {
 	q.mu.Lock()
 	defer q.mu.Unlock()
 	if len(q.waiting) >= q.most(longest) {
 		return nil, time.Duration(len(q.waiting)) * max(q.gap, time.Millisecond)
 	}
-	place = &Ticket{priority: priority}
+	place = &Waiter{priority: priority}
 	at := len(q.waiting)
 	for at > 0 && q.waiting[at-1].priority > priority {
 		at--
@@ -66,22 +66,22 @@
 	return max(leastQueue, int(longest/q.gap))
 }
 
-// Busy reports whether requests wait, which go before new ones.
-func (q *Queue) Busy() bool {
+// HasWaiters reports whether requests wait, which go before new ones.
+func (q *Queue) HasWaiters() bool {
 	q.mu.Lock()
 	defer q.mu.Unlock()
 	return len(q.waiting) > 0
 }
 
-// Mine reports whether a request may look for room.
-func (q *Queue) Mine(place *Ticket) bool {
+// AtHead reports whether a request may look for room.
+func (q *Queue) AtHead(place *Waiter) bool {
 	q.mu.Lock()
 	defer q.mu.Unlock()
 	return slices.Contains(q.waiting[:min(tries, len(q.waiting))], place)
 }
 
-// Leave removes a request. Served says that it found room.
-func (q *Queue) Leave(place *Ticket, served bool, now time.Time) {
+// Remove removes a request. Served says that it found room.
+func (q *Queue) Remove(place *Waiter, served bool, now time.Time) {
 	q.mu.Lock()
 	defer q.mu.Unlock()
 	if at := slices.Index(q.waiting, place); at >= 0 {
--- a/parts/turns/turns_test.go
+++ b/parts/turns/turns_test.go
@@ -15,7 +15,7 @@
 // seconds, and counts what callers get.
 func play(q *turns.Queue, arrive, free time.Duration) (served, refused, vain int, longest time.Duration) {
 	type waiter struct {
-		place *turns.Ticket
+		place *turns.Waiter
 		since time.Time
 	}
 	var line []waiter
@@ -23,7 +23,7 @@
 	for now := start; now.Before(start.Add(10 * time.Second)); now = now.Add(time.Millisecond) {
 		if !now.Before(nextArrival) {
 			nextArrival = nextArrival.Add(arrive)
-			if place, _ := q.Join(0, time.Second); place != nil {
+			if place, _ := q.Enqueue(0, time.Second); place != nil {
 				line = append(line, waiter{place, now})
 			} else {
 				refused++
@@ -31,15 +31,15 @@
 		}
 		if !now.Before(nextRoom) {
 			nextRoom = nextRoom.Add(free)
-			if len(line) > 0 && q.Mine(line[0].place) {
-				q.Leave(line[0].place, true, now)
+			if len(line) > 0 && q.AtHead(line[0].place) {
+				q.Remove(line[0].place, true, now)
 				longest = max(longest, now.Sub(line[0].since))
 				served++
 				line = line[1:]
 			}
 		}
 		for len(line) > 0 && now.Sub(line[0].since) > time.Second {
-			q.Leave(line[0].place, false, now)
+			q.Remove(line[0].place, false, now)
 			vain++
 			line = line[1:]
 		}
@@ -79,17 +79,17 @@
 // than there is, and the next ones need not wait for it.
 func TestOrder(t *testing.T) {
 	q := &turns.Queue{}
-	large, _ := q.Join(1, time.Second)
-	small, _ := q.Join(1, time.Second)
-	urgent, _ := q.Join(0, time.Second)
-	qt.Assert(t, q.Mine(large), qt.IsTrue)
-	qt.Assert(t, q.Mine(small), qt.IsTrue)
-	qt.Assert(t, q.Mine(urgent), qt.IsTrue)
-	none, after := q.Join(0, time.Second)
+	large, _ := q.Enqueue(1, time.Second)
+	small, _ := q.Enqueue(1, time.Second)
+	urgent, _ := q.Enqueue(0, time.Second)
+	qt.Assert(t, q.AtHead(large), qt.IsTrue)
+	qt.Assert(t, q.AtHead(small), qt.IsTrue)
+	qt.Assert(t, q.AtHead(urgent), qt.IsTrue)
+	none, after := q.Enqueue(0, time.Second)
 	qt.Assert(t, none, qt.IsNil)
 	qt.Assert(t, after > 0, qt.IsTrue)
-	q.Leave(large, false, start)
-	last, _ := q.Join(0, time.Second)
-	qt.Assert(t, q.Mine(last), qt.IsTrue)
-	qt.Assert(t, q.Busy(), qt.IsTrue)
+	q.Remove(large, false, start)
+	last, _ := q.Enqueue(0, time.Second)
+	qt.Assert(t, q.AtHead(last), qt.IsTrue)
+	qt.Assert(t, q.HasWaiters(), qt.IsTrue)
 }
--- a/parts/view/enter.go
+++ b/parts/view/enter.go
@@ -1,6 +1,6 @@
 package view
 
-// Enter counts a request onto the backend servers that it is about to be
+// Acquire counts a request onto the backend servers that it is about to be
 // sent to, and reports whether all of them still take new work. After false
 // nothing is counted and the request has to choose again; after true the
 // request calls Leave with the same names once it is over.
@@ -13,11 +13,11 @@
 // a report reads the snapshot first and the counts second. Whichever of the
 // two comes first, either the report sees the count or the request sees the
 // stop.
-func (h *Holder) Enter(servers ...string) bool {
+func (h *Publisher) Acquire(servers ...string) bool {
 	h.count(1, servers)
 	snap := h.Load()
 	for _, name := range servers {
-		if _, out := snap.Out[name]; out {
+		if _, out := snap.Cordoned[name]; out {
 			h.count(-1, servers)
 			return false
 		}
@@ -25,12 +25,12 @@
 	return true
 }
 
-// Leave ends what Enter began.
-func (h *Holder) Leave(servers ...string) {
+// Release ends what Enter began.
+func (h *Publisher) Release(servers ...string) {
 	h.count(-1, servers)
 }
 
-func (h *Holder) count(change int64, servers []string) {
+func (h *Publisher) count(change int64, servers []string) {
 	snap := h.Load()
 	for _, name := range servers {
 		if m := snap.Meters[name]; m != nil {
@@ -43,9 +43,9 @@
 // no new work, and the configuration revision at which it was counted. It
 // reports false for a server that still gets work. The snapshot is read
 // before the count; see Enter.
-func (h *Holder) InFlight(server string) (count int64, revision uint64, out bool) {
+func (h *Publisher) InFlight(server string) (count int64, revision uint64, out bool) {
 	snap := h.Load()
-	if _, out = snap.Out[server]; !out || snap.Config == nil {
+	if _, out = snap.Cordoned[server]; !out || snap.Config == nil {
 		return 0, 0, false
 	}
 	if m := snap.Meters[server]; m != nil {
--- a/parts/view/enter_test.go
+++ b/parts/view/enter_test.go
@@ -12,7 +12,7 @@
 	"fuchsiashelf.dev/parts/view"
 )
 
-func holder(servers ...string) *view.Holder {
+func holder(servers ...string) *view.Publisher {
 	h := view.New("e1", "a")
 	h.Update(func(s *view.Snapshot) {
 		s.Config = &conf.Config{Revision: 1}
@@ -24,10 +24,10 @@
 	return h
 }
 
-func stop(h *view.Holder, server string) {
+func stop(h *view.Publisher, server string) {
 	h.Update(func(s *view.Snapshot) {
 		s.Config = &conf.Config{Revision: s.Config.Revision + 1}
-		s.Out = view.Edit(s.Out, func(m map[string]view.Reason) { m[server] = view.Stopping })
+		s.Cordoned = view.Edit(s.Cordoned, func(m map[string]view.Reason) { m[server] = view.Stopping })
 	})
 }
 
@@ -37,13 +37,13 @@
 func TestEnterAfterStop(t *testing.T) {
 	c := quicktest.New(t)
 	h := holder("a1", "a2")
-	c.Assert(h.Enter("a1", "a2"), quicktest.IsTrue)
+	c.Assert(h.Acquire("a1", "a2"), quicktest.IsTrue)
 	stop(h, "a2")
 	count, revision, out := h.InFlight("a2")
 	c.Assert([]any{count, revision, out}, quicktest.DeepEquals, []any{int64(1), uint64(2), true})
-	c.Assert(h.Enter("a1", "a2"), quicktest.IsFalse)
-	c.Assert(h.Enter("a1"), quicktest.IsTrue)
-	h.Leave("a1", "a2")
+	c.Assert(h.Acquire("a1", "a2"), quicktest.IsFalse)
+	c.Assert(h.Acquire("a1"), quicktest.IsTrue)
+	h.Release("a1", "a2")
 	count, _, _ = h.InFlight("a2")
 	c.Assert(count, quicktest.Equals, int64(0))
 	_, _, out = h.InFlight("a1")
@@ -63,11 +63,11 @@
 		var all sync.WaitGroup
 		for range threads {
 			all.Go(func() {
-				for h.Enter("a1") {
+				for h.Acquire("a1") {
 					if safe.Load() {
 						late.Add(1)
 					}
-					h.Leave("a1")
+					h.Release("a1")
 				}
 			})
 		}
--- a/parts/view/out.go
+++ b/parts/view/out.go
@@ -7,46 +7,46 @@
 
 // sources are the reasons in the order in which they are told: a server that
 // several sources take out is listed under the first of them.
-var sources = []Reason{HostLeaving, Stopping, Refusing, PeerWord}
+var sources = []Reason{HostLeaving, Stopping, Refusing, PeerReported}
 
-// SetOut replaces the servers that one source takes out, for use within
+// SetCordoned replaces the servers that one source takes out, for use within
 // Update. A server stays out until the last source lets it in again: if one
 // source could clear what another has set, a server that is leaving would get
 // new work as soon as a late host list still calls it live.
-func (s *Snapshot) SetOut(source Reason, servers map[string]bool) {
-	if maps.Equal(s.Outs[source], servers) {
+func (s *Snapshot) SetCordoned(source Reason, servers map[string]bool) {
+	if maps.Equal(s.CordonedBy[source], servers) {
 		return
 	}
-	s.Outs = Edit(s.Outs, func(m map[Reason]map[string]bool) { m[source] = maps.Clone(servers) })
+	s.CordonedBy = Edit(s.CordonedBy, func(m map[Reason]map[string]bool) { m[source] = maps.Clone(servers) })
 	merged := map[string]Reason{}
 	for _, reason := range sources {
-		for name := range s.Outs[reason] {
+		for name := range s.CordonedBy[reason] {
 			if _, known := merged[name]; !known {
 				merged[name] = reason
 			}
 		}
 	}
-	s.Out = merged
+	s.Cordoned = merged
 }
 
-// MarkOut takes one server out for one source, for use within Update.
-func (s *Snapshot) MarkOut(source Reason, server string) {
-	s.SetOut(source, Edit(s.Outs[source], func(m map[string]bool) { m[server] = true }))
+// Cordon takes one server out for one source, for use within Update.
+func (s *Snapshot) Cordon(source Reason, server string) {
+	s.SetCordoned(source, Edit(s.CordonedBy[source], func(m map[string]bool) { m[server] = true }))
 }
 
-// ClearOut ends what MarkOut began.
-func (s *Snapshot) ClearOut(source Reason, server string) {
-	s.SetOut(source, Edit(s.Outs[source], func(m map[string]bool) { delete(m, server) }))
+// Uncordon ends what MarkOut began.
+func (s *Snapshot) Uncordon(source Reason, server string) {
+	s.SetCordoned(source, Edit(s.CordonedBy[source], func(m map[string]bool) { delete(m, server) }))
 }
 
 // Suspect has a server avoided until a time, or longer if it is already, for
 // use within Update. What is over is dropped, so that the request path looks
 // at nothing while all servers are well.
 func (s *Snapshot) Suspect(server string, until, now time.Time) {
-	if !until.After(s.Suspects[server]) {
+	if !until.After(s.SuspectedServers[server]) {
 		return
 	}
-	s.Suspects = Edit(s.Suspects, func(m map[string]time.Time) {
+	s.SuspectedServers = Edit(s.SuspectedServers, func(m map[string]time.Time) {
 		maps.DeleteFunc(m, func(_ string, end time.Time) bool { return !now.Before(end) })
 		m[server] = until
 	})
--- a/parts/view/out_test.go
+++ b/parts/view/out_test.go
@@ -15,13 +15,13 @@
 func TestOutIsUnion(t *testing.T) {
 	c := quicktest.New(t)
 	h := New("e1", "a")
-	h.Update(func(s *Snapshot) { s.MarkOut(Refusing, "a1") })
-	h.Update(func(s *Snapshot) { s.SetOut(HostLeaving, map[string]bool{"a1": true, "a2": true}) })
-	c.Assert(h.Load().Out, quicktest.DeepEquals, map[string]Reason{"a1": HostLeaving, "a2": HostLeaving})
-	h.Update(func(s *Snapshot) { s.SetOut(HostLeaving, nil) })
-	c.Assert(h.Load().Out, quicktest.DeepEquals, map[string]Reason{"a1": Refusing})
-	h.Update(func(s *Snapshot) { s.ClearOut(Refusing, "a1") })
-	c.Assert(h.Load().Out, quicktest.HasLen, 0)
+	h.Update(func(s *Snapshot) { s.Cordon(Refusing, "a1") })
+	h.Update(func(s *Snapshot) { s.SetCordoned(HostLeaving, map[string]bool{"a1": true, "a2": true}) })
+	c.Assert(h.Load().Cordoned, quicktest.DeepEquals, map[string]Reason{"a1": HostLeaving, "a2": HostLeaving})
+	h.Update(func(s *Snapshot) { s.SetCordoned(HostLeaving, nil) })
+	c.Assert(h.Load().Cordoned, quicktest.DeepEquals, map[string]Reason{"a1": Refusing})
+	h.Update(func(s *Snapshot) { s.Uncordon(Refusing, "a1") })
+	c.Assert(h.Load().Cordoned, quicktest.HasLen, 0)
 }
 
 // A server that is suspected twice is avoided for the longer of the two, and
@@ -34,10 +34,10 @@
 	before := h.Load()
 	h.Update(func(s *Snapshot) { s.Suspect("a1", at(5), at(1)) })
 	h.Update(func(s *Snapshot) { s.Suspect("a2", at(20), at(2)) })
-	c.Assert(h.Load().Suspects, quicktest.DeepEquals, map[string]time.Time{"a1": at(10), "a2": at(20)})
+	c.Assert(h.Load().SuspectedServers, quicktest.DeepEquals, map[string]time.Time{"a1": at(10), "a2": at(20)})
 	h.Update(func(s *Snapshot) { s.Suspect("a3", at(30), at(10)) })
-	c.Assert(h.Load().Suspects, quicktest.DeepEquals, map[string]time.Time{"a2": at(20), "a3": at(30)})
-	c.Assert(before.Suspects, quicktest.HasLen, 1)
+	c.Assert(h.Load().SuspectedServers, quicktest.DeepEquals, map[string]time.Time{"a2": at(20), "a3": at(30)})
+	c.Assert(before.SuspectedServers, quicktest.HasLen, 1)
 }
 
 func TestEpoch(t *testing.T) {
@@ -45,8 +45,8 @@
 	h := New("e1", "a")
 	h.Update(func(s *Snapshot) { s.Hosts = map[string]host.Host{"a1": {Name: "a1"}} })
 	first := h.Load().Epoch
-	h.Update(func(s *Snapshot) { s.SetOut(Stopping, map[string]bool{}) })
+	h.Update(func(s *Snapshot) { s.SetCordoned(Stopping, map[string]bool{}) })
 	c.Assert(h.Load().Epoch, quicktest.Equals, first)
-	h.Update(func(s *Snapshot) { s.MarkOut(Stopping, "a1") })
+	h.Update(func(s *Snapshot) { s.Cordon(Stopping, "a1") })
 	c.Assert(h.Load().Epoch, quicktest.Equals, first+1)
 }
--- a/parts/view/view.go
+++ b/parts/view/view.go
@@ -31,8 +31,8 @@
 	Stopping Reason = "stopping"
 	// Refusing: the server itself has answered that it is leaving.
 	Refusing Reason = "refusing"
-	// PeerWord: another entry has said that the server is leaving.
-	PeerWord Reason = "peer-word"
+	// PeerReported: another entry has said that the server is leaving.
+	PeerReported Reason = "peer-word"
 )
 
 // Peer is another entry host as this one sees it.
@@ -62,29 +62,29 @@
 	// Config is the configuration in force; nil before the first one.
 	Config *conf.Config
 	// Teams is the book of teams; nil before the first one.
-	Teams *team.Book
+	Teams *team.Directory
 	// Hosts is the host list by name.
 	Hosts map[string]host.Host
 	// HostsRevision is the revision of the host list.
 	HostsRevision uint64
-	// Out holds the backend servers that get no new work: the union of Outs.
-	Out map[string]Reason
-	// Outs holds the same by source. Change it with SetOut, MarkOut and
+	// Cordoned holds the backend servers that get no new work: the union of Outs.
+	Cordoned map[string]Reason
+	// CordonedBy holds the same by source. Change it with SetOut, MarkOut and
 	// ClearOut only, which keep Out in step.
-	Outs map[Reason]map[string]bool
+	CordonedBy map[Reason]map[string]bool
 	// Epoch grows whenever Config, Hosts or Out is replaced, so that what is
 	// derived from these can be kept until it does.
 	Epoch uint64
-	// Suspects holds backend servers that failed lately, with the time until
+	// SuspectedServers holds backend servers that failed lately, with the time until
 	// which they are avoided.
-	Suspects map[string]time.Time
-	// Poison holds fingerprints of requests that are known to crash backend
+	SuspectedServers map[string]time.Time
+	// PoisonedRequests holds fingerprints of requests that are known to crash backend
 	// servers, with the time until which they are refused.
-	Poison map[string]time.Time
-	// Suspected holds fingerprints of requests that ran on a backend server
+	PoisonedRequests map[string]time.Time
+	// SuspectedRequests holds fingerprints of requests that ran on a backend server
 	// when it died and are neither cleared nor convicted, with the time until
 	// which that is believed.
-	Suspected map[string]time.Time
+	SuspectedRequests map[string]time.Time
 	// Peers holds the other entry hosts by name.
 	Peers map[string]Peer
 	// Meters holds the figures of each backend server. The map is replaced
@@ -92,48 +92,48 @@
 	Meters map[string]*server.Meter
 }
 
-// Holder publishes snapshots. Make one with New.
-type Holder struct {
+// Publisher publishes snapshots. Make one with New.
+type Publisher struct {
 	mu      sync.Mutex
 	current atomic.Pointer[Snapshot]
 	changed atomic.Pointer[chan struct{}]
 }
 
 // New returns a holder with an empty snapshot for the given entry host.
-func New(self string, in domain.Name) *Holder {
-	h := &Holder{}
+func New(self string, in domain.Name) *Publisher {
+	h := &Publisher{}
 	wake := make(chan struct{})
 	h.changed.Store(&wake)
 	h.current.Store(&Snapshot{
-		Self:     self,
-		Domain:   in,
-		Hosts:    map[string]host.Host{},
-		Out:      map[string]Reason{},
-		Outs:     map[Reason]map[string]bool{},
-		Suspects: map[string]time.Time{},
-		Poison:   map[string]time.Time{},
-		Peers:    map[string]Peer{},
-		Meters:   map[string]*server.Meter{},
+		Self:             self,
+		Domain:           in,
+		Hosts:            map[string]host.Host{},
+		Cordoned:         map[string]Reason{},
+		CordonedBy:       map[Reason]map[string]bool{},
+		SuspectedServers: map[string]time.Time{},
+		PoisonedRequests: map[string]time.Time{},
+		Peers:            map[string]Peer{},
+		Meters:           map[string]*server.Meter{},
 	})
 	return h
 }
 
 // Load returns the current snapshot. It is never nil.
-func (h *Holder) Load() *Snapshot {
+func (h *Publisher) Load() *Snapshot {
 	return h.current.Load()
 }
 
 // Update publishes a changed copy of the snapshot. The function gets a
 // shallow copy: it replaces maps (see Edit), and never writes into a map that
 // it found there, since readers may hold it.
-func (h *Holder) Update(change func(*Snapshot)) {
+func (h *Publisher) Update(change func(*Snapshot)) {
 	h.mu.Lock()
 	defer h.mu.Unlock()
 	old := h.current.Load()
 	next := *old
 	change(&next)
 	next.addMeters()
-	if next.Config != old.Config || !same(next.Hosts, old.Hosts) || !same(next.Out, old.Out) {
+	if next.Config != old.Config || !same(next.Hosts, old.Hosts) || !same(next.Cordoned, old.Cordoned) {
 		next.Epoch = old.Epoch + 1
 	}
 	h.current.Store(&next)
@@ -143,7 +143,7 @@
 
 // Changed returns a channel that is closed at the next change. Call it before
 // Load to miss nothing.
-func (h *Holder) Changed() <-chan struct{} {
+func (h *Publisher) Changed() <-chan struct{} {
 	return *h.changed.Load()
 }
 
--- a/sess/claims_test.go
+++ b/sess/claims_test.go
@@ -46,7 +46,7 @@
 	// earlier calls are written behind, into other shards.
 	"claimfault": command("claimfault", func(s *session, a []string) (string, error) {
 		team, id, _ := strings.Cut(a[1], "/")
-		return "", s.Fault(procs.StoreName, a[0], claim.ObjectKey(claim.KeyOf(team, id).Shard()), 1)
+		return "", s.InjectFault(procs.StoreName, a[0], claim.ObjectKey(claim.KeyOf(team, id).Shard()), 1)
 	}),
 	// limit TEAM RATE BURST: changes what a team may send.
 	"limit": command("limit", func(s *session, a []string) (string, error) { return "", s.limit(a[0], a[1], a[2]) }),
@@ -61,7 +61,7 @@
 		if err != nil {
 			return "connection lost\n", nil
 		}
-		var p procs.Problem
+		var p procs.ErrorBody
 		_ = json.Unmarshal([]byte(reply.Body), &p)
 		return fmt.Sprintf("%d %s %s\n", reply.Status, reply.Verdict, p.Code), nil
 	}),
@@ -125,18 +125,18 @@
 	if err != nil {
 		return err
 	}
-	client := &store.Client{Address: p.At["serve"]}
+	client := &store.Client{Address: p.Addresses["serve"]}
 	o, err := client.Get(context.Background(), conf.TeamsKey)
 	if err != nil {
 		return err
 	}
-	var book team.Book
+	var book team.Directory
 	if err := json.Unmarshal(o.Value, &book); err != nil {
 		return err
 	}
 	for i := range book.Teams {
 		if book.Teams[i].Name == name {
-			if _, err := fmt.Sscan(rate+" "+burst, &book.Teams[i].Deal.Rate, &book.Teams[i].Deal.Burst); err != nil {
+			if _, err := fmt.Sscan(rate+" "+burst, &book.Teams[i].Quota.Rate, &book.Teams[i].Quota.Burst); err != nil {
 				return err
 			}
 		}
--- a/sess/cmd/bench/control.go
+++ b/sess/cmd/bench/control.go
@@ -15,7 +15,7 @@
 // first seconds of a fleet cost several times what comes after, so that a line
 // through smaller ones, measured early, is far off.
 func (b *bench) control() error {
-	file, err := procs.In(b.bin)("peers")
+	file, err := procs.ProgramsIn(b.bin)("peers")
 	if err != nil {
 		return err
 	}
--- a/sess/cmd/bench/cores.go
+++ b/sess/cmd/bench/cores.go
@@ -14,7 +14,7 @@
 // own processes and by all. It shows whether the machine, and not the
 // engines' time, was what bound.
 type usage struct {
-	world *procs.World
+	world *procs.Cluster
 	at    time.Time
 	own   map[string]float64
 	idle  float64
@@ -23,7 +23,7 @@
 // ticksPerSecond is the unit of processor time in /proc.
 const ticksPerSecond = 100
 
-func measure(w *procs.World) *usage {
+func measure(w *procs.Cluster) *usage {
 	u := &usage{world: w, at: time.Now(), own: map[string]float64{}, idle: idleSeconds()}
 	for _, p := range w.All() {
 		u.own[p.Name] = cpuSeconds(p.PID())
--- a/sess/cmd/bench/cost.go
+++ b/sess/cmd/bench/cost.go
@@ -27,7 +27,7 @@
 // open prints the memory that an open stream takes in an entry host. The
 // engines are so slow that no stream ends meanwhile.
 func (b *bench) open() error {
-	return b.in(func(w *procs.World) error {
+	return b.in(func(w *procs.Cluster) error {
 		r := even()
 		for i := range r.engines {
 			r.engines[i].step, r.engines[i].atOnce = 300*time.Millisecond, 100
@@ -53,7 +53,7 @@
 			done <- err
 		}()
 		time.Sleep(5 * time.Second)
-		page, err := metricsOf(p.At["ops"])
+		page, err := metricsOf(p.Addresses["ops"])
 		if err != nil {
 			return err
 		}
@@ -71,7 +71,7 @@
 func (b *bench) idle() error {
 	fmt.Printf("%-8s %12s %12s %12s\n", "entries", "core %", "MB resident", "store calls/s")
 	for _, n := range []int{1, 4, 16} {
-		err := b.in(func(w *procs.World) error {
+		err := b.in(func(w *procs.Cluster) error {
 			if err := even().start(w, "cantata"); err != nil {
 				return err
 			}
@@ -90,7 +90,7 @@
 	return nil
 }
 
-func idleOf(w *procs.World, n int) error {
+func idleOf(w *procs.Cluster, n int) error {
 	before, err := storeCalls(w)
 	if err != nil {
 		return err
@@ -115,7 +115,7 @@
 }
 
 // storeCalls returns how many calls the store has had.
-func storeCalls(w *procs.World) (int, error) {
+func storeCalls(w *procs.Cluster) (int, error) {
 	text, err := w.Control(procs.StoreName, "GET", "/counts", nil)
 	if err != nil {
 		return 0, err
@@ -158,7 +158,7 @@
 // loads with the same tokens a second in answers of different length give the
 // two slopes.
 func (b *bench) busy() error {
-	return b.in(func(w *procs.World) error {
+	return b.in(func(w *procs.Cluster) error {
 		r := even()
 		if err := r.start(w, "cantata"); err != nil {
 			return err
@@ -197,7 +197,7 @@
 		what, s.requests, s.tokens, s.cores, s.memory, s.open)
 }
 
-func (b *bench) spent(w *procs.World, size, rate string) (*spending, error) {
+func (b *bench) spent(w *procs.Cluster, size, rate string) (*spending, error) {
 	p, err := w.Get("busy")
 	if err != nil {
 		return nil, err
--- a/sess/cmd/bench/fair.go
+++ b/sess/cmd/bench/fair.go
@@ -19,7 +19,7 @@
 // fair measures what nine teams notice when a tenth sends ten times its
 // share.
 func (b *bench) fair() error {
-	return b.in(func(w *procs.World) error {
+	return b.in(func(w *procs.Cluster) error {
 		r := mixed(0)
 		var teams []string
 		for i := range fairTeams {
@@ -49,7 +49,7 @@
 
 // fairRun runs one load and returns the mean over the quiet teams of the 95th
 // percentile of their first token.
-func (b *bench) fairRun(w *procs.World, r *rig, hosts, teams []string, times int) (float64, error) {
+func (b *bench) fairRun(w *procs.Cluster, r *rig, hosts, teams []string, times int) (float64, error) {
 	loud := teams[len(teams)-1]
 	share := fairLoad * r.bound() / sizeMean / fairTeams
 	report, err := b.load(w, fmt.Sprintf("fair-%d", times), hosts,
--- a/sess/cmd/bench/load.go
+++ b/sess/cmd/bench/load.go
@@ -48,7 +48,7 @@
 var errWrong = errors.New("a caller got a wrong answer")
 
 // load runs fsload against entry hosts. The name is that of the time series.
-func (b *bench) load(w *procs.World, name string, hosts []string, args ...string) (*report, error) {
+func (b *bench) load(w *procs.Cluster, name string, hosts []string, args ...string) (*report, error) {
 	file, err := w.Path("fsload")
 	if err != nil {
 		return nil, err
@@ -59,7 +59,7 @@
 		if err != nil {
 			return nil, err
 		}
-		at = append(at, p.At["callers"])
+		at = append(at, p.Addresses["callers"])
 	}
 	all := append([]string{
 		"-entries", strings.Join(at, ","), "-service", service, "-layers", fmt.Sprint(layers),
--- a/sess/cmd/bench/main.go
+++ b/sess/cmd/bench/main.go
@@ -66,6 +66,6 @@
 }
 
 // in runs a function in a world of its own and ends its processes.
-func (b *bench) in(run func(w *procs.World) error) error {
-	return procs.Scratch(b.bin, run)
+func (b *bench) in(run func(w *procs.Cluster) error) error {
+	return procs.RunScratch(b.bin, run)
 }
--- a/sess/cmd/bench/recovery.go
+++ b/sess/cmd/bench/recovery.go
@@ -18,7 +18,7 @@
 	// victims are the processes that fail.
 	victims []string
 	// fault returns fsload's fault of one victim without its time.
-	fault func(w *procs.World, r *rig, victim string) (string, error)
+	fault func(w *procs.Cluster, r *rig, victim string) (string, error)
 	// lost are the engines that the pool has less afterwards.
 	lost []string
 	// callers is the share of callers whose entry host is lost. fsload goes
@@ -91,7 +91,7 @@
 // them. It returns the 95th percentile of the time to the next token of the
 // streams that the victim carried.
 func (b *bench) blow(blow blow) (p95 float64, err error) {
-	err = b.in(func(w *procs.World) error {
+	err = b.in(func(w *procs.Cluster) error {
 		r := even()
 		if err := r.start(w, "cantata"); err != nil {
 			return err
@@ -106,7 +106,7 @@
 	return p95, err
 }
 
-func (b *bench) strike(w *procs.World, r *rig, hosts []string, blow blow) (float64, error) {
+func (b *bench) strike(w *procs.Cluster, r *rig, hosts []string, blow blow) (float64, error) {
 	args := []string{
 		"-rate", streamRate, "-tokens", streamTokens, "-duration", streamEnd.String(), "-warm", warm.String(),
 	}
@@ -135,8 +135,8 @@
 }
 
 // signalled sends a signal to the victim's process.
-func signalled(name string) func(*procs.World, *rig, string) (string, error) {
-	return func(w *procs.World, _ *rig, victim string) (string, error) {
+func signalled(name string) func(*procs.Cluster, *rig, string) (string, error) {
+	return func(w *procs.Cluster, _ *rig, victim string) (string, error) {
 		p, err := w.Get(victim)
 		if err != nil {
 			return "", err
@@ -146,16 +146,16 @@
 }
 
 // outage takes the victim, the platform's store, down.
-func outage(w *procs.World, _ *rig, victim string) (string, error) {
+func outage(w *procs.Cluster, _ *rig, victim string) (string, error) {
 	p, err := w.Get(victim)
 	if err != nil {
 		return "", err
 	}
-	return p.At["control"] + " outage", nil
+	return p.Addresses["control"] + " outage", nil
 }
 
 // cut cuts all links from the victim to the next stage.
-func cut(w *procs.World, r *rig, victim string) (string, error) {
+func cut(w *procs.Cluster, r *rig, victim string) (string, error) {
 	p, err := w.Get(victim)
 	if err != nil {
 		return "", err
@@ -166,7 +166,7 @@
 			links = append(links, e.name+"=cut")
 		}
 	}
-	return fmt.Sprintf("%s link %s", p.At["control"], strings.Join(links, ",")), nil
+	return fmt.Sprintf("%s link %s", p.Addresses["control"], strings.Join(links, ",")), nil
 }
 
 // carried returns the times to the next token of the streams that the victim
@@ -215,14 +215,14 @@
 }
 
 // sum adds up a counter of the metrics pages of entry hosts.
-func sum(w *procs.World, hosts []string, counter string) (int, error) {
+func sum(w *procs.Cluster, hosts []string, counter string) (int, error) {
 	total := 0
 	for _, name := range hosts {
 		p, err := w.Get(name)
 		if err != nil {
 			return 0, err
 		}
-		page, err := metricsOf(p.At["ops"])
+		page, err := metricsOf(p.Addresses["ops"])
 		if err != nil {
 			return 0, err
 		}
--- a/sess/cmd/bench/rig.go
+++ b/sess/cmd/bench/rig.go
@@ -90,7 +90,7 @@
 			})
 		}
 	}
-	return p.Bound().Rate
+	return p.Capacity().Rate
 }
 
 func contains(list []string, name string) bool {
@@ -118,7 +118,7 @@
 }
 
 // start starts the store and the engines, and one entry host to configure.
-func (r *rig) start(w *procs.World, teams ...string) error {
+func (r *rig) start(w *procs.Cluster, teams ...string) error {
 	if err := w.StartStore(teams...); err != nil {
 		return err
 	}
@@ -147,10 +147,10 @@
 		"route service assist to pool lake",
 	} {
 		last := ""
-		err := procs.Until(line, func() bool {
+		err := procs.WaitFor(line, func() bool {
 			// A line whose first answer was partly or unknown is in force, and
 			// refused when it comes again.
-			last, _ = w.Desk("desk", line)
+			last, _ = w.RunDesk("desk", line)
 			return strings.Contains(last, "\ndone") || strings.Contains(last, "exists since")
 		})
 		if err != nil {
@@ -165,7 +165,7 @@
 const entriesPerPolicy = 4
 
 // entries starts entry hosts and returns their names.
-func entries(w *procs.World, prefix string, more ...string) ([]string, error) {
+func entries(w *procs.Cluster, prefix string, more ...string) ([]string, error) {
 	var names []string
 	var starts errgroup.Group
 	for i := range entriesPerPolicy {
--- a/sess/cmd/bench/throughput.go
+++ b/sess/cmd/bench/throughput.go
@@ -36,7 +36,7 @@
 func (b *bench) throughput() error {
 	var cells []cell
 	if b.quick {
-		return b.in(func(w *procs.World) error {
+		return b.in(func(w *procs.Cluster) error {
 			_, err := b.cells(w, mixed(0), []float64{1.3}, "")
 			return err
 		})
@@ -49,7 +49,7 @@
 		{0, loads, ""},
 		{2 * time.Second, []float64{0.95}, "lag+link"},
 	} {
-		err := b.in(func(w *procs.World) error {
+		err := b.in(func(w *procs.Cluster) error {
 			more, err := b.cells(w, mixed(c.lag), c.loads, c.what)
 			cells = append(cells, more...)
 			return err
@@ -64,7 +64,7 @@
 }
 
 // cells measures all policies on one rig.
-func (b *bench) cells(w *procs.World, r *rig, loads []float64, what string) ([]cell, error) {
+func (b *bench) cells(w *procs.Cluster, r *rig, loads []float64, what string) ([]cell, error) {
 	if err := r.start(w, "cantata"); err != nil {
 		return nil, err
 	}
@@ -103,7 +103,7 @@
 // in number, and goodput lags behind what is offered.
 const warm = 4 * time.Second
 
-func (b *bench) cellOf(w *procs.World, r *rig, hosts []string, c cell) (cell, error) {
+func (b *bench) cellOf(w *procs.Cluster, r *rig, hosts []string, c cell) (cell, error) {
 	bound := r.bound()
 	args := []string{
 		"-rate", fmt.Sprintf("%.3f", c.load*bound/sizeMean), "-tokens", sizes,
@@ -127,7 +127,7 @@
 		f.Refused, f.Failed+f.Lost+f.Wrong, entry, engines, idle)
 	if c.what == "lag+link" {
 		for _, e := range r.engines {
-			if err := w.Heal(e.name); err != nil {
+			if err := w.ClearFaults(e.name); err != nil {
 				return c, err
 			}
 		}
@@ -137,7 +137,7 @@
 
 // degrade makes the near links out of the fastest first server of domain a
 // twenty times slower in the middle of a run.
-func degrade(w *procs.World, r *rig, at time.Duration) []string {
+func degrade(w *procs.Cluster, r *rig, at time.Duration) []string {
 	const factor = 20
 	from := "a0-k6"
 	p, err := w.Get(from)
@@ -150,11 +150,11 @@
 			slow = append(slow, fmt.Sprintf("%s=%s", e.name, factor*r.near))
 		}
 	}
-	return []string{"-fault", fmt.Sprintf("%s %s link %s", at, p.At["control"], strings.Join(slow, ","))}
+	return []string{"-fault", fmt.Sprintf("%s %s link %s", at, p.Addresses["control"], strings.Join(slow, ","))}
 }
 
 // stop ends entry hosts and takes them off the host list.
-func stop(w *procs.World, hosts []string) error {
+func stop(w *procs.Cluster, hosts []string) error {
 	for _, name := range hosts {
 		p, err := w.Get(name)
 		if err != nil {
@@ -166,7 +166,7 @@
 		if _, err := p.Wait(); err != nil {
 			return err
 		}
-		if err := w.Unlist(name); err != nil {
+		if err := w.DeleteHost(name); err != nil {
 			return err
 		}
 	}
--- a/sess/cmd/demo/main.go
+++ b/sess/cmd/demo/main.go
@@ -29,7 +29,7 @@
 var errShown = errors.New("a step failed, see above")
 
 func run(bin string) error {
-	return procs.Scratch(bin, func(w *procs.World) error {
+	return procs.RunScratch(bin, func(w *procs.Cluster) error {
 		if err := start(w); err != nil {
 			return err
 		}
@@ -37,7 +37,7 @@
 	})
 }
 
-func start(w *procs.World) error {
+func start(w *procs.Cluster) error {
 	if err := w.StartStore("cantata"); err != nil {
 		return err
 	}
@@ -65,7 +65,7 @@
 	second = "entry-caxias-1"
 )
 
-func session(w *procs.World) error {
+func session(w *procs.Cluster) error {
 	for _, line := range []string{
 		"create service assist model lotus",
 		"create service booking path /booking repeat no",
@@ -98,10 +98,10 @@
 	return ask(w, second, "is there a ramp at the gate?")
 }
 
-func desk(w *procs.World, line string) error {
+func desk(w *procs.Cluster, line string) error {
 	out := ""
-	err := procs.Until(line, func() bool {
-		out, _ = w.Desk(first, line)
+	err := procs.WaitFor(line, func() bool {
+		out, _ = w.RunDesk(first, line)
 		return strings.Contains(out, "\ndone")
 	})
 	fmt.Print(out)
@@ -110,12 +110,12 @@
 
 const tokens = 8
 
-func ask(w *procs.World, entry, prompt string) error {
-	answer, err := w.Ask(entry, "cantata", "assist", prompt, tokens)
+func ask(w *procs.Cluster, entry, prompt string) error {
+	answer, err := w.Generate(entry, "cantata", "assist", prompt, tokens)
 	if err != nil {
 		return err
 	}
-	verdict := answer.Judge(prompt, layers, tokens)
+	verdict := answer.Check(prompt, layers, tokens)
 	fmt.Printf("ask %s: %q\n  %s\n  %s\n", entry, prompt, strings.Join(answer.Tokens, " "), verdict)
 	if !strings.HasPrefix(verdict, "whole") {
 		return errShown
@@ -123,7 +123,7 @@
 	return nil
 }
 
-func book(w *procs.World) error {
+func book(w *procs.Cluster) error {
 	reply, err := w.Call(second, "cantata", "POST", "/booking/seats?row=4", "seat-41", "two seats")
 	if err != nil {
 		return err
--- a/sess/cmd/inforce/bench.go
+++ b/sess/cmd/inforce/bench.go
@@ -13,7 +13,7 @@
 
 // bench sends lines and watches what the entry hosts have in force.
 type bench struct {
-	*procs.World
+	*procs.Cluster
 	lines  int
 	serial int
 }
@@ -28,8 +28,8 @@
 // send has the first entry host carry out a line.
 func (b *bench) send(line string) error {
 	var out string
-	err := procs.Until(line, func() bool {
-		out, _ = b.Desk("e1", line)
+	err := procs.WaitFor(line, func() bool {
+		out, _ = b.RunDesk("e1", line)
 		return strings.Contains(out, "\ndone") || strings.Contains(out, "\npartly")
 	})
 	if err != nil {
@@ -76,12 +76,12 @@
 		if err != nil {
 			return nil, err
 		}
-		if err := b.Fault(procs.StoreName, "hold", "config/desk", 0); err != nil {
+		if err := b.InjectFault(procs.StoreName, "hold", "config/desk", 0); err != nil {
 			return nil, err
 		}
 		sent := make(chan error, 1)
 		go func() { sent <- b.send(b.next()) }()
-		err = procs.Until("held", func() bool {
+		err = procs.WaitFor("held", func() bool {
 			counts, _ := b.Control(procs.StoreName, "GET", "/counts", nil)
 			return strings.Contains(counts, fmt.Sprintf(`"held":%d`, i+1))
 		})
@@ -89,7 +89,7 @@
 			return nil, err
 		}
 		began := time.Now()
-		if err := b.Fault(procs.StoreName, "outage", "", 0); err != nil {
+		if err := b.InjectFault(procs.StoreName, "outage", "", 0); err != nil {
 			return nil, err
 		}
 		if err := b.await(before + 1); err != nil {
@@ -99,7 +99,7 @@
 		if err := <-sent; err != nil {
 			return nil, err
 		}
-		if err := b.Heal(procs.StoreName); err != nil {
+		if err := b.ClearFaults(procs.StoreName); err != nil {
 			return nil, err
 		}
 		time.Sleep(wellWait)
@@ -112,12 +112,12 @@
 	var took []time.Duration
 	for range max(1, b.lines/4) {
 		began := time.Now()
-		if err := b.List("p2", "a", host.Leaving); err != nil {
+		if err := b.SetHost("p2", "a", host.Leaving); err != nil {
 			return nil, err
 		}
 		for _, name := range entries {
-			err := procs.Until(name+" has p2 out", func() bool {
-				out, _ := b.Desk(name, "show servers")
+			err := procs.WaitFor(name+" has p2 out", func() bool {
+				out, _ := b.RunDesk(name, "show servers")
 				return strings.Contains(out, "pools [books] host-leaving") || strings.Contains(out, "pools [books] peer-word")
 			})
 			if err != nil {
@@ -125,7 +125,7 @@
 			}
 		}
 		took = append(took, time.Since(began))
-		if err := b.List("p2", "a", host.Live); err != nil {
+		if err := b.SetHost("p2", "a", host.Live); err != nil {
 			return nil, err
 		}
 		time.Sleep(wellWait)
@@ -160,7 +160,7 @@
 	if err != nil {
 		return 0, err
 	}
-	page, err := procs.Fetch("http://" + p.At["ops"] + "/metrics")
+	page, err := procs.Fetch("http://" + p.Addresses["ops"] + "/metrics")
 	if err != nil {
 		return 0, err
 	}
--- a/sess/cmd/inforce/main.go
+++ b/sess/cmd/inforce/main.go
@@ -28,16 +28,16 @@
 var entries = []string{"e1", "e2", "e3", "e4"}
 
 func run(bin string, lines int) error {
-	return procs.Scratch(bin, func(w *procs.World) error {
+	return procs.RunScratch(bin, func(w *procs.Cluster) error {
 		if err := start(w); err != nil {
 			return err
 		}
-		b := &bench{World: w, lines: lines}
+		b := &bench{Cluster: w, lines: lines}
 		return b.all()
 	})
 }
 
-func start(w *procs.World) error {
+func start(w *procs.Cluster) error {
 	if err := w.StartStore("cantata"); err != nil {
 		return err
 	}
@@ -51,7 +51,7 @@
 			return err
 		}
 	}
-	b := &bench{World: w}
+	b := &bench{Cluster: w}
 	if err := b.send("create pool books servers p1 p2"); err != nil {
 		return err
 	}
@@ -72,9 +72,9 @@
 		set  func() error
 	}{
 		{"store-up", func() error { return nil }},
-		{"store-slow-500ms", func() error { return b.Fault(procs.StoreName, "slow", "500ms", 0) }},
-		{"watches-cut", func() error { return b.Fault(procs.StoreName, "break", "", 0) }},
-		{"one-cut-off", func() error { return b.Fault(procs.StoreName, "cut", "e4", 0) }},
+		{"store-slow-500ms", func() error { return b.InjectFault(procs.StoreName, "slow", "500ms", 0) }},
+		{"watches-cut", func() error { return b.InjectFault(procs.StoreName, "break", "", 0) }},
+		{"one-cut-off", func() error { return b.InjectFault(procs.StoreName, "cut", "e4", 0) }},
 	} {
 		if err := state.set(); err != nil {
 			return err
@@ -84,7 +84,7 @@
 			return fmt.Errorf("%s: %w", state.name, err)
 		}
 		print("in-force-"+state.name, took)
-		if err := b.Heal(procs.StoreName); err != nil {
+		if err := b.ClearFaults(procs.StoreName); err != nil {
 			return err
 		}
 		time.Sleep(wellWait)
--- a/sess/cmd/peers/fleet.go
+++ b/sess/cmd/peers/fleet.go
@@ -107,7 +107,7 @@
 			Name: fmt.Sprintf("entry-%d", i), Address: listener.Addr().String(),
 			Domain: domain.Name(fmt.Sprintf("domain-%d", i%domains)), Secret: secret, TLS: f.client,
 			Hosts: func() map[string]host.Host { return f.hosts },
-			Own:   m.own, On: m.on, Trace: &trace.Line{},
+			Local: m.own, OnEvent: m.on, Trace: &trace.Recorder{},
 		}
 		f.hosts[m.Name] = host.Host{Name: m.Name, Address: m.Address, Domain: m.Domain, Role: host.Entry, State: host.Live}
 		f.nodes = append(f.nodes, m)
@@ -115,8 +115,8 @@
 	return f, nil
 }
 
-func (m *member) own() peer.Own {
-	own := peer.Own{Revision: m.revision.Load(), Usages: make([]peer.Usage, teams)}
+func (m *member) own() peer.LocalState {
+	own := peer.LocalState{Revision: m.revision.Load(), Usages: make([]peer.Usage, teams)}
 	for i := range own.Usages {
 		own.Usages[i] = peer.Usage{Team: fmt.Sprintf("team-%d", i), Rate: 7.25}
 	}
@@ -126,7 +126,7 @@
 // on takes a newer revision at once, as a daemon does after it has fetched
 // the configuration.
 func (m *member) on(e peer.Event) {
-	newer, ok := e.(peer.Newer)
+	newer, ok := e.(peer.NewerConfig)
 	if !ok {
 		return
 	}
@@ -136,7 +136,7 @@
 			return
 		}
 		if m.revision.CompareAndSwap(old, newer.Revision) {
-			m.Wake()
+			m.TriggerRound()
 			return
 		}
 	}
@@ -198,7 +198,7 @@
 		return p, err
 	}
 	f.nodes[n-1].revision.Store(1)
-	f.nodes[n-1].Wake()
+	f.nodes[n-1].TriggerRound()
 	p.revision, err = f.until(func(m *member) bool { return m.revision.Load() == 1 })
 	return p, err
 }
--- a/sess/command_test.go
+++ b/sess/command_test.go
@@ -20,7 +20,7 @@
 
 // session is the state of one script.
 type session struct {
-	*procs.World
+	*procs.Cluster
 	// transcript is what the script's commands printed.
 	transcript strings.Builder
 	jobs       map[string]*job
@@ -84,16 +84,16 @@
 	}),
 	// list NAME DOMAIN live|leaving, unlist NAME
 	"list": command("list", func(s *session, a []string) (string, error) {
-		return "", s.List(a[0], domain.Name(a[1]), host.State(a[2]))
+		return "", s.SetHost(a[0], domain.Name(a[1]), host.State(a[2]))
 	}),
-	"unlist": command("unlist", func(s *session, a []string) (string, error) { return "", s.Unlist(a[0]) }),
+	"unlist": command("unlist", func(s *session, a []string) (string, error) { return "", s.DeleteHost(a[0]) }),
 	// fault NAME KIND [VALUE [COUNT]], heal NAME
 	"fault": command("fault", func(s *session, a []string) (string, error) {
 		a = append(a, "", "0")
 		count, _ := strconv.Atoi(a[3])
-		return "", s.Fault(a[0], a[1], a[2], count)
+		return "", s.InjectFault(a[0], a[1], a[2], count)
 	}),
-	"heal": command("heal", func(s *session, a []string) (string, error) { return "", s.Heal(a[0]) }),
+	"heal": command("heal", func(s *session, a []string) (string, error) { return "", s.ClearFaults(a[0]) }),
 	// signal NAME KILL|STOP|CONT|TERM
 	"signal": command("signal", func(s *session, a []string) (string, error) { return "", s.signal(a[0], a[1]) }),
 	// exited NAME: waits until the process has ended, prints its status.
@@ -107,7 +107,7 @@
 	}),
 	// desk ENTRY LINE...: prints what fsdesk prints.
 	"desk": command("desk", func(s *session, a []string) (string, error) {
-		return s.Desk(a[0], a[1:]...)
+		return s.RunDesk(a[0], a[1:]...)
 	}),
 	// ask ENTRY TEAM PROMPT MAX: sends a model request, prints its outcome.
 	"ask": command("ask", func(s *session, a []string) (string, error) { return s.ask(a) }),
@@ -138,7 +138,7 @@
 			return "", err
 		}
 		last := ""
-		err = procs.Until(strings.Join(a, " "), func() bool {
+		err = procs.WaitFor(strings.Join(a, " "), func() bool {
 			last, _ = s.run(a[1:])
 			return pattern.MatchString(last)
 		})
@@ -193,7 +193,7 @@
 // rename replaces what varies from run to run.
 func (s *session) rename(out string) string {
 	for _, p := range s.All() {
-		for kind, address := range p.At {
+		for kind, address := range p.Addresses {
 			out = strings.ReplaceAll(out, address, p.Name+"-"+kind)
 		}
 	}
@@ -242,8 +242,8 @@
 		"route service notes to pool books",
 	} {
 		var out string
-		err := procs.Until(line, func() bool {
-			out, _ = s.Desk("e1", line)
+		err := procs.WaitFor(line, func() bool {
+			out, _ = s.RunDesk("e1", line)
 			// A line that an entry host was too slow to confirm is accepted
 			// all the same, and cannot be accepted twice.
 			return strings.Contains(out, "\ndone") || strings.Contains(out, "\npartly")
@@ -287,11 +287,11 @@
 	if err != nil {
 		return "", err
 	}
-	answer, err := s.Ask(a[0], a[1], "assist", a[2], max)
+	answer, err := s.Generate(a[0], a[1], "assist", a[2], max)
 	if err != nil {
 		return "connection lost\n", nil
 	}
-	return answer.Judge(a[2], townLayers, max) + "\n", nil
+	return answer.Check(a[2], townLayers, max) + "\n", nil
 }
 
 func (s *session) call(a []string) (string, error) {
@@ -312,7 +312,7 @@
 func (s *session) run(a []string) (string, error) {
 	switch a[0] {
 	case "desk":
-		return s.Desk(a[1], a[2:]...)
+		return s.RunDesk(a[1], a[2:]...)
 	case "ask":
 		return s.ask(a[1:])
 	case "call":
@@ -355,7 +355,7 @@
 
 // end ends the processes and fails the script if one of them raced.
 func (s *session) end(env *testscript.Env) {
-	if err := s.End(); err != nil {
+	if err := s.Stop(); err != nil {
 		env.T().Log("end:", err)
 	}
 	var once sync.Once
--- a/sess/desk_test.go
+++ b/sess/desk_test.go
@@ -18,13 +18,13 @@
 var deskCommands = map[string]func(ts *testscript.TestScript, neg bool, args []string){
 	// script ENTRY FILE [flags]: sends the lines of a file.
 	"script": command("script", func(s *session, a []string) (string, error) {
-		return s.Desk(a[0], append([]string{"-f", filepath.Join(s.Dir, a[1])}, a[2:]...)...)
+		return s.RunDesk(a[0], append([]string{"-f", filepath.Join(s.Dir, a[1])}, a[2:]...)...)
 	}),
 	// stored: prints the revision that the store holds.
 	"stored": command("stored", func(s *session, _ []string) (string, error) { return s.stored() }),
 	// untilstored REVISION: waits until the store holds it.
 	"untilstored": quiet(func(s *session, a []string) (string, error) {
-		return "", procs.Until("store holds "+a[0], func() bool {
+		return "", procs.WaitFor("store holds "+a[0], func() bool {
 			out, _ := s.stored()
 			return out == "revision "+a[0]+"\n"
 		})
@@ -60,7 +60,7 @@
 			if err != nil {
 				return "", err
 			}
-			seeds = append(seeds, p.At["peers"])
+			seeds = append(seeds, p.Addresses["peers"])
 		}
 		_, err := s.Restart(a[0], "-seeds", strings.Join(seeds, ","))
 		return "", err
@@ -80,7 +80,7 @@
 	// watching ENTRY...: waits until the watches of these are up.
 	"watching": quiet(func(s *session, a []string) (string, error) {
 		for _, name := range a {
-			err := procs.Until(name+" watches", func() bool {
+			err := procs.WaitFor(name+" watches", func() bool {
 				age, err := s.metric(name, "watch.age_ms")
 				return err == nil && age == 0
 			})
@@ -93,7 +93,7 @@
 	// above ENTRY METRIC: waits until a counter of an entry host is above
 	// zero.
 	"above": quiet(func(s *session, a []string) (string, error) {
-		return "", procs.Until(a[1]+" of "+a[0]+" above zero", func() bool {
+		return "", procs.WaitFor(a[1]+" of "+a[0]+" above zero", func() bool {
 			n, err := s.metric(a[0], a[1])
 			return err == nil && n > 0
 		})
@@ -105,7 +105,7 @@
 	if err != nil {
 		return "", err
 	}
-	value, err := procs.Fetch("http://" + p.At["serve"] + "/v1/objects/" + conf.Key)
+	value, err := procs.Fetch("http://" + p.Addresses["serve"] + "/v1/objects/" + conf.Key)
 	if err != nil {
 		return "", err
 	}
@@ -122,7 +122,7 @@
 	if err != nil {
 		return 0, err
 	}
-	page, err := procs.Fetch("http://" + p.At["ops"] + "/metrics")
+	page, err := procs.Fetch("http://" + p.Addresses["ops"] + "/metrics")
 	if err != nil {
 		return 0, err
 	}
--- a/sess/leave_test.go
+++ b/sess/leave_test.go
@@ -137,11 +137,11 @@
 
 // stream sends one model request and judges its answer.
 func (s *session) stream(entry, prompt string, max int) string {
-	answer, err := s.Ask(entry, townTeam, "assist", prompt, max)
+	answer, err := s.Generate(entry, townTeam, "assist", prompt, max)
 	if err != nil {
 		return "connection lost"
 	}
-	return answer.Judge(prompt, townLayers, max)
+	return answer.Check(prompt, townLayers, max)
 }
 
 func (s *session) flow(a []string) error {
--- a/sess/load_test.go
+++ b/sess/load_test.go
@@ -71,7 +71,7 @@
 		if err != nil {
 			return nil, err
 		}
-		entries = append(entries, p.At["callers"])
+		entries = append(entries, p.Addresses["callers"])
 	}
 	args := append([]string{"-entries", strings.Join(entries, ","), "-o", "json", "-warm", "0s"}, a[1:]...)
 	out, err := exec.Command(file, args...).Output()
--- a/sess/path_test.go
+++ b/sess/path_test.go
@@ -37,7 +37,7 @@
 		if err != nil {
 			return "", err
 		}
-		return "", s.AskAndLeave(a[0], a[1], "assist", a[2], max, tokens)
+		return "", s.GenerateAndDisconnect(a[0], a[1], "assist", a[2], max, tokens)
 	}),
 	// asks ENTRY TEAM PROMPT MAX TIMES: asks so often, prints each outcome
 	// once with how often it came.
@@ -49,8 +49,8 @@
 func (s *session) lines(entry string, words []string) error {
 	for line := range strings.SplitSeq(strings.Join(words, " "), " / ") {
 		var out string
-		err := procs.Until(line, func() bool {
-			out, _ = s.Desk(entry, line)
+		err := procs.WaitFor(line, func() bool {
+			out, _ = s.RunDesk(entry, line)
 			return strings.Contains(out, "\ndone") || strings.Contains(out, "\npartly")
 		})
 		if err != nil {
@@ -68,7 +68,7 @@
 	}
 	in := domain.Name(server[:1])
 	for index := range max {
-		if err := s.Fault(server, "diesat", strconv.Itoa(index), 0); err != nil {
+		if err := s.InjectFault(server, "diesat", strconv.Itoa(index), 0); err != nil {
 			return "", err
 		}
 		prompt := fmt.Sprintf("%s dies at %d", server, index)
@@ -78,7 +78,7 @@
 		if p, err = s.Restart(server); err != nil {
 			return "", err
 		}
-		if err := s.List(server, in, "live"); err != nil {
+		if err := s.SetHost(server, in, "live"); err != nil {
 			return "", err
 		}
 	}
@@ -86,16 +86,16 @@
 }
 
 // asksUntil asks until a process has ended, and wants each answer whole.
-func (s *session) asksUntil(p *procs.Proc, entry, prompt string, max int) error {
+func (s *session) asksUntil(p *procs.Process, entry, prompt string, max int) error {
 	want := fmt.Sprintf("whole, %d tokens", max)
 	var wrong error
-	err := procs.Until(p.Name+" ended", func() bool {
-		answer, err := s.Ask(entry, townTeam, "assist", prompt, max)
+	err := procs.WaitFor(p.Name+" ended", func() bool {
+		answer, err := s.Generate(entry, townTeam, "assist", prompt, max)
 		if err != nil {
 			wrong = err
 			return true
 		}
-		if got := answer.Judge(prompt, townLayers, max); got != want {
+		if got := answer.Check(prompt, townLayers, max); got != want {
 			wrong = fmt.Errorf("%s: %s: %+v", prompt, got, answer.Problem)
 			return true
 		}
@@ -126,7 +126,7 @@
 		counts[out]++
 	}
 	out := ""
-	for _, line := range procs.Sorted(counts) {
+	for _, line := range procs.SortedKeys(counts) {
 		out += fmt.Sprintf("%d times %s", counts[line], line)
 	}
 	return out, nil
--- a/sess/peers_test.go
+++ b/sess/peers_test.go
@@ -19,21 +19,21 @@
 
 var peerCommands = map[string]scriptFunc{
 	// cuttable: lets failure domains be cut off; comes before town.
-	"cuttable": command("cuttable", func(s *session, _ []string) (string, error) { s.Cuttable(); return "", nil }),
+	"cuttable": command("cuttable", func(s *session, _ []string) (string, error) { s.EnablePartitions(); return "", nil }),
 	// island DOMAIN: cuts a failure domain off from the others and the store;
 	// mainland ends it.
 	"island": command("island", func(s *session, a []string) (string, error) {
-		return "", s.Island(domain.Name(a[0]))
+		return "", s.Isolate(domain.Name(a[0]))
 	}),
 	// part DOMAIN: cuts a failure domain off from the others only.
 	"part": command("part", func(s *session, a []string) (string, error) {
-		s.Part(domain.Name(a[0]))
+		s.Partition(domain.Name(a[0]))
 		return "", nil
 	}),
 	// orders NAME: prints the orders that took effect on an engine, and by
 	// which pair of entry hosts each was given.
 	"orders":   command("orders", func(s *session, a []string) (string, error) { return s.orders(a[0]) }),
-	"mainland": command("mainland", func(s *session, _ []string) (string, error) { return "", s.Rejoin() }),
+	"mainland": command("mainland", func(s *session, _ []string) (string, error) { return "", s.Reconnect() }),
 	// crasher ENTRY TEAM PROMPT MAX: asks, and prints with the outcome whether
 	// the caller was told when to come back.
 	"crasher": command("crasher", func(s *session, a []string) (string, error) { return s.crasher(a) }),
@@ -53,11 +53,11 @@
 	if err != nil {
 		return "", err
 	}
-	answer, err := s.Ask(a[0], a[1], "assist", a[2], max)
+	answer, err := s.Generate(a[0], a[1], "assist", a[2], max)
 	if err != nil {
 		return "", err
 	}
-	out := answer.Judge(a[2], townLayers, max)
+	out := answer.Check(a[2], townLayers, max)
 	if p := answer.Problem; p != nil && p.Code == fault.Poisoned {
 		out += fmt.Sprintf(", come back later %v", p.RetryAfterMs > 0)
 	}
@@ -118,7 +118,7 @@
 		return out, nil
 	}
 	// Why an answer was given up is told by the time line alone.
-	events, _ := s.Desk("e1", "show", "timeline")
+	events, _ := s.RunDesk("e1", "show", "timeline")
 	for line := range strings.Lines(events) {
 		if strings.Contains(line, " relay ") || strings.Contains(line, " guard ") {
 			out += line
@@ -133,7 +133,7 @@
 	if err != nil {
 		return "", err
 	}
-	taken, err := (&engine.Client{}).Orders(context.Background(), p.At["serve"])
+	taken, err := (&engine.Client{}).Orders(context.Background(), p.Addresses["serve"])
 	out := ""
 	for _, order := range taken {
 		by := "a successor"
--- a/sess/procs/calls.go
+++ b/sess/procs/calls.go
@@ -64,13 +64,13 @@
 	// Count is the number of tokens that the end event stated.
 	Count int
 	// Problem is the error, if one came.
-	Problem *Problem
+	Problem *ErrorBody
 	// Cut says that the stream ended with neither an end nor an error.
 	Cut bool
 }
 
-// Problem is an error as a caller sees it.
-type Problem struct {
+// ErrorBody is an error as a caller sees it.
+type ErrorBody struct {
 	Code         fault.Code    `json:"code"`
 	Verdict      fault.Verdict `json:"verdict"`
 	Field        string        `json:"field"`
@@ -78,8 +78,8 @@
 	RetryAfterMs int64         `json:"retryAfterMs"`
 }
 
-// Ask sends a model request to an entry host.
-func (w *World) Ask(entry, team, service, prompt string, max int) (*Answer, error) {
+// Generate sends a model request to an entry host.
+func (w *Cluster) Generate(entry, team, service, prompt string, max int) (*Answer, error) {
 	resp, err := w.ask(context.Background(), entry, team, service, prompt, max)
 	if err != nil {
 		return nil, err
@@ -87,14 +87,14 @@
 	defer resp.Body.Close()
 	a := &Answer{Status: resp.StatusCode, Header: resp.Header}
 	if resp.StatusCode != http.StatusOK {
-		a.Problem = &Problem{}
+		a.Problem = &ErrorBody{}
 		return a, json.NewDecoder(resp.Body).Decode(a.Problem)
 	}
 	return a, a.read(resp.Body)
 }
 
-// AskAndLeave sends a model request and leaves after so many tokens.
-func (w *World) AskAndLeave(entry, team, service, prompt string, max, tokens int) error {
+// GenerateAndDisconnect sends a model request and leaves after so many tokens.
+func (w *Cluster) GenerateAndDisconnect(entry, team, service, prompt string, max, tokens int) error {
 	ctx, cancel := context.WithCancel(context.Background())
 	defer cancel()
 	resp, err := w.ask(ctx, entry, team, service, prompt, max)
@@ -113,7 +113,7 @@
 	return nil
 }
 
-func (w *World) ask(ctx context.Context, entry, team, service, prompt string, max int) (*http.Response, error) {
+func (w *Cluster) ask(ctx context.Context, entry, team, service, prompt string, max int) (*http.Response, error) {
 	p, err := w.Get(entry)
 	if err != nil {
 		return nil, err
@@ -122,7 +122,7 @@
 	if err != nil {
 		return nil, err
 	}
-	url := "http://" + p.At["callers"] + "/v1/generate"
+	url := "http://" + p.Addresses["callers"] + "/v1/generate"
 	req, err := http.NewRequestWithContext(ctx, http.MethodPost, url, bytes.NewReader(body))
 	if err != nil {
 		return nil, err
@@ -169,15 +169,15 @@
 		}
 		a.Ended, a.Count = true, e.Count
 	case "error":
-		a.Problem = &Problem{}
+		a.Problem = &ErrorBody{}
 		return json.Unmarshal(data, a.Problem)
 	}
 	return nil
 }
 
-// Judge compares an answer with the one that the layers give: whole, wrong,
+// Check compares an answer with the one that the layers give: whole, wrong,
 // cut, or the error.
-func (a *Answer) Judge(prompt string, layers, max int) string {
+func (a *Answer) Check(prompt string, layers, max int) string {
 	want := token.Answer(prompt, layers, max)
 	for i, got := range a.Tokens {
 		if i >= len(want) || got != want[i] || a.Indexes[i] != i {
@@ -204,12 +204,12 @@
 }
 
 // Call makes a call to a plain service through an entry host.
-func (w *World) Call(entry, team, method, uri, id, body string) (*Reply, error) {
+func (w *Cluster) Call(entry, team, method, uri, id, body string) (*Reply, error) {
 	p, err := w.Get(entry)
 	if err != nil {
 		return nil, err
 	}
-	req, err := http.NewRequest(method, "http://"+p.At["callers"]+uri, strings.NewReader(body))
+	req, err := http.NewRequest(method, "http://"+p.Addresses["callers"]+uri, strings.NewReader(body))
 	if err != nil {
 		return nil, err
 	}
@@ -234,9 +234,9 @@
 	}, nil
 }
 
-// Desk runs one line of the operators' language through fsdesk and returns
+// RunDesk runs one line of the operators' language through fsdesk and returns
 // what it printed. A status other than 0 is no error.
-func (w *World) Desk(entry string, line ...string) (string, error) {
+func (w *Cluster) RunDesk(entry string, line ...string) (string, error) {
 	p, err := w.Get(entry)
 	if err != nil {
 		return "", err
@@ -245,7 +245,7 @@
 	if err != nil {
 		return "", err
 	}
-	args := append([]string{"-entry", p.At["desk"], "-secret", DeskSecret}, line...)
+	args := append([]string{"-entry", p.Addresses["desk"], "-secret", DeskSecret}, line...)
 	cmd := exec.Command(file, args...)
 	cmd.Env = append(os.Environ(), w.Env...)
 	out, err := cmd.CombinedOutput()
@@ -258,8 +258,8 @@
 // readyTick is the pause between two looks at a condition.
 const readyTick = 20 * time.Millisecond
 
-// Until repeats a look until it is true, at most for a minute.
-func Until(what string, look func() bool) error {
+// WaitFor repeats a look until it is true, at most for a minute.
+func WaitFor(what string, look func() bool) error {
 	end := time.Now().Add(time.Minute)
 	for !look() {
 		if time.Now().After(end) {
@@ -271,13 +271,13 @@
 }
 
 // Ready waits until an entry host says that it is ready.
-func (w *World) Ready(entry string) error {
+func (w *Cluster) Ready(entry string) error {
 	p, err := w.Get(entry)
 	if err != nil {
 		return err
 	}
-	return Until(entry+" ready", func() bool {
-		_, err := do("GET", "http://"+p.At["callers"]+"/ready", nil)
+	return WaitFor(entry+" ready", func() bool {
+		_, err := do("GET", "http://"+p.Addresses["callers"]+"/ready", nil)
 		return err == nil
 	})
 }
--- a/sess/procs/certs.go
+++ b/sess/procs/certs.go
@@ -9,9 +9,9 @@
 // certsValid is how long the certificates of a session last.
 const certsValid = time.Hour
 
-// Secure gives the programs that start from now on certificates of a new
+// EnableTLS gives the programs that start from now on certificates of a new
 // authority.
-func (w *World) Secure() error {
+func (w *Cluster) EnableTLS() error {
 	authority, err := certs.NewAuthority(certsValid)
 	if err != nil {
 		return err
@@ -28,7 +28,7 @@
 	return nil
 }
 
-// Insecure lets the programs that start from now on have no certificates.
-func (w *World) Insecure() {
+// DisableTLS lets the programs that start from now on have no certificates.
+func (w *Cluster) DisableTLS() {
 	w.Env = nil
 }
--- a/sess/procs/procs.go
+++ b/sess/procs/procs.go
@@ -17,26 +17,26 @@
 	"time"
 )
 
-// Proc is one process.
-type Proc struct {
+// Process is one process.
+type Process struct {
 	// Name is the name of the host that the process plays.
 	Name string
 	// Program is the file name of the program.
 	Program string
 	// Args are its arguments; the first is the role of a stand-in.
 	Args []string
-	// At holds the addresses that it listens on, by kind: serve and control
+	// Addresses holds the addresses that it listens on, by kind: serve and control
 	// for stand-ins; callers, peers, desk and ops for entry hosts.
-	At map[string]string
+	Addresses map[string]string
 	// Exited is closed when the process has ended.
 	Exited chan struct{}
 
 	cmd *exec.Cmd
 }
 
-// World holds the processes of one session. Set the exported fields, then
+// Cluster holds the processes of one session. Set the exported fields, then
 // start processes; End ends all of them.
-type World struct {
+type Cluster struct {
 	// Path finds a program's file.
 	Path func(program string) (string, error)
 	// Env is added to the environment of each program.
@@ -47,7 +47,7 @@
 	relays *relays
 
 	mu    sync.Mutex
-	procs map[string]*Proc
+	procs map[string]*Process
 }
 
 // startWait is how long a process may take until it is ready. It is long
@@ -55,12 +55,12 @@
 const startWait = 60 * time.Second
 
 // Start starts a program and waits until it says that it is ready.
-func (w *World) Start(name, program string, args ...string) (*Proc, error) {
+func (w *Cluster) Start(name, program string, args ...string) (*Process, error) {
 	file, err := w.Path(program)
 	if err != nil {
 		return nil, err
 	}
-	p := &Proc{Name: name, Program: program, Args: args, At: map[string]string{}, Exited: make(chan struct{})}
+	p := &Process{Name: name, Program: program, Args: args, Addresses: map[string]string{}, Exited: make(chan struct{})}
 	p.cmd = exec.Command(file, args...)
 	p.cmd.Env = append(os.Environ(), w.Env...)
 	logs, err := os.OpenFile(filepath.Join(w.Dir, name+".log"), os.O_CREATE|os.O_APPEND|os.O_WRONLY, 0o644)
@@ -77,7 +77,7 @@
 	}
 	w.mu.Lock()
 	if w.procs == nil {
-		w.procs = map[string]*Proc{}
+		w.procs = map[string]*Process{}
 	}
 	w.procs[name] = p
 	w.mu.Unlock()
@@ -96,14 +96,14 @@
 	return p, p.await(ready)
 }
 
-func (p *Proc) await(ready <-chan string) error {
+func (p *Process) await(ready <-chan string) error {
 	timer := time.NewTimer(startWait)
 	defer timer.Stop()
 	select {
 	case line := <-ready:
 		for _, word := range strings.Fields(line) {
 			kind, address, _ := strings.Cut(word, "=")
-			p.At[kind] = address
+			p.Addresses[kind] = address
 		}
 		return nil
 	case <-p.Exited:
@@ -114,7 +114,7 @@
 }
 
 // Get returns a process by name.
-func (w *World) Get(name string) (*Proc, error) {
+func (w *Cluster) Get(name string) (*Process, error) {
 	w.mu.Lock()
 	defer w.mu.Unlock()
 	p := w.procs[name]
@@ -125,10 +125,10 @@
 }
 
 // All returns all processes that were started, the ended ones included.
-func (w *World) All() []*Proc {
+func (w *Cluster) All() []*Process {
 	w.mu.Lock()
 	defer w.mu.Unlock()
-	var all []*Proc
+	var all []*Process
 	for _, p := range w.procs {
 		all = append(all, p)
 	}
@@ -136,7 +136,7 @@
 }
 
 // Signal sends a signal to a process.
-func (p *Proc) Signal(s syscall.Signal) error {
+func (p *Process) Signal(s syscall.Signal) error {
 	return p.cmd.Process.Signal(s)
 }
 
@@ -144,7 +144,7 @@
 const exitWait = 60 * time.Second
 
 // Wait waits until the process has ended and returns its exit status.
-func (p *Proc) Wait() (int, error) {
+func (p *Process) Wait() (int, error) {
 	select {
 	case <-p.Exited:
 		return p.cmd.ProcessState.ExitCode(), nil
@@ -155,7 +155,7 @@
 
 // Restart starts a process that has ended again, at the same addresses, with
 // more arguments.
-func (w *World) Restart(name string, more ...string) (*Proc, error) {
+func (w *Cluster) Restart(name string, more ...string) (*Process, error) {
 	old, err := w.Get(name)
 	if err != nil {
 		return nil, err
@@ -164,7 +164,7 @@
 		return nil, err
 	}
 	args := append(slices.Clone(old.Args), more...)
-	for kind, address := range old.At {
+	for kind, address := range old.Addresses {
 		flag := kind
 		if kind == "serve" {
 			flag = "listen"
@@ -174,8 +174,8 @@
 	return w.Start(name, old.Program, args...)
 }
 
-// End ends all processes. A frozen one is thawed first, so that it can go.
-func (w *World) End() error {
+// Stop ends all processes. A frozen one is thawed first, so that it can go.
+func (w *Cluster) Stop() error {
 	if w.relays != nil {
 		defer w.relays.close()
 	}
@@ -194,12 +194,12 @@
 	return errors.Join(errs...)
 }
 
-// Sorted returns the keys of a map in order.
-func Sorted[V any](m map[string]V) []string {
+// SortedKeys returns the keys of a map in order.
+func SortedKeys[V any](m map[string]V) []string {
 	return slices.Sorted(maps.Keys(m))
 }
 
 // PID returns the id of the process.
-func (p *Proc) PID() int {
+func (p *Process) PID() int {
 	return p.cmd.Process.Pid
 }
--- a/sess/procs/relay.go
+++ b/sess/procs/relay.go
@@ -44,24 +44,24 @@
 	to   string
 }
 
-// Cuttable lets failure domains be cut off from each other. Call it before
+// EnablePartitions lets failure domains be cut off from each other. Call it before
 // any entry host starts.
-func (w *World) Cuttable() {
+func (w *Cluster) EnablePartitions() {
 	w.relays = &relays{
 		faces: map[domain.Name]string{}, paths: map[path]string{}, homes: map[string]domain.Name{},
 	}
 }
 
-// Part cuts a failure domain off from the others, but not from the store.
-func (w *World) Part(in domain.Name) {
+// Partition cuts a failure domain off from the others, but not from the store.
+func (w *Cluster) Partition(in domain.Name) {
 	w.relays.mu.Lock()
 	defer w.relays.mu.Unlock()
 	w.relays.island, w.relays.healed = in, make(chan struct{})
 }
 
-// Island cuts a failure domain off from the others and from the store.
-func (w *World) Island(in domain.Name) error {
-	w.Part(in)
+// Isolate cuts a failure domain off from the others and from the store.
+func (w *Cluster) Isolate(in domain.Name) error {
+	w.Partition(in)
 	w.relays.mu.Lock()
 	var entries []string
 	for name, home := range w.relays.homes {
@@ -70,18 +70,18 @@
 		}
 	}
 	w.relays.mu.Unlock()
-	return w.Fault(StoreName, "cut", strings.Join(entries, ","), 0)
+	return w.InjectFault(StoreName, "cut", strings.Join(entries, ","), 0)
 }
 
-// Rejoin ends the island. What was held back arrives late, as after a
-// partition; Rejoin returns when it has been passed on.
-func (w *World) Rejoin() error {
+// Reconnect ends the island. What was held back arrives late, as after a
+// partition; Reconnect returns when it has been passed on.
+func (w *Cluster) Reconnect() error {
 	w.relays.mu.Lock()
 	w.relays.island = ""
 	close(w.relays.healed)
 	w.relays.mu.Unlock()
 	w.relays.holding.Wait()
-	return w.Heal(StoreName)
+	return w.ClearFaults(StoreName)
 }
 
 // face returns the address of the store as entry hosts of a domain see it.
--- a/sess/procs/stop.go
+++ b/sess/procs/stop.go
@@ -11,14 +11,14 @@
 // Freeze stops a process and waits until each of its threads has stopped. The
 // signal alone only asks for it: on a busy machine a thread runs on for a
 // while and may still do what the freeze is to prevent.
-func (p *Proc) Freeze() error {
+func (p *Process) Freeze() error {
 	if err := p.Signal(syscall.SIGSTOP); err != nil {
 		return err
 	}
-	return Until(p.Name+" frozen", p.frozen)
+	return WaitFor(p.Name+" frozen", p.frozen)
 }
 
-func (p *Proc) frozen() bool {
+func (p *Process) frozen() bool {
 	stats, err := filepath.Glob(fmt.Sprintf("/proc/%d/task/*/stat", p.cmd.Process.Pid))
 	if err != nil || len(stats) == 0 {
 		return false
--- a/sess/procs/town.go
+++ b/sess/procs/town.go
@@ -23,22 +23,22 @@
 
 // StartStore starts the store and writes a book of teams into it. The token
 // of team t is token-t.
-func (w *World) StartStore(teams ...string) error {
+func (w *Cluster) StartStore(teams ...string) error {
 	p, err := w.Start(StoreName, "fsstand", "store", "-name", StoreName)
 	if err != nil {
 		return err
 	}
-	book := team.Book{}
+	book := team.Directory{}
 	for _, name := range teams {
 		book.Teams = append(book.Teams, team.Team{
-			Name: name, TokenHash: team.Hash(Token(name)), Deal: quota.Quota{Share: 1},
+			Name: name, TokenHash: team.HashToken(Token(name)), Quota: quota.Quota{Share: 1},
 		})
 	}
 	value, err := json.Marshal(book)
 	if err != nil {
 		return err
 	}
-	_, err = do("PUT", "http://"+p.At["serve"]+"/v1/objects/config/teams", value, "If-Match", "0")
+	_, err = do("PUT", "http://"+p.Addresses["serve"]+"/v1/objects/config/teams", value, "If-Match", "0")
 	return err
 }
 
@@ -49,31 +49,31 @@
 
 // StartEngine starts an engine that holds the layers [first, end) of a model
 // and lists its host.
-func (w *World) StartEngine(name string, in domain.Name, first, end int, more ...string) error {
+func (w *Cluster) StartEngine(name string, in domain.Name, first, end int, more ...string) error {
 	args := append([]string{
 		"engine", "-name", name, "-first", strconv.Itoa(first), "-end", strconv.Itoa(end),
 	}, more...)
 	if _, err := w.Start(name, "fsstand", args...); err != nil {
 		return err
 	}
-	return w.List(name, in, host.Live)
+	return w.SetHost(name, in, host.Live)
 }
 
 // StartPlain starts a plain service and lists its host.
-func (w *World) StartPlain(name string, in domain.Name) error {
+func (w *Cluster) StartPlain(name string, in domain.Name) error {
 	if _, err := w.Start(name, "fsstand", "plain", "-name", name); err != nil {
 		return err
 	}
-	return w.List(name, in, host.Live)
+	return w.SetHost(name, in, host.Live)
 }
 
 // StartEntry starts an entry host and lists it.
-func (w *World) StartEntry(name string, in domain.Name, more ...string) error {
+func (w *Cluster) StartEntry(name string, in domain.Name, more ...string) error {
 	s, err := w.Get(StoreName)
 	if err != nil {
 		return err
 	}
-	api := s.At["serve"]
+	api := s.Addresses["serve"]
 	if w.relays != nil {
 		if api, err = w.relays.face(name, in, api); err != nil {
 			return err
@@ -86,11 +86,11 @@
 	if _, err := w.Start(name, "fsentry", args...); err != nil {
 		return err
 	}
-	return w.List(name, in, host.Live)
+	return w.SetHost(name, in, host.Live)
 }
 
-// List puts the host of a process into the host list, or changes its state.
-func (w *World) List(name string, in domain.Name, state host.State) error {
+// SetHost puts the host of a process into the host list, or changes its state.
+func (w *Cluster) SetHost(name string, in domain.Name, state host.State) error {
 	p, err := w.Get(name)
 	if err != nil {
 		return err
@@ -98,16 +98,16 @@
 	h := host.Host{Name: name, Domain: in, State: state}
 	switch {
 	case p.Program == "fsentry":
-		h.Role, h.Address = host.Entry, p.At["peers"]
+		h.Role, h.Address = host.Entry, p.Addresses["peers"]
 	case p.Args[0] == "engine":
-		h.Role, h.Address = host.Engine, p.At["serve"]
+		h.Role, h.Address = host.Engine, p.Addresses["serve"]
 		h.Model = p.arg("model", "lotus")
 		h.Kind = p.arg("kind", "std")
 		h.First, _ = strconv.Atoi(p.arg("first", "0"))
 		h.End, _ = strconv.Atoi(p.arg("end", "32"))
 		h.Fencing = p.arg("fencing", "true") == "true"
 	default:
-		h.Role, h.Address = host.Plain, p.At["serve"]
+		h.Role, h.Address = host.Plain, p.Addresses["serve"]
 	}
 	value, err := json.Marshal(h)
 	if err != nil {
@@ -118,7 +118,7 @@
 }
 
 // arg returns the value of a flag that the process was started with.
-func (p *Proc) arg(flag, fallback string) string {
+func (p *Process) arg(flag, fallback string) string {
 	for i, a := range p.Args {
 		if value, ok := strings.CutPrefix(a, "-"+flag+"="); ok {
 			return value
@@ -130,30 +130,30 @@
 	return fallback
 }
 
-// Unlist takes a host out of the host list.
-func (w *World) Unlist(name string) error {
+// DeleteHost takes a host out of the host list.
+func (w *Cluster) DeleteHost(name string) error {
 	_, err := w.Control(StoreName, "DELETE", "/hosts/"+name, nil)
 	return err
 }
 
 // Control makes a call on the control listener of a stand-in.
-func (w *World) Control(name, method, path string, body []byte) (string, error) {
+func (w *Cluster) Control(name, method, path string, body []byte) (string, error) {
 	p, err := w.Get(name)
 	if err != nil {
 		return "", err
 	}
-	return do(method, "http://"+p.At["control"]+path, body)
+	return do(method, "http://"+p.Addresses["control"]+path, body)
 }
 
-// Fault switches a fault of a stand-in on.
-func (w *World) Fault(name, kind, value string, count int) error {
+// InjectFault switches a fault of a stand-in on.
+func (w *Cluster) InjectFault(name, kind, value string, count int) error {
 	body := fmt.Sprintf(`{"kind":%q,"value":%q,"count":%d}`, kind, value, count)
 	_, err := w.Control(name, "POST", "/fault", []byte(body))
 	return err
 }
 
-// Heal switches all faults of a stand-in off.
-func (w *World) Heal(name string) error {
+// ClearFaults switches all faults of a stand-in off.
+func (w *Cluster) ClearFaults(name string) error {
 	_, err := w.Control(name, "DELETE", "/fault", nil)
 	return err
 }
--- a/sess/session_test.go
+++ b/sess/session_test.go
@@ -67,7 +67,7 @@
 // binary.
 func newSession(env *testscript.Env) *session {
 	path := env.Getenv("PATH")
-	return &session{World: &procs.World{
+	return &session{Cluster: &procs.Cluster{
 		Dir: env.WorkDir,
 		Path: func(program string) (string, error) {
 			for dir := range strings.SplitSeq(path, string(os.PathListSeparator)) {
--- a/soak/cmd/fssoak/main.go
+++ b/soak/cmd/fssoak/main.go
@@ -26,13 +26,13 @@
 	callers := fs.Int("callers", 16, "how many callers there are")
 	dir := fs.String("dir", "", "where settings and logs are kept; a new folder if empty")
 	if err := ff.Parse(fs, os.Args[1:], ff.WithEnvVarPrefix("FSSOAK")); err != nil {
-		os.Exit(boot.ExitSettings)
+		os.Exit(boot.ExitUsage)
 	}
 	started := &processes{}
 	go started.endWithSignal()
 	failed := 0
 	for n := range *seeds {
-		s := soak.Settings{Seed: *seed + uint64(n), For: *length, Entries: *entries, Callers: *callers, Program: *program, Dir: *dir, Started: started.add}
+		s := soak.Settings{Seed: *seed + uint64(n), FaultDuration: *length, EntryHosts: *entries, Callers: *callers, Program: *program, Dir: *dir, OnStart: started.add}
 		if s.Dir == "" {
 			s.Dir, _ = os.MkdirTemp("", "fssoak-")
 		}
@@ -41,13 +41,13 @@
 			fmt.Fprintf(os.Stderr, "fssoak: seed %d: %v\n", s.Seed, err)
 			os.Exit(boot.ExitFailed)
 		}
-		fmt.Printf("seed %d: %d asked, %d served, %d faults, %d broken\n", s.Seed, report.Asked, report.Served, len(report.Faults), len(report.Broken))
-		if len(report.Broken) == 0 {
+		fmt.Printf("seed %d: %d asked, %d served, %d faults, %d broken\n", s.Seed, report.Requests, report.Succeeded, len(report.Faults), len(report.Violations))
+		if len(report.Violations) == 0 {
 			_ = os.RemoveAll(s.Dir)
 			continue
 		}
 		failed++
-		for _, line := range append(report.Faults, report.Broken...) {
+		for _, line := range append(report.Faults, report.Violations...) {
 			fmt.Println("  ", line)
 		}
 		fmt.Println("   logs in", s.Dir)
--- a/soak/faults.go
+++ b/soak/faults.go
@@ -24,7 +24,7 @@
 	// A process that is stopped and started again must be there before the run
 	// ends, or it would be left behind.
 	defer r.lasting.Wait()
-	for time.Since(r.start) < r.For {
+	for time.Since(r.start) < r.FaultDuration {
 		time.Sleep(r.between(leastPause, mostPause))
 		last := r.between(leastFault, mostFault)
 		what, undo, err := r.one()
@@ -48,12 +48,12 @@
 
 // one draws a fault and begins it. Undo ends it, unless it is for good.
 func (r *run) one() (what string, undo func(), err error) {
-	e := r.town.entries[r.rand.IntN(r.Entries)]
+	e := r.town.entries[r.rand.IntN(r.EntryHosts)]
 	switch r.rand.IntN(10) {
 	case 0:
 		m := r.mode()
-		e.store.Set(m)
-		return fmt.Sprintf("%s: path to the store: mode %d", e.name, m), func() { e.store.Set(proxy.Pass) }, nil
+		e.store.SetMode(m)
+		return fmt.Sprintf("%s: path to the store: mode %d", e.name, m), func() { e.store.SetMode(proxy.Pass) }, nil
 	case 1, 2:
 		return r.link()
 	case 3:
@@ -71,11 +71,11 @@
 			e.terminate()
 		})
 	case 6:
-		trouble := []plat.Trouble{plat.Busy, plat.Silent}[r.rand.IntN(2)]
-		r.town.world.Store.Fail(trouble)
-		return fmt.Sprintf("the store: trouble %d", trouble), func() { r.town.world.Store.Fail(plat.Well) }, nil
+		trouble := []plat.FailureMode{plat.Unavailable, plat.Unresponsive}[r.rand.IntN(2)]
+		r.town.world.Store.SetFailureMode(trouble)
+		return fmt.Sprintf("the store: trouble %d", trouble), func() { r.town.world.Store.SetFailureMode(plat.Healthy) }, nil
 	case 7:
-		r.town.world.Store.Forget()
+		r.town.world.Store.DropHistory()
 		return "the store forgets; a new configuration", nil, r.town.configure(currentKey, oldKey)
 	case 8:
 		return r.replace()
@@ -101,7 +101,7 @@
 }
 
 func (r *run) mode() proxy.Mode {
-	return []proxy.Mode{proxy.Slow, proxy.Reset, proxy.OneWay, proxy.Silent}[r.rand.IntN(4)]
+	return []proxy.Mode{proxy.Slow, proxy.Reset, proxy.DropReplies, proxy.Blackhole}[r.rand.IntN(4)]
 }
 
 // link makes the link to a server misbehave.
@@ -110,8 +110,8 @@
 	defer r.town.mu.Unlock()
 	p := r.town.links[r.rand.IntN(len(r.town.links))]
 	m := r.mode()
-	p.Set(m)
-	return fmt.Sprintf("link to %s: mode %d", p.Address(), m), func() { p.Set(proxy.Pass) }, nil
+	p.SetMode(m)
+	return fmt.Sprintf("link to %s: mode %d", p.Address(), m), func() { p.SetMode(proxy.Pass) }, nil
 }
 
 // replace crashes a server; its entry goes later, and a new one comes.
@@ -133,13 +133,13 @@
 	r.town.mu.Unlock()
 	switch r.rand.IntN(3) {
 	case 0:
-		s.LoseAnswers(3)
+		s.DropAnswers(3)
 		return s.ID + ": loses three answers", nil, nil
 	case 1:
-		s.Refuse(5)
+		s.RefuseNext(5)
 		return s.ID + ": refuses five requests", nil, nil
 	default:
-		s.CutAfter(4)
+		s.TruncateAfter(4)
 		return s.ID + ": breaks a stream off", nil, nil
 	}
 }
--- a/soak/proxy/proxy.go
+++ b/soak/proxy/proxy.go
@@ -21,10 +21,10 @@
 	Slow
 	// Reset resets open connections and all new ones.
 	Reset
-	// OneWay swallows what comes back.
-	OneWay
-	// Silent swallows everything and keeps connections open.
-	Silent
+	// DropReplies swallows what comes back.
+	DropReplies
+	// Blackhole swallows everything and keeps connections open.
+	Blackhole
 )
 
 // delay is added to each piece by a slow proxy.
@@ -54,8 +54,8 @@
 // Address is where the proxy listens.
 func (p *Proxy) Address() string { return p.listener.Addr().String() }
 
-// Set changes the mode. Open connections are reset if it says so.
-func (p *Proxy) Set(m Mode) {
+// SetMode changes the mode. Open connections are reset if it says so.
+func (p *Proxy) SetMode(m Mode) {
 	p.mu.Lock()
 	defer p.mu.Unlock()
 	p.mode = m
@@ -69,7 +69,7 @@
 // Close ends the proxy and its connections.
 func (p *Proxy) Close() {
 	p.listener.Close()
-	p.Set(Reset)
+	p.SetMode(Reset)
 }
 
 func (p *Proxy) is() Mode {
@@ -132,7 +132,7 @@
 		if mode == Slow {
 			time.Sleep(delay)
 		}
-		swallowed := mode == Silent || mode == OneWay && back
+		swallowed := mode == Blackhole || mode == DropReplies && back
 		if n > 0 && !swallowed {
 			if _, err := to.Write(buffer[:n]); err != nil {
 				reset(from)
--- a/soak/soak.go
+++ b/soak/soak.go
@@ -22,27 +22,27 @@
 // Settings say what a run is like. Set them before Run.
 type Settings struct {
 	Seed uint64
-	// For is how long faults happen.
-	For time.Duration
-	// Entries and Callers are how many entry hosts and callers there are.
-	Entries, Callers int
+	// FaultDuration is how long faults happen.
+	FaultDuration time.Duration
+	// EntryHosts and Callers are how many entry hosts and callers there are.
+	EntryHosts, Callers int
 	// Program is the path of the program.
 	Program string
 	// Dir holds settings files and logs.
 	Dir string
-	// Started is told of each process that the run starts, if it is set.
-	Started func(*os.Process)
+	// OnStart is told of each process that the run starts, if it is set.
+	OnStart func(*os.Process)
 }
 
 // Report is what came of a run.
 type Report struct {
 	Seed uint64
-	// Asked counts requests, Served those that were answered with success.
-	Asked, Served int
+	// Requests counts requests, Succeeded those that were answered with success.
+	Requests, Succeeded int
 	// Faults lists what happened, with the time from the start.
 	Faults []string
-	// Broken lists broken promises.
-	Broken []string
+	// Violations lists broken promises.
+	Violations []string
 }
 
 // run is one run on its way.
@@ -94,7 +94,7 @@
 func (r *run) broken(format string, args ...any) {
 	r.mu.Lock()
 	defer r.mu.Unlock()
-	r.report.Broken = append(r.report.Broken, fmt.Sprintf(format, args...))
+	r.report.Violations = append(r.report.Violations, fmt.Sprintf(format, args...))
 }
 
 // id returns a new request's ID.
@@ -113,7 +113,7 @@
 			return
 		case <-time.After(time.Duration(random.IntN(60)) * time.Millisecond):
 		}
-		e := random.IntN(r.Entries)
+		e := random.IntN(r.EntryHosts)
 		switch random.IntN(4) {
 		case 0:
 			r.pay(e)
@@ -128,9 +128,9 @@
 func (r *run) count(served bool) {
 	r.mu.Lock()
 	defer r.mu.Unlock()
-	r.report.Asked++
+	r.report.Requests++
 	if served {
-		r.report.Served++
+		r.report.Succeeded++
 	}
 }
 
@@ -167,7 +167,7 @@
 	got := r.town.send(e, id, "/ask/1", currentKey, events)
 	ok := got.status == 200 && got.err == nil
 	r.count(ok)
-	if ok && got.body != plat.Stream(id, events) {
+	if ok && got.body != plat.StreamBody(id, events) {
 		r.broken("%s: %d events asked, got %q", id, events, got.body)
 	}
 	return ok
@@ -179,7 +179,7 @@
 // recover ends all faults and checks that everything serves again.
 func (r *run) recover() {
 	r.town.heal()
-	for e := range r.Entries {
+	for e := range r.EntryHosts {
 		served := false
 		for end := time.Now().Add(settleTime); time.Now().Before(end) && !served; {
 			served = r.ask(e, 5) && r.look(e) && r.pay(e)
@@ -198,7 +198,7 @@
 		r.broken("%v", err)
 		return
 	}
-	for e := range r.Entries {
+	for e := range r.EntryHosts {
 		refused := false
 		for end := time.Now().Add(settleTime); time.Now().Before(end) && !refused; {
 			refused = r.town.send(e, r.id("old"), "/look/1", oldKey, 0).status == 401
@@ -217,7 +217,7 @@
 	go func() { done <- r.town.send(0, id, "/ask/1", currentKey, events) }()
 	time.Sleep(150 * time.Millisecond)
 	r.town.entries[0].terminate()
-	if got := <-done; got.err != nil || got.body != plat.Stream(id, events) {
+	if got := <-done; got.err != nil || got.body != plat.StreamBody(id, events) {
 		r.broken("%s: cut by a planned stop: %d %v", id, got.status, got.err)
 	}
 }
@@ -225,18 +225,18 @@
 // judge looks at what the servers saw.
 func (r *run) judge() {
 	ran := map[string]int{}
-	for _, one := range r.town.world.Runs() {
+	for _, one := range r.town.world.Executions() {
 		ran[one.Request]++
 	}
 	r.mu.Lock()
 	defer r.mu.Unlock()
 	for id, n := range ran {
 		if len(id) > 4 && id[:4] == "pay-" && n > 1 {
-			r.report.Broken = append(r.report.Broken, fmt.Sprintf("%s ran %d times", id, n))
+			r.report.Violations = append(r.report.Violations, fmt.Sprintf("%s ran %d times", id, n))
 		}
 		if r.refused[id] {
-			r.report.Broken = append(r.report.Broken, id+" was refused and ran")
+			r.report.Violations = append(r.report.Violations, id+" was refused and ran")
 		}
 	}
-	r.report.Broken = append(r.report.Broken, r.town.world.Wrong()...)
+	r.report.Violations = append(r.report.Violations, r.town.world.Violations()...)
 }
--- a/soak/soak_test.go
+++ b/soak/soak_test.go
@@ -26,7 +26,7 @@
 func TestSeeds(t *testing.T) {
 	program := build(t)
 	for _, seed := range []uint64{1, 7} {
-		play(t, soak.Settings{Seed: seed, For: 5 * time.Second, Entries: 3, Callers: 8, Program: program})
+		play(t, soak.Settings{Seed: seed, FaultDuration: 5 * time.Second, EntryHosts: 3, Callers: 8, Program: program})
 	}
 }
 
@@ -34,13 +34,13 @@
 // minute. Each request that was on one of them counted as its cause, and since
 // all looked alike, everybody was refused for a minute.
 func TestSeedsThatFailed(t *testing.T) {
-	play(t, soak.Settings{Seed: 131, For: 10 * time.Second, Entries: 4, Callers: 16, Program: build(t)})
+	play(t, soak.Settings{Seed: 131, FaultDuration: 10 * time.Second, EntryHosts: 4, Callers: 16, Program: build(t)})
 }
 
 func play(t *testing.T, s soak.Settings) {
 	s.Dir = t.TempDir()
 	report, err := soak.Run(s)
 	qt.Assert(t, err, qt.IsNil)
-	qt.Check(t, report.Broken, qt.HasLen, 0, qt.Commentf("seed %d: %v", s.Seed, report.Faults))
-	qt.Check(t, report.Served > 0, qt.IsTrue)
+	qt.Check(t, report.Violations, qt.HasLen, 0, qt.Commentf("seed %d: %v", s.Seed, report.Faults))
+	qt.Check(t, report.Succeeded > 0, qt.IsTrue)
 }
--- a/soak/town.go
+++ b/soak/town.go
@@ -31,14 +31,14 @@
 // town is the platform with the entry hosts in front of it.
 type town struct {
 	Settings
-	world   plat.World
+	world   plat.Platform
 	entries []*entry
 	// links are the proxies in front of servers.
 	links []*proxy.Proxy
 
 	mu      sync.Mutex
 	version int
-	servers []*plat.Runner
+	servers []*plat.Server
 	born    int
 }
 
@@ -75,7 +75,7 @@
 	if err := t.configure(currentKey, oldKey); err != nil {
 		return nil, err
 	}
-	for i := range s.Entries {
+	for i := range s.EntryHosts {
 		if err := t.enter(i); err != nil {
 			return nil, errors.Join(err, t.close())
 		}
@@ -89,13 +89,13 @@
 func (t *town) add(service, zone string) error {
 	t.mu.Lock()
 	t.born++
-	r := &plat.Runner{ID: fmt.Sprintf("%s-%d", service, t.born), Service: service, Zone: zone, Slots: 16}
+	r := &plat.Server{ID: fmt.Sprintf("%s-%d", service, t.born), Service: service, Zone: zone, Slots: 16}
 	t.mu.Unlock()
 	if service == "assist" {
 		r.Model, r.Kind, r.MemoryMB = &plat.Model{Layers: layers, LayerMB: 1000}, "card", 6000
-		r.Step, r.LoadTime = 8*time.Millisecond, 20*time.Millisecond
+		r.StepTime, r.LoadTime = 8*time.Millisecond, 20*time.Millisecond
 	}
-	r.Front = func(address string) (string, error) {
+	r.Proxy = func(address string) (string, error) {
 		p, err := proxy.New(address)
 		if err != nil {
 			return "", err
@@ -105,7 +105,7 @@
 		t.mu.Unlock()
 		return p.Address(), nil
 	}
-	if err := t.world.Add(r); err != nil {
+	if err := t.world.AddServer(r); err != nil {
 		return err
 	}
 	t.mu.Lock()
@@ -119,7 +119,7 @@
 	t.mu.Lock()
 	defer t.mu.Unlock()
 	t.version++
-	return plat.Town{
+	return plat.Config{
 		Version: t.version, Keys: keys, Model: plat.Model{Layers: layers, LayerMB: 1000}, MemoryMB: 6000,
 	}.Put(&t.world.Store)
 }
@@ -129,7 +129,7 @@
 	e := &entry{town: t, name: fmt.Sprintf("entry-%d", i), zone: zone(i)}
 	for _, address := range []*string{&e.callers, &e.ops, &e.peers} {
 		var err error
-		if *address, err = plat.Free(); err != nil {
+		if *address, err = plat.FreeAddress(); err != nil {
 			return err
 		}
 	}
@@ -148,7 +148,7 @@
 // begin starts the process of an entry host.
 func (e *entry) begin() error {
 	file := filepath.Join(e.town.Dir, e.name+".yaml")
-	text := plat.Boot{
+	text := plat.Settings{
 		Name: e.name, Zone: e.zone, Callers: e.callers, Ops: e.ops, Peers: e.peers, Seed: e.seeds, Store: e.store.Address(), GraceSeconds: 6,
 	}.YAML()
 	if err := os.WriteFile(file, []byte(text), 0o600); err != nil {
@@ -165,8 +165,8 @@
 	if err := cmd.Start(); err != nil {
 		return err
 	}
-	if e.town.Started != nil {
-		e.town.Started(cmd.Process)
+	if e.town.OnStart != nil {
+		e.town.OnStart(cmd.Process)
 	}
 	done := make(chan struct{})
 	go func() {
@@ -222,20 +222,20 @@
 
 // heal ends all faults but those that are for good.
 func (t *town) heal() {
-	t.world.Store.Fail(plat.Well)
+	t.world.Store.SetFailureMode(plat.Healthy)
 	for _, e := range t.entries {
-		e.store.Set(proxy.Pass)
+		e.store.SetMode(proxy.Pass)
 		e.signal(syscall.SIGCONT)
 	}
 	t.mu.Lock()
 	defer t.mu.Unlock()
 	for _, p := range t.links {
-		p.Set(proxy.Pass)
+		p.SetMode(proxy.Pass)
 	}
 	for _, r := range t.servers {
-		r.LoseAnswers(0)
-		r.Refuse(0)
-		r.CutAfter(0)
+		r.DropAnswers(0)
+		r.RefuseNext(0)
+		r.TruncateAfter(0)
 	}
 }
 
@@ -261,9 +261,9 @@
 
 // send makes one attempt of a caller; events is zero for a plain service.
 func (t *town) send(e int, id, path, key string, events int) reply {
-	req, err := plat.Call{
-		Address: t.entries[e].callers, Path: path, ID: id, Key: key, Body: "body", Patience: patience, Events: events,
-	}.Request()
+	req, err := plat.Request{
+		Address: t.entries[e].callers, Path: path, ID: id, Key: key, Body: "body", Timeout: patience, Events: events,
+	}.HTTP()
 	if err != nil {
 		return reply{err: err}
 	}
--- a/stand/inject/inject.go
+++ b/stand/inject/inject.go
@@ -80,11 +80,11 @@
 	return wake(&s.cleared)
 }
 
-// Thawed waits while a fault is on.
-func (s *Set) Thawed(ctx context.Context, kind Kind) {
+// WaitInactive waits while a fault is on.
+func (s *Set) WaitInactive(ctx context.Context, kind Kind) {
 	for ctx.Err() == nil {
 		changed := s.Changed()
-		if _, on := s.On(kind); !on {
+		if _, on := s.Active(kind); !on {
 			return
 		}
 		select {
@@ -108,8 +108,8 @@
 	}
 }
 
-// On reports whether a fault is on, without using it up.
-func (s *Set) On(kind Kind) (Fault, bool) {
+// Active reports whether a fault is on, without using it up.
+func (s *Set) Active(kind Kind) (Fault, bool) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	f := s.faults[kind]
@@ -119,14 +119,14 @@
 	return *f, true
 }
 
-// Strike reports whether a fault strikes now, and uses it up by one.
-func (s *Set) Strike(kind Kind) (Fault, bool) {
-	return s.StrikeIf(kind, func(string) bool { return true })
+// Trigger reports whether a fault strikes now, and uses it up by one.
+func (s *Set) Trigger(kind Kind) (Fault, bool) {
+	return s.TriggerIf(kind, func(string) bool { return true })
 }
 
-// StrikeIf is Strike for a fault whose value meets a condition; it leaves
+// TriggerIf is Strike for a fault whose value meets a condition; it leaves
 // any other alone.
-func (s *Set) StrikeIf(kind Kind, meets func(value string) bool) (Fault, bool) {
+func (s *Set) TriggerIf(kind Kind, meets func(value string) bool) (Fault, bool) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	f := s.faults[kind]
--- a/stand/internal/engine/engine.go
+++ b/stand/internal/engine/engine.go
@@ -113,7 +113,7 @@
 // Status returns the engine's report as of now, without the lag.
 func (e *Engine) Status() wire.Status {
 	state := host.Live
-	if _, on := e.Faults.On(Refuse); on {
+	if _, on := e.Faults.Active(Refuse); on {
 		state = host.Leaving
 	}
 	waiting := e.batch.waiting()
--- a/stand/internal/engine/faults.go
+++ b/stand/internal/engine/faults.go
@@ -15,30 +15,30 @@
 const (
 	// Refuse: new requests are refused with Not-Run, those under way go on.
 	Refuse inject.Kind = "refuse"
-	// Die: the process ends at once.
-	Die inject.Kind = "die"
-	// DiesAt: the process ends as it is to run the token with this index.
-	DiesAt inject.Kind = "diesat"
-	// Crash: the process ends as it runs the prompt that is the value.
-	Crash inject.Kind = "crash"
+	// Exit: the process ends at once.
+	Exit inject.Kind = "die"
+	// ExitAtToken: the process ends as it is to run the token with this index.
+	ExitAtToken inject.Kind = "diesat"
+	// CrashOnPrompt: the process ends as it runs the prompt that is the value.
+	CrashOnPrompt inject.Kind = "crash"
 	// Freeze: connections are accepted, and nothing is answered.
 	Freeze inject.Kind = "freeze"
-	// Link: links take the delays of the value, as in "b1=20ms,b2=cut".
-	Link inject.Kind = "link"
+	// DelayLinks: links take the delays of the value, as in "b1=20ms,b2=cut".
+	DelayLinks inject.Kind = "link"
 	// Slow: a step takes the time that is the value.
 	Slow inject.Kind = "slow"
-	// Late: each frame comes after one of an older attempt.
-	Late inject.Kind = "late"
-	// Cross: each frame comes after one of another request.
-	Cross inject.Kind = "cross"
+	// StaleFrames: each frame comes after one of an older attempt.
+	StaleFrames inject.Kind = "late"
+	// ForeignFrames: each frame comes after one of another request.
+	ForeignFrames inject.Kind = "cross"
 	// Truncate: the stream closes without an end after this many tokens.
 	Truncate inject.Kind = "truncate"
-	// NoEnd: the stream closes after the last token, without an end.
-	NoEnd inject.Kind = "noend"
-	// Swap: the streams of two callers go to each other's connection.
-	Swap inject.Kind = "swap"
-	// WrongRange: the server leaves its last layer out.
-	WrongRange inject.Kind = "wrongrange"
+	// OmitEnd: the stream closes after the last token, without an end.
+	OmitEnd inject.Kind = "noend"
+	// SwapStreams: the streams of two callers go to each other's connection.
+	SwapStreams inject.Kind = "swap"
+	// OmitLastLayer: the server leaves its last layer out.
+	OmitLastLayer inject.Kind = "wrongrange"
 )
 
 // The exit statuses of an engine that ends by a fault. A session tells by
@@ -60,18 +60,18 @@
 
 func (e *Engine) added(f inject.Fault) error {
 	switch f.Kind {
-	case Link:
+	case DelayLinks:
 		delays, err := ParseLinks(f.Value)
 		if err != nil {
 			return err
 		}
 		e.links.set(delays)
-	case Die:
+	case Exit:
 		time.AfterFunc(dieWait, func() { e.exit(ExitDied) })
 	case Slow:
 		_, err := time.ParseDuration(f.Value)
 		return err
-	case Truncate, DiesAt:
+	case Truncate, ExitAtToken:
 		_, err := strconv.Atoi(f.Value)
 		return err
 	}
@@ -80,7 +80,7 @@
 
 // tokenTime is the time of one step.
 func (e *Engine) tokenTime() time.Duration {
-	if f, on := e.Faults.On(Slow); on {
+	if f, on := e.Faults.Active(Slow); on {
 		if slow, err := time.ParseDuration(f.Value); err == nil {
 			return slow
 		}
@@ -90,11 +90,11 @@
 
 // strike ends the process or holds it, if a fault says so for this step.
 func (e *Engine) strike(ctx context.Context, s *step) error {
-	if f, on := e.Faults.On(Crash); on && f.Value == s.Prompt {
+	if f, on := e.Faults.Active(CrashOnPrompt); on && f.Value == s.Prompt {
 		slog.Error("engine: crashed", "server", e.Name, "request", s.Request, "prompt", s.Prompt)
 		e.exit(ExitCrashed)
 	}
-	if f, on := e.Faults.On(DiesAt); on && f.Value == strconv.Itoa(s.Index) {
+	if f, on := e.Faults.Active(ExitAtToken); on && f.Value == strconv.Itoa(s.Index) {
 		slog.Error("engine: died", "server", e.Name, "request", s.Request, "index", s.Index)
 		e.exit(ExitDied)
 	}
@@ -103,18 +103,18 @@
 
 // strays writes the frames that late or crossed streams add before a frame.
 func (e *Engine) strays(w writer, f wire.Frame) error {
-	if _, on := e.Faults.Strike(Late); on {
+	if _, on := e.Faults.Trigger(StaleFrames); on {
 		old := f
 		old.Attempt--
-		old.Token = token.Start("an older attempt", f.Index).Text()
+		old.Token = token.Start("an older attempt", f.Index).Token()
 		if err := w.write(&old); err != nil {
 			return err
 		}
 	}
-	if _, on := e.Faults.Strike(Cross); on {
+	if _, on := e.Faults.Trigger(ForeignFrames); on {
 		other := f
 		other.Request = "another-" + f.Request
-		other.Token = token.Start("another request", f.Index).Text()
+		other.Token = token.Start("another request", f.Index).Token()
 		return w.write(&other)
 	}
 	return nil
@@ -122,16 +122,16 @@
 
 // closes reports whether the stream is to close after so many tokens.
 func (e *Engine) closes(tokens int) bool {
-	f, on := e.Faults.On(Truncate)
+	f, on := e.Faults.Active(Truncate)
 	if !on || f.Value != strconv.Itoa(tokens) {
 		return false
 	}
-	_, on = e.Faults.Strike(Truncate)
+	_, on = e.Faults.Trigger(Truncate)
 	return on
 }
 
 // thawed returns once the engine is not frozen, or with the context's error.
 func (e *Engine) thawed(ctx context.Context) error {
-	e.Faults.Thawed(ctx, Freeze)
+	e.Faults.WaitInactive(ctx, Freeze)
 	return ctx.Err()
 }
--- a/stand/internal/engine/links.go
+++ b/stand/internal/engine/links.go
@@ -8,8 +8,8 @@
 	"time"
 )
 
-// Cut is the value of a link that hands nothing on.
-const Cut = "cut"
+// LinkDown is the value of a link that hands nothing on.
+const LinkDown = "cut"
 
 // links holds the delays of the links to other servers.
 type links struct {
@@ -32,7 +32,7 @@
 		if !found {
 			return nil, fmt.Errorf("%q is not server=delay", item)
 		}
-		if value == Cut {
+		if value == LinkDown {
 			delays[name] = cut
 			continue
 		}
--- a/stand/internal/engine/order.go
+++ b/stand/internal/engine/order.go
@@ -28,7 +28,7 @@
 		return wire.Fenced
 	}
 	if order.DeadlineMs > 0 && now.UnixMilli() > order.DeadlineMs {
-		return wire.Lapsed
+		return wire.Expired
 	}
 	o.number = max(o.number, order.Number)
 	o.taken = append(o.taken, order)
--- a/stand/internal/engine/order_test.go
+++ b/stand/internal/engine/order_test.go
@@ -26,8 +26,8 @@
 		{"same holder", true, 7, 0, ""},
 		{"older number", true, 6, 0, wire.Fenced},
 		{"older number, not checked", false, 6, 0, ""},
-		{"lapsed", true, 7, 9_999, wire.Lapsed},
-		{"lapsed, not checked", false, 7, 9_999, wire.Lapsed},
+		{"lapsed", true, 7, 9_999, wire.Expired},
+		{"lapsed, not checked", false, 7, 9_999, wire.Expired},
 	} {
 		o := &orders{}
 		c.Assert(o.take(wire.Order{Number: 7}, test.checks, now), quicktest.Equals, "")
--- a/stand/internal/engine/serve.go
+++ b/stand/internal/engine/serve.go
@@ -38,7 +38,7 @@
 }
 
 func (e *Engine) generate(ctx context.Context, c *app.RequestContext) {
-	var ask wire.Ask
+	var ask wire.Request
 	if err := json.Unmarshal(c.Request.Body(), &ask); err != nil || len(ask.Chain) == 0 {
 		c.String(400, "bad request: %v", err)
 		return
@@ -46,7 +46,7 @@
 	if e.thawed(ctx) != nil {
 		return
 	}
-	first := step{Request: ask.Request, Attempt: ask.Attempt, Prompt: ask.Prompt}
+	first := step{Request: ask.RequestID, Attempt: ask.Attempt, Prompt: ask.Prompt}
 	if err := e.admit(&first); err != nil {
 		c.Header(wire.NotRunHeader, wire.Leaving)
 		c.String(503, wire.Leaving)
@@ -65,7 +65,7 @@
 // answer is one stream of tokens.
 type answer struct {
 	*Engine
-	ask *wire.Ask
+	ask *wire.Request
 	w   writer
 	// pair is set while this stream is swapped with another.
 	pair *side
@@ -73,7 +73,7 @@
 
 // run streams the answer. It fails only if the reader has left.
 func (a *answer) run(ctx context.Context) error {
-	if _, on := a.Faults.On(Swap); on {
+	if _, on := a.Faults.Active(SwapStreams); on {
 		a.pair = a.swap.join(ctx)
 	}
 	if a.pair != nil {
@@ -86,7 +86,7 @@
 			return nil
 		}
 		out, err := a.Engine.run(ctx, step{
-			Request: a.ask.Request, Attempt: a.ask.Attempt, Index: index, Prompt: a.ask.Prompt,
+			Request: a.ask.RequestID, Attempt: a.ask.Attempt, Index: index, Prompt: a.ask.Prompt,
 			Priority: a.ask.Priority, Read: read, State: token.Start(a.ask.Prompt, index), Rest: a.ask.Chain,
 		})
 		if ctx.Err() != nil {
@@ -94,14 +94,14 @@
 		}
 		if err != nil {
 			f := a.blame(err)
-			return a.send(ctx, wire.Frame{Fail: &wire.Fail{Server: f.Server, What: f.What, Refused: f.Refused}})
+			return a.send(ctx, wire.Frame{Fail: &wire.Failure{Server: f.Server, Message: f.What, Refused: f.Refused}})
 		}
 		read = 0
-		if err := a.send(ctx, wire.Frame{Index: index, Token: out.State.Text(), Spans: out.Spans}); err != nil {
+		if err := a.send(ctx, wire.Frame{Index: index, Token: out.State.Token(), Spans: out.Spans}); err != nil {
 			return err
 		}
 	}
-	if _, on := a.Faults.Strike(NoEnd); on {
+	if _, on := a.Faults.Trigger(OmitEnd); on {
 		return nil
 	}
 	return a.send(ctx, wire.Frame{End: true, Count: a.ask.Max})
@@ -109,7 +109,7 @@
 
 // send writes a frame of this answer, or what a fault makes of it.
 func (a *answer) send(ctx context.Context, f wire.Frame) error {
-	f.Request, f.Attempt = a.ask.Request, a.ask.Attempt
+	f.Request, f.Attempt = a.ask.RequestID, a.ask.Attempt
 	if a.pair != nil {
 		f = a.pair.trade(ctx, f)
 	}
--- a/stand/internal/engine/step.go
+++ b/stand/internal/engine/step.go
@@ -65,7 +65,7 @@
 	if e.known.has(key, now) {
 		return nil
 	}
-	if _, on := e.Faults.Strike(Refuse); on {
+	if _, on := e.Faults.Trigger(Refuse); on {
 		e.count.refused.Add(1)
 		return &failure{e.Name, wire.Leaving, true}
 	}
@@ -96,10 +96,10 @@
 	}
 	e.count.runs.Add(1)
 	first, end := stage.First, stage.End
-	if _, on := e.Faults.Strike(WrongRange); on {
+	if _, on := e.Faults.Trigger(OmitLastLayer); on {
 		end--
 	}
-	s.State = s.State.Run(first, end)
+	s.State = s.State.Apply(first, end)
 	s.Rest = s.Rest[1:]
 	s.Spans = append(s.Spans, wire.Span{
 		Server: e.Name, First: first, End: end,
--- a/stand/internal/object/face_test.go
+++ b/stand/internal/object/face_test.go
@@ -16,11 +16,11 @@
 )
 
 // serve runs a store on a free port and returns a client of entry e1.
-func serve(t *testing.T, f *Face) *store.Client {
+func serve(t *testing.T, f *Server) *store.Client {
 	listener, err := net.Listen("tcp", "127.0.0.1:0")
 	qt.Assert(t, err, qt.IsNil)
 	s := &httpd.Server{Listener: listener}
-	s.Make()
+	s.Init()
 	f.Store, f.Faults = New(), &inject.Set{}
 	f.Routes(s.Hertz)
 	ctx, stop := context.WithCancel(context.Background())
@@ -43,12 +43,12 @@
 		verdict fault.Verdict
 	}{
 		{inject.Fault{Kind: DropReply, Value: "k"}, true, fault.MayHaveRun},
-		{inject.Fault{Kind: Lose, Value: "k"}, false, fault.MayHaveRun},
+		{inject.Fault{Kind: DropWrite, Value: "k"}, false, fault.MayHaveRun},
 		{inject.Fault{Kind: Outage}, false, fault.NotRun},
-		{inject.Fault{Kind: Cut, Value: "e0,e1"}, false, fault.MayHaveRun},
+		{inject.Fault{Kind: Disconnect, Value: "e0,e1"}, false, fault.MayHaveRun},
 	} {
 		t.Run(string(test.fault.Kind), func(t *testing.T) {
-			f := &Face{}
+			f := &Server{}
 			client := serve(t, f)
 			f.Faults.Add(test.fault)
 			_, err := client.Put(t.Context(), "k/1", []byte("v"), 0)
@@ -61,9 +61,9 @@
 // A fault of writes is meant for some keys; writes of other keys neither
 // suffer from it nor use it up.
 func TestFaultOfOtherKeys(t *testing.T) {
-	f := &Face{}
+	f := &Server{}
 	client := serve(t, f)
-	f.Faults.Add(inject.Fault{Kind: Lose, Value: "k/", Count: 1})
+	f.Faults.Add(inject.Fault{Kind: DropWrite, Value: "k/", Count: 1})
 	_, err := client.Put(t.Context(), "other", []byte("v"), 0)
 	qt.Assert(t, err, qt.IsNil)
 	_, err = client.Put(t.Context(), "k/1", []byte("v"), 0)
@@ -72,7 +72,7 @@
 
 // Calls beyond the rate are refused without effect.
 func TestRates(t *testing.T) {
-	f := &Face{Writes: 1}
+	f := &Server{Writes: 1}
 	client := serve(t, f)
 	_, err := client.Put(t.Context(), "k", []byte("v"), 0)
 	qt.Assert(t, err, qt.IsNil)
@@ -84,7 +84,7 @@
 
 // A cut entry loses the watch that it is waiting in, and others don't.
 func TestCutEndsWatch(t *testing.T) {
-	f := &Face{}
+	f := &Server{}
 	client := serve(t, f)
 	got := make(chan error)
 	go func() {
@@ -94,20 +94,20 @@
 	for f.Store.Calls()["list"] == 0 {
 		runtime.Gosched()
 	}
-	f.Faults.Add(inject.Fault{Kind: Cut, Value: "e1"})
+	f.Faults.Add(inject.Fault{Kind: Disconnect, Value: "e1"})
 	qt.Assert(t, <-got, qt.IsNotNil)
 }
 
 // Former values and restored copies carry the older version.
 func TestOlder(t *testing.T) {
-	f := &Face{}
+	f := &Server{}
 	client := serve(t, f)
 	first, err := client.Put(t.Context(), "k", []byte("1"), 0)
 	qt.Assert(t, err, qt.IsNil)
-	f.Store.Copy()
+	f.Store.Snapshot()
 	_, err = client.Put(t.Context(), "k", []byte("2"), first)
 	qt.Assert(t, err, qt.IsNil)
-	f.Faults.Add(inject.Fault{Kind: Old})
+	f.Faults.Add(inject.Fault{Kind: StaleReads})
 	o, err := client.Get(t.Context(), "k")
 	qt.Assert(t, err, qt.IsNil)
 	qt.Assert(t, string(o.Value), qt.Equals, "1")
--- a/stand/internal/object/object.go
+++ b/stand/internal/object/object.go
@@ -46,8 +46,8 @@
 	}
 }
 
-// Count counts one call of a kind from an entry host; the name may be empty.
-func (s *Store) Count(kind, entry string) {
+// CountCall counts one call of a kind from an entry host; the name may be empty.
+func (s *Store) CountCall(kind, entry string) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	s.calls[kind]++
@@ -78,9 +78,9 @@
 	return maps.Clone(s.calls)
 }
 
-// Former returns the value that an object had before its newest one, or the
+// Previous returns the value that an object had before its newest one, or the
 // newest if there was none before.
-func (s *Store) Former(key string) store.Object {
+func (s *Store) Previous(key string) store.Object {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	if o, ok := s.former[key]; ok {
@@ -89,8 +89,8 @@
 	return s.objects[key]
 }
 
-// Copy keeps a copy of all objects for Restore.
-func (s *Store) Copy() {
+// Snapshot keeps a copy of all objects for Restore.
+func (s *Store) Snapshot() {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	s.copied = &backup{version: s.version, objects: maps.Clone(s.objects)}
@@ -150,9 +150,9 @@
 	return s.version, true
 }
 
-// Since returns the objects under a prefix that changed after a version. A
+// ChangesSince returns the objects under a prefix that changed after a version. A
 // removed object is in it with no value and the version of its removal.
-func (s *Store) Since(prefix string, after uint64) (store.Changes, <-chan struct{}) {
+func (s *Store) ChangesSince(prefix string, after uint64) (store.Changes, <-chan struct{}) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	changes := store.Changes{Version: s.version, Objects: []store.Object{}}
@@ -181,8 +181,8 @@
 	s.signal()
 }
 
-// DropHost removes a host.
-func (s *Store) DropHost(name string) {
+// DeleteHost removes a host.
+func (s *Store) DeleteHost(name string) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	delete(s.hosts, name)
--- a/stand/internal/object/serve.go
+++ b/stand/internal/object/serve.go
@@ -14,8 +14,8 @@
 	"fuchsiashelf.dev/stand/inject"
 )
 
-// Face serves a Store over HTTP.
-type Face struct {
+// Server serves a Store over HTTP.
+type Server struct {
 	Store  *Store
 	Faults *inject.Set
 	// Writes and Reads limit the calls a second; zero means no limit.
@@ -25,7 +25,7 @@
 }
 
 // Routes adds the calls of the object API and the host list.
-func (f *Face) Routes(h *server.Hertz) {
+func (f *Server) Routes(h *server.Hertz) {
 	reads, writes := newLimit(f.Reads), newLimit(f.Writes)
 	h.GET("/v1/objects", f.guard("list", reads, f.list))
 	h.GET("/v1/objects/*key", f.guard("get", reads, f.get))
@@ -35,7 +35,7 @@
 }
 
 // Control adds the calls of the control listener.
-func (f *Face) Control(h *server.Hertz) {
+func (f *Server) Control(h *server.Hertz) {
 	f.Faults.Routes(h)
 	hosts := &late{by: f.HostLag}
 	h.GET("/counts", func(_ context.Context, c *app.RequestContext) {
@@ -56,11 +56,11 @@
 	})
 	h.DELETE("/hosts/:name", func(_ context.Context, c *app.RequestContext) {
 		name := c.Param("name")
-		hosts.do(func() { f.Store.DropHost(name) })
+		hosts.do(func() { f.Store.DeleteHost(name) })
 		c.String(200, "dropped")
 	})
 	h.POST("/copy", func(_ context.Context, c *app.RequestContext) {
-		f.Store.Copy()
+		f.Store.Snapshot()
 		c.String(200, "copied")
 	})
 	h.POST("/restore", func(_ context.Context, c *app.RequestContext) {
@@ -72,10 +72,10 @@
 	})
 }
 
-func (f *Face) get(_ context.Context, c *app.RequestContext) {
+func (f *Server) get(_ context.Context, c *app.RequestContext) {
 	o := f.Store.Get(key(c))
-	if _, on := f.Faults.On(Old); on {
-		o = f.Store.Former(key(c))
+	if _, on := f.Faults.Active(StaleReads); on {
+		o = f.Store.Previous(key(c))
 	}
 	if o.Version == 0 {
 		c.String(404, "no object")
@@ -85,25 +85,25 @@
 	c.Data(200, "application/octet-stream", o.Value)
 }
 
-func (f *Face) put(ctx context.Context, c *app.RequestContext) {
+func (f *Server) put(ctx context.Context, c *app.RequestContext) {
 	f.write(ctx, c, func(version uint64) (uint64, bool) {
 		return f.Store.Put(key(c), c.Request.Body(), version)
 	})
 }
 
-func (f *Face) remove(ctx context.Context, c *app.RequestContext) {
+func (f *Server) remove(ctx context.Context, c *app.RequestContext) {
 	f.write(ctx, c, func(version uint64) (uint64, bool) {
 		return f.Store.Delete(key(c), version)
 	})
 }
 
-func (f *Face) write(ctx context.Context, c *app.RequestContext, act func(uint64) (uint64, bool)) {
+func (f *Server) write(ctx context.Context, c *app.RequestContext, act func(uint64) (uint64, bool)) {
 	version, err := strconv.ParseUint(string(c.GetHeader("If-Match")), 10, 64)
 	if err != nil {
 		c.String(428, "need If-Match with a version")
 		return
 	}
-	if f.strikes(Lose, key(c)) {
+	if f.strikes(DropWrite, key(c)) {
 		hangUp(c)
 		return
 	}
@@ -122,40 +122,40 @@
 }
 
 // hold keeps an answer back until the faults are cleared.
-func (f *Face) hold(ctx context.Context, c *app.RequestContext) {
+func (f *Server) hold(ctx context.Context, c *app.RequestContext) {
 	released := f.Faults.Cleared()
-	if !f.strikes(Hold, key(c)) {
+	if !f.strikes(HoldReply, key(c)) {
 		return
 	}
-	f.Store.Count("held", entry(c))
+	f.Store.CountCall("held", entry(c))
 	select {
 	case <-released:
 	case <-ctx.Done():
 	}
 }
 
-func (f *Face) list(ctx context.Context, c *app.RequestContext) {
+func (f *Server) list(ctx context.Context, c *app.RequestContext) {
 	prefix := c.Query("prefix")
 	after, _ := strconv.ParseUint(c.Query("after"), 10, 64)
 	var changes store.Changes
 	whole := f.wait(ctx, c, func() (bool, <-chan struct{}) {
 		var wake <-chan struct{}
-		changes, wake = f.Store.Since(prefix, after)
+		changes, wake = f.Store.ChangesSince(prefix, after)
 		return len(changes.Objects) > 0, wake
 	})
 	if !whole {
 		hangUp(c)
 		return
 	}
-	if _, on := f.Faults.On(Old); on {
+	if _, on := f.Faults.Active(StaleReads); on {
 		for i, o := range changes.Objects {
-			changes.Objects[i] = f.Store.Former(o.Key)
+			changes.Objects[i] = f.Store.Previous(o.Key)
 		}
 	}
 	c.JSON(200, changes)
 }
 
-func (f *Face) hosts(ctx context.Context, c *app.RequestContext) {
+func (f *Server) hosts(ctx context.Context, c *app.RequestContext) {
 	after, _ := strconv.ParseUint(c.Query("after"), 10, 64)
 	var list host.List
 	whole := f.wait(ctx, c, func() (bool, <-chan struct{}) {
@@ -172,7 +172,7 @@
 
 // wait polls until there is something new, the caller's wait is over, or the
 // caller has gone. It reports false if a fault cuts the wait off.
-func (f *Face) wait(ctx context.Context, c *app.RequestContext, poll func() (bool, <-chan struct{})) bool {
+func (f *Server) wait(ctx context.Context, c *app.RequestContext, poll func() (bool, <-chan struct{})) bool {
 	ms, _ := strconv.Atoi(c.Query("waitMs"))
 	end := time.NewTimer(time.Duration(ms) * time.Millisecond)
 	defer end.Stop()
--- a/stand/internal/plain/fault.go
+++ b/stand/internal/plain/fault.go
@@ -22,13 +22,13 @@
 	// DropReply: the call takes effect and the connection is closed
 	// unanswered.
 	DropReply inject.Kind = "drop"
-	// Hold: the call takes effect and its answer waits until the faults are
+	// HoldReply: the call takes effect and its answer waits until the faults are
 	// cleared.
-	Hold inject.Kind = "hold"
+	HoldReply inject.Kind = "hold"
 	// Freeze: calls wait without effect while the fault is on.
 	Freeze inject.Kind = "freeze"
-	// Die: the process ends with the call.
-	Die inject.Kind = "die"
+	// Exit: the process ends with the call.
+	Exit inject.Kind = "die"
 	// Slow: the answer takes the given time longer.
 	Slow inject.Kind = "slow"
 )
@@ -39,7 +39,7 @@
 // before applies the faults that come before the effect. It reports whether
 // the call ends there.
 func (s *Service) before(ctx context.Context, c *app.RequestContext) bool {
-	if f, hit := s.Faults.Strike(Refuse); hit {
+	if f, hit := s.Faults.Trigger(Refuse); hit {
 		why := f.Value
 		if why == "" {
 			why = "leaving"
@@ -48,14 +48,14 @@
 		c.String(503, "%s", why)
 		return true
 	}
-	if _, hit := s.Faults.Strike(CloseConn); hit {
+	if _, hit := s.Faults.Trigger(CloseConn); hit {
 		hangUp(c)
 		return true
 	}
-	if _, hit := s.Faults.Strike(Die); hit {
+	if _, hit := s.Faults.Trigger(Exit); hit {
 		os.Exit(deadStatus)
 	}
-	s.Faults.Thawed(ctx, Freeze)
+	s.Faults.WaitInactive(ctx, Freeze)
 	return false
 }
 
@@ -63,10 +63,10 @@
 // reports whether the call ends there.
 func (s *Service) after(ctx context.Context, c *app.RequestContext) bool {
 	released := s.Faults.Cleared()
-	if _, hit := s.Faults.Strike(Hold); hit {
+	if _, hit := s.Faults.Trigger(HoldReply); hit {
 		wait(ctx, released)
 	}
-	if f, hit := s.Faults.Strike(Slow); hit {
+	if f, hit := s.Faults.Trigger(Slow); hit {
 		d, _ := time.ParseDuration(f.Value)
 		timer := time.NewTimer(d)
 		defer timer.Stop()
@@ -75,7 +75,7 @@
 		case <-ctx.Done():
 		}
 	}
-	if _, hit := s.Faults.Strike(DropReply); hit {
+	if _, hit := s.Faults.Trigger(DropReply); hit {
 		hangUp(c)
 		return true
 	}
--- a/stand/internal/plain/plain.go
+++ b/stand/internal/plain/plain.go
@@ -17,8 +17,8 @@
 type Service struct {
 	Name   string
 	Faults *inject.Set
-	// Guard refuses a call whose id has run before.
-	Guard bool
+	// Deduplicate refuses a call whose id has run before.
+	Deduplicate bool
 
 	mu     sync.Mutex
 	counts map[string]int
@@ -90,7 +90,7 @@
 	if team != "" {
 		key = team + "/" + id
 	}
-	if s.Guard && id != "" && s.counts[key] > 0 {
+	if s.Deduplicate && id != "" && s.counts[key] > 0 {
 		return 0, false
 	}
 	if s.counts == nil {
--- a/stand/plat/caller.go
+++ b/stand/plat/caller.go
@@ -13,29 +13,29 @@
 // FileVariable names the settings file of a process.
 const FileVariable = "FUCHSIASHELF_NODE_FILE"
 
-// Call is one attempt of a caller.
-type Call struct {
+// Request is one attempt of a caller.
+type Request struct {
 	// Address is where the entry host listens for callers.
 	Address string
 	Path    string
 	// ID names the attempt, Key proves the caller's team.
 	ID, Key string
 	Body    string
-	// Patience is how long the caller waits.
-	Patience time.Duration
+	// Timeout is how long the caller waits.
+	Timeout time.Duration
 	// Events is how many events a stream is to have; zero for a plain service.
 	Events int
 }
 
-// Request returns the call in the platform's form.
-func (c Call) Request() (*http.Request, error) {
+// HTTP returns the call in the platform's form.
+func (c Request) HTTP() (*http.Request, error) {
 	req, err := http.NewRequest(http.MethodPost, "http://"+c.Address+c.Path, strings.NewReader(c.Body))
 	if err != nil {
 		return nil, err
 	}
 	req.Host = Host
 	req.Header.Set("X-Attempt-Id", c.ID)
-	req.Header.Set("X-Deadline-Ms", fmt.Sprint(c.Patience.Milliseconds()))
+	req.Header.Set("X-Deadline-Ms", fmt.Sprint(c.Timeout.Milliseconds()))
 	req.Header.Set("Authorization", "Token "+c.Key)
 	if c.Events > 0 {
 		req.Header.Set("X-Token-Counts", fmt.Sprintf("50,%d", c.Events))
@@ -43,8 +43,8 @@
 	return req, nil
 }
 
-// Stream returns the body of a stream with all its events.
-func Stream(id string, events int) string {
+// StreamBody returns the body of a stream with all its events.
+func StreamBody(id string, events int) string {
 	var b strings.Builder
 	for n := 1; n <= events; n++ {
 		fmt.Fprintf(&b, "id: %d\ndata: %s/%d\n\n", n, id, n)
@@ -52,8 +52,8 @@
 	return b.String()
 }
 
-// Boot is what a process is told at its start.
-type Boot struct {
+// Settings is what a process is told at its start.
+type Settings struct {
 	Name, Zone          string
 	Callers, Ops, Peers string
 	Seed, Store         string
@@ -62,15 +62,15 @@
 }
 
 // YAML returns the settings file.
-func (b Boot) YAML() string {
+func (b Settings) YAML() string {
 	return fmt.Sprintf("node_name: %s\nzone: %s\nlisten: {front: %q, ready: %q, control: %q}\nseeds: [%q]\n"+
 		"limits: {memory_mb: 200}\nbounds: {grace_s: %d, retry_budget_ratio: 0.2, budget_window_s: 10, budget_slack: 100}\n"+
 		"platform: {address: %q}\n", b.Name, b.Zone, b.Callers, b.Ops, b.Peers, b.Seed, b.GraceSeconds, b.Store)
 }
 
-// Town is a configuration with a stream, a payment, a look-up and an open
+// Config is a configuration with a stream, a payment, a look-up and an open
 // look-up, under the paths /ask/, /pay/, /look/ and /open/.
-type Town struct {
+type Config struct {
 	Version int
 	// Keys are those of the only team.
 	Keys []string
@@ -80,7 +80,7 @@
 }
 
 // Put writes the configuration as the operator would.
-func (t Town) Put(s *Store) error {
+func (t Config) Put(s *Store) error {
 	return s.Put("config", "main", map[string]any{
 		"version": t.Version,
 		"routes": []any{
@@ -98,7 +98,7 @@
 	})
 }
 
-func (t Town) engine() map[string]any {
+func (t Config) engine() map[string]any {
 	return map[string]any{
 		"slots": 16, "kv_token_bytes": 1000, "stride": 1, "step_ms": 1, "read_per_s": 100000, "chunk": 512, "loads_at_once": 4,
 		"layers": t.Model.Layers, "layer_mb": t.Model.LayerMB, "activation_bytes": 100, "pipe_mbps": 1000,
--- a/stand/plat/free.go
+++ b/stand/plat/free.go
@@ -22,9 +22,9 @@
 	next int
 }
 
-// Free returns an address of loopback that nothing listens on, and that is not
+// FreeAddress returns an address of loopback that nothing listens on, and that is not
 // handed out twice by this process.
-func Free() (string, error) {
+func FreeAddress() (string, error) {
 	free.Lock()
 	defer free.Unlock()
 	if free.next == 0 {
--- a/stand/plat/order.go
+++ b/stand/plat/order.go
@@ -15,7 +15,7 @@
 	Version int `json:"version"`
 }
 
-func (r *Runner) report(w http.ResponseWriter) {
+func (r *Server) report(w http.ResponseWriter) {
 	r.mu.Lock()
 	defer r.mu.Unlock()
 	type stalled struct {
@@ -33,7 +33,7 @@
 }
 
 // order takes an order to hold layers or to change a chain.
-func (r *Runner) order(w http.ResponseWriter, req *http.Request) {
+func (r *Server) order(w http.ResponseWriter, req *http.Request) {
 	var o struct {
 		Operation string  `json:"operation"`
 		First     int     `json:"from"`
@@ -57,7 +57,7 @@
 	w.WriteHeader(r.place(o.First, o.End, o.Expected))
 }
 
-func (r *Runner) place(first, end int, expected *uint64) int {
+func (r *Server) place(first, end int, expected *uint64) int {
 	r.mu.Lock()
 	defer r.mu.Unlock()
 	if r.first == first && r.end == end {
@@ -83,7 +83,7 @@
 	return http.StatusAccepted
 }
 
-func (r *Runner) repath(id, path string) int {
+func (r *Server) repath(id, path string) int {
 	parts, err := parse(path)
 	if err != nil {
 		return http.StatusBadRequest
@@ -124,7 +124,7 @@
 }
 
 // check writes down a chain that does not run each layer once and in order.
-func (r *Runner) check(id, path string, parts []part) {
+func (r *Server) check(id, path string, parts []part) {
 	at := 0
 	for _, p := range parts {
 		if p.first != at {
@@ -139,7 +139,7 @@
 }
 
 // broken returns the address of a part that is not there.
-func (r *Runner) broken(parts []part) string {
+func (r *Server) broken(parts []part) string {
 	for _, p := range parts {
 		other := r.world.at(p.address)
 		if other == nil {
--- a/stand/plat/runner.go
+++ b/stand/plat/runner.go
@@ -12,8 +12,8 @@
 // headerTime bounds the reading of a header.
 const headerTime = 5 * time.Second
 
-// Crasher in the body of a request crashes each server that runs it.
-const Crasher = "crash"
+// CrashBody in the body of a request crashes each server that runs it.
+const CrashBody = "crash"
 
 // Model is what an engine runs.
 type Model struct {
@@ -21,8 +21,8 @@
 	LayerMB float64
 }
 
-// Runner is a backend server. Set the exported fields before World.Add.
-type Runner struct {
+// Server is a backend server. Set the exported fields before World.Add.
+type Server struct {
 	ID, Service, Zone string
 	Slots             int
 	// Model is nil for a plain service.
@@ -30,15 +30,15 @@
 	// Kind is that of the accelerator, MemoryMB its memory.
 	Kind     string
 	MemoryMB float64
-	// Step is the time between two events.
-	Step time.Duration
+	// StepTime is the time between two events.
+	StepTime time.Duration
 	// LoadTime is how long an order takes.
 	LoadTime time.Duration
-	// Front puts something in front of the server's address, for example a
+	// Proxy puts something in front of the server's address, for example a
 	// proxy, and returns the address that others see; nil for nothing.
-	Front func(address string) (string, error)
+	Proxy func(address string) (string, error)
 
-	world   *World
+	world   *Platform
 	address string
 	stop    func()
 
@@ -57,17 +57,17 @@
 }
 
 // Address is where the server listens.
-func (r *Runner) Address() string { return r.address }
+func (r *Server) Address() string { return r.address }
 
 // Layers returns the layers that the server holds.
-func (r *Runner) Layers() (first, end int) {
+func (r *Server) Layers() (first, end int) {
 	r.mu.Lock()
 	defer r.mu.Unlock()
 	return r.first, r.end
 }
 
 // Crash ends the server without a word; its entry stays.
-func (r *Runner) Crash() {
+func (r *Server) Crash() {
 	r.mu.Lock()
 	gone := r.gone
 	r.gone = true
@@ -77,52 +77,52 @@
 	}
 }
 
-func (r *Runner) dead() bool {
+func (r *Server) dead() bool {
 	r.mu.Lock()
 	defer r.mu.Unlock()
 	return r.gone
 }
 
 // Drain makes the server say that it is leaving.
-func (r *Runner) Drain() error {
+func (r *Server) Drain() error {
 	r.mu.Lock()
 	r.draining = true
 	r.mu.Unlock()
 	return r.beat()
 }
 
-// LoseAnswers makes the server run the next requests and close their
+// DropAnswers makes the server run the next requests and close their
 // connections without an answer.
-func (r *Runner) LoseAnswers(n int) {
+func (r *Server) DropAnswers(n int) {
 	r.mu.Lock()
 	defer r.mu.Unlock()
 	r.loseAnswer = n
 }
 
-// Refuse makes the server refuse the next requests.
-func (r *Runner) Refuse(n int) {
+// RefuseNext makes the server refuse the next requests.
+func (r *Server) RefuseNext(n int) {
 	r.mu.Lock()
 	defer r.mu.Unlock()
 	r.refuse = n
 }
 
-// CutAfter makes the server break its next stream off in the midst of the
+// TruncateAfter makes the server break its next stream off in the midst of the
 // event after the given number.
-func (r *Runner) CutAfter(events int) {
+func (r *Server) TruncateAfter(events int) {
 	r.mu.Lock()
 	defer r.mu.Unlock()
 	r.cutAfter = events
 }
 
-// Fail makes the server answer the next requests with 500.
-func (r *Runner) Fail(n int) {
+// FailNext makes the server answer the next requests with 500.
+func (r *Server) FailNext(n int) {
 	r.mu.Lock()
 	defer r.mu.Unlock()
 	r.fail = n
 }
 
 // beat writes the server's entry.
-func (r *Runner) beat() error {
+func (r *Server) beat() error {
 	r.mu.Lock()
 	entry := map[string]any{
 		"service": r.Service, "address": r.address, "zone": r.Zone, "version": "v1", "slots": r.Slots,
@@ -140,7 +140,7 @@
 }
 
 // ServeHTTP implements http.Handler.
-func (r *Runner) ServeHTTP(w http.ResponseWriter, req *http.Request) {
+func (r *Server) ServeHTTP(w http.ResponseWriter, req *http.Request) {
 	switch {
 	case req.URL.Path == "/report":
 		r.report(w)
@@ -154,7 +154,7 @@
 }
 
 // request runs a caller's request.
-func (r *Runner) request(w http.ResponseWriter, req *http.Request) {
+func (r *Server) request(w http.ResponseWriter, req *http.Request) {
 	id := req.Header.Get("X-Attempt-Id")
 	w.Header().Set("X-Attempt-Id", id)
 	if expect := req.Header.Get("X-Expect-Instance"); expect != "" && expect != r.ID {
@@ -170,11 +170,11 @@
 	if err != nil {
 		return
 	}
-	r.world.note(Run{
+	r.world.note(Execution{
 		Request: id, Server: r.ID, Service: r.Service, Team: req.Header.Get("X-Tenant"),
 		Resumed: req.Header.Get("Last-Event-Id"), Chain: req.Header.Get("X-Hop-Count"),
 	})
-	if strings.Contains(string(body), Crasher) {
+	if strings.Contains(string(body), CrashBody) {
 		r.Crash()
 		panic(http.ErrAbortHandler)
 	}
@@ -194,7 +194,7 @@
 }
 
 // take counts one of the next requests down.
-func (r *Runner) take(n *int) bool {
+func (r *Server) take(n *int) bool {
 	r.mu.Lock()
 	defer r.mu.Unlock()
 	if *n <= 0 {
--- a/stand/plat/store.go
+++ b/stand/plat/store.go
@@ -3,7 +3,7 @@
 // plain services. It speaks their form over HTTP on loopback, and does what
 // their pages say goes wrong when a test asks for it.
 //
-// A [World] holds all of them and writes down what ran where, which is what
+// A [Platform] holds all of them and writes down what ran where, which is what
 // tests look at.
 package plat
 
@@ -39,17 +39,17 @@
 	Deleted  bool   `json:"deleted"`
 }
 
-// Trouble is how the object API fails.
-type Trouble uint8
+// FailureMode is how the object API fails.
+type FailureMode uint8
 
 // The troubles.
 const (
-	// Well: it answers.
-	Well Trouble = iota
-	// Busy: it answers 503.
-	Busy
-	// Silent: it takes calls and never answers.
-	Silent
+	// Healthy: it answers.
+	Healthy FailureMode = iota
+	// Unavailable: it answers 503.
+	Unavailable
+	// Unresponsive: it takes calls and never answers.
+	Unresponsive
 )
 
 // Store is the object API. The zero value is empty and well.
@@ -61,7 +61,7 @@
 	// forgotten is the revision up to which changes are no longer told.
 	forgotten uint64
 	changed   chan struct{}
-	trouble   Trouble
+	trouble   FailureMode
 	calls     int
 	// deaf counts how often the watches of a kind that waited went deaf.
 	deaf map[string]int
@@ -79,9 +79,9 @@
 	}
 }
 
-// Deafen makes the watches of a kind that wait now hear of no change to it
+// MuteWatches makes the watches of a kind that wait now hear of no change to it
 // until their wait is over, without ending them.
-func (s *Store) Deafen(kind string) {
+func (s *Store) MuteWatches(kind string) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	s.init()
@@ -144,8 +144,8 @@
 	s.changed = make(chan struct{})
 }
 
-// Forget drops the history of changes.
-func (s *Store) Forget() {
+// DropHistory drops the history of changes.
+func (s *Store) DropHistory() {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	s.init()
@@ -155,8 +155,8 @@
 	s.changed = make(chan struct{})
 }
 
-// Fail puts the object API into trouble, or ends it.
-func (s *Store) Fail(t Trouble) {
+// SetFailureMode puts the object API into trouble, or ends it.
+func (s *Store) SetFailureMode(t FailureMode) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	s.init()
@@ -180,13 +180,13 @@
 	trouble := s.trouble
 	s.mu.Unlock()
 	switch trouble {
-	case Busy:
+	case Unavailable:
 		w.WriteHeader(http.StatusServiceUnavailable)
 		return
-	case Silent:
+	case Unresponsive:
 		<-r.Context().Done()
 		return
-	case Well:
+	case Healthy:
 	}
 	kind, name, _ := strings.Cut(strings.TrimPrefix(r.URL.Path, "/objects/"), "/")
 	watch := r.URL.Query().Get("watch")
@@ -255,7 +255,7 @@
 		forgotten, changed, revision, trouble := after < s.forgotten, s.changed, s.revision, s.trouble
 		events := s.since(kind, after)
 		s.mu.Unlock()
-		if trouble != Well {
+		if trouble != Healthy {
 			<-r.Context().Done()
 			return
 		}
--- a/stand/plat/stream.go
+++ b/stand/plat/stream.go
@@ -8,7 +8,7 @@
 )
 
 // stream answers with as many events as the request asks for.
-func (r *Runner) stream(w http.ResponseWriter, req *http.Request, id string) {
+func (r *Server) stream(w http.ResponseWriter, req *http.Request, id string) {
 	path := req.Header.Get("X-Hop-Count")
 	parts, err := parse(path)
 	if err != nil {
@@ -56,7 +56,7 @@
 	}
 }
 
-func (r *Runner) cut(n int) bool {
+func (r *Server) cut(n int) bool {
 	r.mu.Lock()
 	defer r.mu.Unlock()
 	if r.cutAfter == 0 || n <= r.cutAfter {
@@ -68,11 +68,11 @@
 
 // wait waits for the next event. While a server of the chain is dead, the
 // request stalls until its chain is changed.
-func (r *Runner) wait(req *http.Request, id string, parts []part, change chan []part) []part {
+func (r *Server) wait(req *http.Request, id string, parts []part, change chan []part) []part {
 	for {
 		at := r.broken(parts)
 		r.stall(id, at)
-		step := time.After(r.Step)
+		step := time.After(r.StepTime)
 		if at != "" {
 			step = nil
 		}
@@ -90,7 +90,7 @@
 	}
 }
 
-func (r *Runner) stall(id, at string) {
+func (r *Server) stall(id, at string) {
 	r.mu.Lock()
 	defer r.mu.Unlock()
 	if r.stalled == nil {
@@ -103,7 +103,7 @@
 	r.stalled[id] = at
 }
 
-func (r *Runner) join(id string, change chan []part) {
+func (r *Server) join(id string, change chan []part) {
 	r.mu.Lock()
 	defer r.mu.Unlock()
 	if r.chains == nil {
@@ -112,7 +112,7 @@
 	r.chains[id] = change
 }
 
-func (r *Runner) leave(id string) {
+func (r *Server) leave(id string) {
 	r.mu.Lock()
 	defer r.mu.Unlock()
 	delete(r.chains, id)
--- a/stand/plat/world.go
+++ b/stand/plat/world.go
@@ -8,8 +8,8 @@
 	"sync"
 )
 
-// Run is one run of a request on a server.
-type Run struct {
+// Execution is one run of a request on a server.
+type Execution struct {
 	// Request is the ID that the caller gave the attempt.
 	Request string
 	// Server is the first server that ran it.
@@ -24,20 +24,20 @@
 	Chain string
 }
 
-// World is the platform with its servers.
-type World struct {
+// Platform is the platform with its servers.
+type Platform struct {
 	Store Store
 
 	mu      sync.Mutex
 	address string
-	runners map[string]*Runner
-	runs    []Run
+	runners map[string]*Server
+	runs    []Execution
 	wrong   []string
 	closers []func()
 }
 
 // Start begins to serve the object API.
-func (w *World) Start() error {
+func (w *Platform) Start() error {
 	address, stop, err := serve(&w.Store)
 	if err != nil {
 		return err
@@ -48,12 +48,12 @@
 }
 
 // Address is that of the object API.
-func (w *World) Address() string { return w.address }
+func (w *Platform) Address() string { return w.address }
 
 // Close ends everything.
-func (w *World) Close() {
+func (w *Platform) Close() {
 	w.mu.Lock()
-	runners := make([]*Runner, 0, len(w.runners))
+	runners := make([]*Server, 0, len(w.runners))
 	for _, r := range w.runners {
 		runners = append(runners, r)
 	}
@@ -66,15 +66,15 @@
 	}
 }
 
-// Add starts a server.
-func (w *World) Add(r *Runner) error {
+// AddServer starts a server.
+func (w *Platform) AddServer(r *Server) error {
 	r.world = w
 	address, stop, err := serve(r)
 	if err != nil {
 		return err
 	}
-	if r.Front != nil {
-		if address, err = r.Front(address); err != nil {
+	if r.Proxy != nil {
+		if address, err = r.Proxy(address); err != nil {
 			stop()
 			return err
 		}
@@ -82,42 +82,42 @@
 	r.address, r.stop = address, stop
 	w.mu.Lock()
 	if w.runners == nil {
-		w.runners = map[string]*Runner{}
+		w.runners = map[string]*Server{}
 	}
 	w.runners[address] = r
 	w.mu.Unlock()
 	return r.beat()
 }
 
-// Runs returns what ran, in order.
-func (w *World) Runs() []Run {
+// Executions returns what ran, in order.
+func (w *Platform) Executions() []Execution {
 	w.mu.Lock()
 	defer w.mu.Unlock()
 	return slices.Clone(w.runs)
 }
 
-// Wrong returns what must never happen: chains that leave out layers or run
+// Violations returns what must never happen: chains that leave out layers or run
 // them twice, orders beyond the memory.
-func (w *World) Wrong() []string {
+func (w *Platform) Violations() []string {
 	w.mu.Lock()
 	defer w.mu.Unlock()
 	return slices.Clone(w.wrong)
 }
 
-func (w *World) note(r Run) {
+func (w *Platform) note(r Execution) {
 	w.mu.Lock()
 	defer w.mu.Unlock()
 	w.runs = append(w.runs, r)
 }
 
-func (w *World) fault(format string, args ...any) {
+func (w *Platform) fault(format string, args ...any) {
 	w.mu.Lock()
 	defer w.mu.Unlock()
 	w.wrong = append(w.wrong, fmt.Sprintf(format, args...))
 }
 
 // at returns the living server with an address, or nil.
-func (w *World) at(address string) *Runner {
+func (w *Platform) at(address string) *Server {
 	w.mu.Lock()
 	r := w.runners[address]
 	w.mu.Unlock()
--- a/stand/prog/prog.go
+++ b/stand/prog/prog.go
@@ -88,10 +88,10 @@
 		return err
 	}
 	serve := &httpd.Server{Listener: front}
-	serve.Make()
+	serve.Init()
 	r.Routes(serve.Hertz)
 	control := &httpd.Server{Listener: back}
-	control.Make()
+	control.Init()
 	r.Control(control.Hertz)
 	fmt.Fprintf(s.stdout, "ready serve=%s control=%s\n", front.Addr(), back.Addr())
 	failed := make(chan error, 2)
@@ -104,7 +104,7 @@
 	s := &shell{stdout: stdout}
 	fs := flags("fsstand store", stderr)
 	s.register(fs)
-	f := &object.Face{Store: object.New(), Faults: &inject.Set{}}
+	f := &object.Server{Store: object.New(), Faults: &inject.Set{}}
 	fs.IntVar(&f.Writes, "writes", 0, "writes a second that it takes; 0 means any number")
 	fs.IntVar(&f.Reads, "reads", 0, "reads a second that it takes, each wait counted once; 0 means any number")
 	fs.DurationVar(&f.HostLag, "host-lag", 0, "how far the host list lags behind")
@@ -153,7 +153,7 @@
 	fs := flags("fsstand plain", stderr)
 	s.register(fs)
 	p := &plain.Service{Faults: &inject.Set{}}
-	fs.BoolVar(&p.Guard, "guard", false, "refuse an id that has run before")
+	fs.BoolVar(&p.Deduplicate, "guard", false, "refuse an id that has run before")
 	return &ffcli.Command{
 		Name: "plain", ShortUsage: "fsstand plain [flags]", FlagSet: fs, Options: options(),
 		ShortHelp: "a plain service",
--- a/stand/token/token.go
+++ b/stand/token/token.go
@@ -19,8 +19,8 @@
 	return State(xxhash.Sum64String(fmt.Sprintf("%s\x00%d", prompt, index)))
 }
 
-// Run folds the layers [first, end) into the state.
-func (s State) Run(first, end int) State {
+// Apply folds the layers [first, end) into the state.
+func (s State) Apply(first, end int) State {
 	const prime = 1099511628211
 	for layer := first; layer < end; layer++ {
 		s = (s ^ State(layer+1)) * prime
@@ -29,8 +29,8 @@
 	return s
 }
 
-// Text returns the token of a state that has passed all layers.
-func (s State) Text() string {
+// Token returns the token of a state that has passed all layers.
+func (s State) Token() string {
 	return fmt.Sprintf("%016x", uint64(s))
 }
 
@@ -38,7 +38,7 @@
 func Answer(prompt string, layers, count int) []string {
 	tokens := make([]string, count)
 	for i := range tokens {
-		tokens[i] = Start(prompt, i).Run(0, layers).Text()
+		tokens[i] = Start(prompt, i).Apply(0, layers).Token()
 	}
 	return tokens
 }
