--- a/desk/prog/logs.go
+++ b/desk/prog/logs.go
@@ -9,7 +9,7 @@
 
 	"fuchsiashelf.dev/parts/boot"
 	"fuchsiashelf.dev/parts/loss"
-	"fuchsiashelf.dev/parts/trail"
+	"fuchsiashelf.dev/parts/reqlog"
 )
 
 // The lines that are answered from files begin with these words.
@@ -49,13 +49,13 @@
 	if isTimeline {
 		return d.timeline(request, logs)
 	}
-	entries, err := trail.Read(logs...)
+	entries, err := reqlog.Read(logs...)
 	fmt.Fprint(d.stdout, loss.Classify(entries, lossesEvery))
 	return err
 }
 
-func (d *desk) timeline(request string, logs []trail.Source) error {
-	found, err := trail.Find(request, logs...)
+func (d *desk) timeline(request string, logs []reqlog.Source) error {
+	found, err := reqlog.Find(request, logs...)
 	for _, e := range found {
 		fmt.Fprintln(d.stdout, e)
 	}
@@ -66,21 +66,21 @@
 }
 
 // open opens the files. The returned function closes them.
-func (d *desk) open() ([]trail.Source, func(), error) {
+func (d *desk) open() ([]reqlog.Source, func(), error) {
 	var files []*os.File
 	end := func() {
 		for _, f := range files {
 			_ = f.Close()
 		}
 	}
-	var logs []trail.Source
+	var logs []reqlog.Source
 	for _, name := range strings.Split(d.logs, ",") {
 		f, err := os.Open(name)
 		if err != nil {
 			return nil, end, fmt.Errorf("-logs: %w", err)
 		}
 		files = append(files, f)
-		logs = append(logs, trail.Source{Name: name, From: f})
+		logs = append(logs, reqlog.Source{Name: name, From: f})
 	}
 	return logs, end, nil
 }
--- a/entry/call/call.go
+++ b/entry/call/call.go
@@ -12,9 +12,9 @@
 	"time"
 
 	"fuchsiashelf.dev/parts/fleet"
-	"fuchsiashelf.dev/parts/hops"
 	"fuchsiashelf.dev/parts/probe"
 	"fuchsiashelf.dev/parts/route"
+	"fuchsiashelf.dev/parts/router"
 )
 
 // Request is a caller's request.
@@ -56,7 +56,7 @@
 type SendOptions struct {
 	Server *fleet.Server
 	// Chain is nil for a plain service.
-	Chain hops.Chain
+	Chain router.Chain
 	// Timeout is the time after which the answer is of no use; zero if unbounded.
 	Timeout time.Duration
 	// Team is the name of the caller's team, if the request needs one.
@@ -176,7 +176,7 @@
 	Place(ctx context.Context, s *fleet.Server, first, end int, orders uint64) (OrderResult, error)
 	// Reroute changes the chain of a request that runs; its first part stays.
 	// If a server of the chain cannot take part, its address is returned.
-	Reroute(ctx context.Context, id string, chain hops.Chain) (taken OrderResult, at string, err error)
+	Reroute(ctx context.Context, id string, chain router.Chain) (taken OrderResult, at string, err error)
 }
 
 // String returns the name of the outcome.
--- a/entry/line/dial_test.go
+++ b/entry/conns/dial_test.go
@@ -1,4 +1,4 @@
-package line_test
+package conns_test
 
 import (
 	"context"
@@ -11,7 +11,7 @@
 
 	qt "github.com/frankban/quicktest"
 
-	"fuchsiashelf.dev/entry/line"
+	"fuchsiashelf.dev/entry/conns"
 	"fuchsiashelf.dev/parts/fault"
 )
 
@@ -40,7 +40,7 @@
 	defer cancel()
 	req, err := http.NewRequest(http.MethodGet, "http://"+address+"/", nil)
 	qt.Assert(t, err, qt.IsNil)
-	_, err = (&line.Pool{}).Do(ctx, address, req, line.Options{DialTimeout: 20 * time.Millisecond})
+	_, err = (&conns.Pool{}).Do(ctx, address, req, conns.Options{DialTimeout: 20 * time.Millisecond})
 	qt.Assert(t, fault.As(err).Verdict, qt.Equals, fault.NotRun)
 	qt.Assert(t, ctx.Err(), qt.IsNil)
 }
--- a/entry/line/line.go
+++ b/entry/conns/line.go
@@ -8,7 +8,7 @@
 // A backend server may send a second answer late, where the next one is
 // expected on the same connection. An answer that belongs to another request
 // is read past, and a connection with bytes beyond an answer is not kept.
-package line
+package conns
 
 import (
 	"bufio"
--- a/entry/line/line_test.go
+++ b/entry/conns/line_test.go
@@ -1,4 +1,4 @@
-package line_test
+package conns_test
 
 import (
 	"bufio"
@@ -14,7 +14,7 @@
 
 	qt "github.com/frankban/quicktest"
 
-	"fuchsiashelf.dev/entry/line"
+	"fuchsiashelf.dev/entry/conns"
 	"fuchsiashelf.dev/parts/fault"
 )
 
@@ -46,9 +46,9 @@
 }
 
 // ask sends a request and returns the body of its answer.
-func ask(t *testing.T, p *line.Pool, address, id string, o line.Options) (string, error) {
-	o.Inspect = func(r *http.Response) line.ResponseInfo {
-		return line.ResponseInfo{OtherRequest: r.Header.Get("Id") != id}
+func ask(t *testing.T, p *conns.Pool, address, id string, o conns.Options) (string, error) {
+	o.Inspect = func(r *http.Response) conns.ResponseInfo {
+		return conns.ResponseInfo{OtherRequest: r.Header.Get("Id") != id}
 	}
 	a, err := p.Do(context.Background(), address, get(address, id), o)
 	if err != nil {
@@ -64,9 +64,9 @@
 }
 
 func TestConnectionIsKept(t *testing.T) {
-	var conns atomic.Int64
+	var opened atomic.Int64
 	address := listen(t, func(n int, c net.Conn, br *bufio.Reader) {
-		conns.Store(int64(n))
+		opened.Store(int64(n))
 		for {
 			r, err := http.ReadRequest(br)
 			if err != nil {
@@ -75,13 +75,13 @@
 			answer(c, r.Header.Get("Id"), "body of "+r.Header.Get("Id"))
 		}
 	})
-	var p line.Pool
+	var p conns.Pool
 	for _, id := range []string{"a", "b", "c"} {
-		body, err := ask(t, &p, address, id, line.Options{})
+		body, err := ask(t, &p, address, id, conns.Options{})
 		qt.Assert(t, err, qt.IsNil)
 		qt.Assert(t, body, qt.Equals, "body of "+id)
 	}
-	qt.Assert(t, conns.Load(), qt.Equals, int64(1))
+	qt.Assert(t, opened.Load(), qt.Equals, int64(1))
 }
 
 // A server sends a second answer to an older request. Taken for the next one's,
@@ -99,9 +99,9 @@
 			answer(c, r.Header.Get("Id"), "body of "+r.Header.Get("Id"))
 		}
 	})
-	var p line.Pool
+	var p conns.Pool
 	for _, id := range []string{"a", "b", "c"} {
-		body, err := ask(t, &p, address, id, line.Options{})
+		body, err := ask(t, &p, address, id, conns.Options{})
 		qt.Assert(t, err, qt.IsNil)
 		qt.Assert(t, body, qt.Equals, "body of "+id)
 	}
@@ -110,9 +110,9 @@
 // A server sends bytes beyond an answer. On a kept connection they would stand
 // before the next one.
 func TestBytesBeyondAnAnswer(t *testing.T) {
-	var conns atomic.Int64
+	var opened atomic.Int64
 	address := listen(t, func(n int, c net.Conn, br *bufio.Reader) {
-		conns.Store(int64(n))
+		opened.Store(int64(n))
 		r, err := http.ReadRequest(br)
 		if err != nil {
 			return
@@ -121,13 +121,13 @@
 		fmt.Fprintf(c, "HTTP/1.1 200 OK\r\nId: %s\r\nContent-Length: 5\r\n\r\nwholemore", r.Header.Get("Id"))
 		_, _ = br.ReadByte()
 	})
-	var p line.Pool
+	var p conns.Pool
 	for _, id := range []string{"a", "b"} {
-		body, err := ask(t, &p, address, id, line.Options{})
+		body, err := ask(t, &p, address, id, conns.Options{})
 		qt.Assert(t, err, qt.IsNil)
 		qt.Assert(t, body, qt.Equals, "whole")
 	}
-	qt.Assert(t, conns.Load(), qt.Equals, int64(2))
+	qt.Assert(t, opened.Load(), qt.Equals, int64(2))
 }
 
 // The bytes beyond an answer come late, when the next request has been written
@@ -146,13 +146,13 @@
 			answer(c, r.Header.Get("Id"), "body of "+r.Header.Get("Id"))
 		}
 	})
-	var p line.Pool
-	body, err := ask(t, &p, address, "a", line.Options{})
+	var p conns.Pool
+	body, err := ask(t, &p, address, "a", conns.Options{})
 	qt.Assert(t, err, qt.IsNil)
 	qt.Assert(t, body, qt.Equals, "body of a")
-	_, err = ask(t, &p, address, "b", line.Options{})
+	_, err = ask(t, &p, address, "b", conns.Options{})
 	qt.Assert(t, fault.As(err).Verdict, qt.Equals, fault.MayHaveRun)
-	body, err = ask(t, &p, address, "c", line.Options{})
+	body, err = ask(t, &p, address, "c", conns.Options{})
 	qt.Assert(t, err, qt.IsNil)
 	qt.Assert(t, body, qt.Equals, "body of c")
 }
@@ -174,10 +174,10 @@
 			answer(c, r.Header.Get("Id"), "first")
 		}
 	})
-	var p line.Pool
-	_, err := ask(t, &p, address, "a", line.Options{})
+	var p conns.Pool
+	_, err := ask(t, &p, address, "a", conns.Options{})
 	qt.Assert(t, err, qt.IsNil)
-	_, err = ask(t, &p, address, "b", line.Options{})
+	_, err = ask(t, &p, address, "b", conns.Options{})
 	qt.Assert(t, fault.As(err).Verdict, qt.Equals, fault.MayHaveRun)
 	qt.Assert(t, got.Load(), qt.Equals, int64(2))
 }
@@ -187,8 +187,8 @@
 	l, err := net.Listen("tcp", "127.0.0.1:0")
 	qt.Assert(t, err, qt.IsNil)
 	l.Close()
-	var p line.Pool
-	_, err = ask(t, &p, l.Addr().String(), "a", line.Options{})
+	var p conns.Pool
+	_, err = ask(t, &p, l.Addr().String(), "a", conns.Options{})
 	qt.Assert(t, fault.As(err).Verdict, qt.Equals, fault.NotRun)
 }
 
@@ -207,11 +207,11 @@
 			close(closed)
 		}
 	})
-	var p line.Pool
-	_, err := ask(t, &p, address, "a", line.Options{})
+	var p conns.Pool
+	_, err := ask(t, &p, address, "a", conns.Options{})
 	qt.Assert(t, err, qt.IsNil)
 	<-closed
-	body, err := ask(t, &p, address, "b", line.Options{})
+	body, err := ask(t, &p, address, "b", conns.Options{})
 	qt.Assert(t, err, qt.IsNil)
 	qt.Assert(t, body, qt.Equals, "body")
 }
@@ -223,8 +223,8 @@
 			fmt.Fprint(c, "HTTP/1.1 200 OK\r\nId: a\r\nContent-Length: 10\r\n\r\nhalf")
 		}
 	})
-	var p line.Pool
-	_, err := ask(t, &p, address, "a", line.Options{})
+	var p conns.Pool
+	_, err := ask(t, &p, address, "a", conns.Options{})
 	qt.Assert(t, err, qt.IsNotNil)
 }
 
@@ -241,13 +241,13 @@
 		_, _ = br.ReadByte()
 		close(gone)
 	})
-	var p line.Pool
+	var p conns.Pool
 	ctx, leave := context.WithCancel(context.Background())
 	go func() {
 		<-read
 		leave()
 	}()
-	_, err := p.Do(ctx, address, get(address, "a"), line.Options{})
+	_, err := p.Do(ctx, address, get(address, "a"), conns.Options{})
 	qt.Assert(t, err, qt.IsNotNil)
 	<-gone
 }
@@ -261,8 +261,8 @@
 		_, _ = br.ReadByte()
 		close(closed)
 	})
-	var p line.Pool
-	_, err := ask(t, &p, address, "a", line.Options{})
+	var p conns.Pool
+	_, err := ask(t, &p, address, "a", conns.Options{})
 	qt.Assert(t, err, qt.IsNil)
 	p.CloseExpired(time.Now().Add(time.Hour))
 	<-closed
--- a/entry/front/front.go
+++ b/entry/front/front.go
@@ -17,8 +17,8 @@
 	"sync/atomic"
 	"time"
 
-	"fuchsiashelf.dev/entry/belief"
 	"fuchsiashelf.dev/entry/call"
+	"fuchsiashelf.dev/entry/state"
 	"fuchsiashelf.dev/parts/fault"
 	"fuchsiashelf.dev/parts/poison"
 	"fuchsiashelf.dev/parts/route"
@@ -32,7 +32,7 @@
 // Handler answers callers. Set the exported fields before use.
 type Handler struct {
 	Codec call.Codec
-	State *belief.Local
+	State *state.Local
 	// Streams serves services with engines, Plain all others.
 	Streams, Plain Forwarder
 	Log            *slog.Logger
--- a/entry/gossip/gossip.go
+++ b/entry/gossip/gossip.go
@@ -17,9 +17,9 @@
 	"sync/atomic"
 	"time"
 
-	"fuchsiashelf.dev/parts/hops"
 	"fuchsiashelf.dev/parts/mirror"
 	"fuchsiashelf.dev/parts/poison"
+	"fuchsiashelf.dev/parts/router"
 )
 
 // Timeouts, intervals and fan-out.
@@ -58,9 +58,9 @@
 	// Seeds are addresses to begin with; they may be out of date.
 	Seeds   []string
 	Mirrors []*mirror.Mirror
-	Ledger  *hops.LoadTracker
+	Ledger  *router.LoadTracker
 	// Starts holds how long requests wait at the first servers of chains.
-	Starts *hops.StartLatency
+	Starts *router.StartLatency
 	Tally  *poison.Counter
 	Log    *slog.Logger
 	// Suspects returns the local suspicions, Suspected handles those of others.
--- a/entry/gossip/gossip_test.go
+++ b/entry/gossip/gossip_test.go
@@ -11,16 +11,16 @@
 
 	"fuchsiashelf.dev/entry/gossip"
 	"fuchsiashelf.dev/parts/domain"
-	"fuchsiashelf.dev/parts/hops"
 	"fuchsiashelf.dev/parts/mirror"
 	"fuchsiashelf.dev/parts/poison"
+	"fuchsiashelf.dev/parts/router"
 )
 
 func peer(n int, mirrors ...*mirror.Mirror) *gossip.Peer {
 	name := fmt.Sprintf("entry-%03d", n)
 	return &gossip.Peer{
 		Self: gossip.Member{Name: name, Address: name + ":1", Domain: domain.Name(fmt.Sprint(n % 5)), Boot: 1}, Mirrors: mirrors,
-		Ledger: &hops.LoadTracker{}, Starts: &hops.StartLatency{}, Tally: &poison.Counter{}, Log: slog.New(slog.DiscardHandler),
+		Ledger: &router.LoadTracker{}, Starts: &router.StartLatency{}, Tally: &poison.Counter{}, Log: slog.New(slog.DiscardHandler),
 		Suspects: func() []gossip.Suspect { return nil }, OnSuspect: func(gossip.Suspect) {},
 		SlowServers: func() []gossip.SlowServer { return nil }, OnSlow: func(gossip.SlowServer) {},
 		Assignments: func() []gossip.Assignment { return nil }, OnAssignment: func(gossip.Assignment) {},
--- a/entry/gossip/lead_test.go
+++ b/entry/gossip/lead_test.go
@@ -11,15 +11,15 @@
 	qt "github.com/frankban/quicktest"
 
 	"fuchsiashelf.dev/parts/domain"
-	"fuchsiashelf.dev/parts/hops"
 	"fuchsiashelf.dev/parts/poison"
+	"fuchsiashelf.dev/parts/router"
 )
 
 func newPeer(n int) *Peer {
 	name := fmt.Sprintf("entry-%03d", n)
 	return &Peer{
 		Self:   Member{Name: name, Address: name, Domain: domain.Name(fmt.Sprint(n % 5)), Boot: 1},
-		Ledger: &hops.LoadTracker{}, Starts: &hops.StartLatency{}, Tally: &poison.Counter{}, Log: slog.New(slog.DiscardHandler),
+		Ledger: &router.LoadTracker{}, Starts: &router.StartLatency{}, Tally: &poison.Counter{}, Log: slog.New(slog.DiscardHandler),
 		Suspects: func() []Suspect { return nil }, OnSuspect: func(Suspect) {},
 		SlowServers: func() []SlowServer { return nil }, OnSlow: func(SlowServer) {},
 		Assignments: func() []Assignment { return nil }, OnAssignment: func(Assignment) {},
--- a/entry/gossip/message.go
+++ b/entry/gossip/message.go
@@ -4,9 +4,9 @@
 	"context"
 	"time"
 
-	"fuchsiashelf.dev/parts/hops"
 	"fuchsiashelf.dev/parts/mirror"
 	"fuchsiashelf.dev/parts/poison"
+	"fuchsiashelf.dev/parts/router"
 )
 
 // Suspect is a server that is avoided for a while.
@@ -39,7 +39,7 @@
 	From    Member
 	Cursors map[string]uint64
 	Members []Member
-	Load    map[string]hops.Usage
+	Load    map[string]router.Usage
 	// Waits is how long requests wait for their first event, by server.
 	Waits map[string]time.Duration
 	// Full is how much longer servers that refused requests count as full.
--- a/entry/internal/seat/confirm.go
+++ b/entry/internal/admin/confirm.go
@@ -1,4 +1,4 @@
-package seat
+package admin
 
 import (
 	"context"
--- a/entry/internal/seat/seat.go
+++ b/entry/internal/admin/seat.go
@@ -4,7 +4,7 @@
 // accept), and called done once every live entry host has it in force (see
 // confirm). Whatever goes wrong on the way, the answer says only what is
 // known: done, partly, refused (nothing changed), or unknown.
-package seat
+package admin
 
 import (
 	"context"
--- a/entry/internal/seat/seat_test.go
+++ b/entry/internal/admin/seat_test.go
@@ -1,4 +1,4 @@
-package seat_test
+package admin_test
 
 import (
 	"context"
@@ -16,8 +16,8 @@
 	"storj.io/drpc/drpcmux"
 	"storj.io/drpc/drpcserver"
 
+	"fuchsiashelf.dev/entry/internal/admin"
 	"fuchsiashelf.dev/entry/internal/mesh"
-	"fuchsiashelf.dev/entry/internal/seat"
 	"fuchsiashelf.dev/entry/internal/watch"
 	"fuchsiashelf.dev/parts/conf"
 	"fuchsiashelf.dev/parts/fault"
@@ -119,7 +119,7 @@
 	c.Assert(err, quicktest.IsNil)
 	listener, err := net.Listen("tcp", "127.0.0.1:0")
 	c.Assert(err, quicktest.IsNil)
-	s := &seat.Server{
+	s := &admin.Server{
 		View: e.view, Store: api, Watch: e.watch, Mesh: e.mesh, Trace: e.watch.Trace,
 		Log: e.watch.Log, Secret: secret, Workers: workers, Done: make(chan struct{}),
 	}
@@ -156,7 +156,7 @@
 	know(one, two)
 	send := operator(c, one, &fakeStore{})
 	answer := send(&wire.Line{Id: "x1", Text: "create pool books servers p1"})
-	c.Assert(answer.Outcome, quicktest.Equals, seat.Done, quicktest.Commentf("%v", answer))
+	c.Assert(answer.Outcome, quicktest.Equals, admin.Done, quicktest.Commentf("%v", answer))
 	c.Assert(two.view.Load().Config.Revision, quicktest.Equals, uint64(1))
 }
 
@@ -169,14 +169,14 @@
 	api := &fakeStore{lose: 1}
 	send := operator(c, one, api)
 	line := &wire.Line{Id: "x1", Text: "create pool books servers p1"}
-	c.Assert(send(line).Outcome, quicktest.Equals, seat.Done)
+	c.Assert(send(line).Outcome, quicktest.Equals, admin.Done)
 	c.Assert(api.puts, quicktest.Equals, 1)
 	// The operator does not know and sends it again.
 	again := send(&wire.Line{Id: "x1", Text: line.Text})
-	c.Assert([]any{again.Outcome, again.Revision}, quicktest.DeepEquals, []any{seat.Done, uint64(1)})
+	c.Assert([]any{again.Outcome, again.Revision}, quicktest.DeepEquals, []any{admin.Done, uint64(1)})
 	c.Assert(api.puts, quicktest.Equals, 1)
 	other := send(&wire.Line{Id: "x1", Text: "delete pool books"})
-	c.Assert(other.Outcome, quicktest.Equals, seat.Refused)
+	c.Assert(other.Outcome, quicktest.Equals, admin.Refused)
 }
 
 // The store was restored from an older copy, and one entry host, which may
@@ -197,13 +197,13 @@
 	api := &fakeStore{object: store.Object{Key: conf.Key, Version: 7}}
 	send := operator(c, one, api)
 	answer := send(&wire.Line{Id: "x1", Text: "create pool books servers p1"})
-	c.Assert(answer.Outcome, quicktest.Equals, seat.Refused)
+	c.Assert(answer.Outcome, quicktest.Equals, admin.Refused)
 	c.Assert(answer.Message, quicktest.Contains, "e2 does not answer")
 	c.Assert(api.puts, quicktest.Equals, 0)
 	// It leaves the host list, and the line is built on what is in force.
 	know(one)
 	answer = send(&wire.Line{Id: "x2", Text: "create pool books servers p1"})
-	c.Assert([]any{answer.Outcome, answer.Revision}, quicktest.DeepEquals, []any{seat.Done, uint64(3)})
+	c.Assert([]any{answer.Outcome, answer.Revision}, quicktest.DeepEquals, []any{admin.Done, uint64(3)})
 	stored, err := conf.Decode(api.object.Value)
 	c.Assert(err, quicktest.IsNil)
 	_, kept := stored.Find("b")
--- a/entry/internal/gate/ask_test.go
+++ b/entry/internal/edge/ask_test.go
@@ -1,4 +1,4 @@
-package gate
+package edge
 
 import (
 	"testing"
--- a/entry/internal/gate/gate.go
+++ b/entry/internal/edge/gate.go
@@ -1,6 +1,6 @@
 // Package gate is the callers' side of an entry host: it knows who calls,
 // finds the route, and hands a request to package relay or package pass.
-package gate
+package edge
 
 import (
 	"context"
@@ -14,7 +14,7 @@
 	"github.com/cloudwego/hertz/pkg/app"
 	"github.com/cloudwego/hertz/pkg/app/server"
 
-	"fuchsiashelf.dev/entry/internal/pass"
+	"fuchsiashelf.dev/entry/internal/invoke"
 	"fuchsiashelf.dev/entry/internal/relay"
 	"fuchsiashelf.dev/parts/fault"
 	"fuchsiashelf.dev/parts/pool"
@@ -28,7 +28,7 @@
 type Handler struct {
 	View  *view.Publisher
 	Relay *relay.Forwarder
-	Pass  *pass.Forwarder
+	Pass  *invoke.Forwarder
 	// Admission holds requests back when their pool is full; nil lets all
 	// through.
 	Admission *Admission
--- a/entry/internal/gate/plain.go
+++ b/entry/internal/edge/plain.go
@@ -1,4 +1,4 @@
-package gate
+package edge
 
 import (
 	"context"
@@ -9,7 +9,7 @@
 
 	"github.com/cloudwego/hertz/pkg/app"
 
-	"fuchsiashelf.dev/entry/internal/pass"
+	"fuchsiashelf.dev/entry/internal/invoke"
 	"fuchsiashelf.dev/parts/fault"
 	"fuchsiashelf.dev/parts/rule"
 	"fuchsiashelf.dev/parts/view"
@@ -56,7 +56,7 @@
 		return
 	}
 	defer grant.Release()
-	reply, e := g.Pass.Call(ctx, &pass.Call{
+	reply, e := g.Pass.Call(ctx, &invoke.Call{
 		Request: request, Team: who.Name, ID: id,
 		Service: s, Pool: p, Method: string(c.Method()),
 		URI: string(c.Request.URI().RequestURI()), Header: requestHeader(c),
@@ -76,9 +76,9 @@
 // one and the backend server by the other, and neither would see a repeat.
 func callID(c *app.RequestContext) (string, *fault.Error) {
 	bad := func(message string) *fault.Error {
-		return &fault.Error{Code: fault.BadRequest, Verdict: fault.NotRun, Field: pass.IDHeader, Message: message}
+		return &fault.Error{Code: fault.BadRequest, Verdict: fault.NotRun, Field: invoke.IDHeader, Message: message}
 	}
-	ids := c.Request.Header.GetAll(pass.IDHeader)
+	ids := c.Request.Header.GetAll(invoke.IDHeader)
 	switch {
 	case len(ids) == 0:
 		return "", nil
@@ -123,7 +123,7 @@
 	strip(header)
 	// A caller's word must not be taken for the system's.
 	for name := range header {
-		if strings.HasPrefix(name, pass.HeaderPrefix) {
+		if strings.HasPrefix(name, invoke.HeaderPrefix) {
 			header.Del(name)
 		}
 	}
@@ -149,12 +149,12 @@
 
 // respond writes an answer. Several callers may get the same one, so it is
 // left as it is.
-func respond(c *app.RequestContext, reply *pass.Reply) {
+func respond(c *app.RequestContext, reply *invoke.Reply) {
 	header := reply.Header.Clone()
 	strip(header)
 	header.Del("Content-Length")
 	for name, values := range header {
-		if strings.HasPrefix(name, pass.HeaderPrefix) {
+		if strings.HasPrefix(name, invoke.HeaderPrefix) {
 			continue
 		}
 		c.Response.Header.Del(name)
--- a/entry/internal/gate/plain_test.go
+++ b/entry/internal/edge/plain_test.go
@@ -1,4 +1,4 @@
-package gate
+package edge
 
 import (
 	"net/http"
@@ -8,7 +8,7 @@
 	"github.com/cloudwego/hertz/pkg/app"
 	qt "github.com/frankban/quicktest"
 
-	"fuchsiashelf.dev/entry/internal/pass"
+	"fuchsiashelf.dev/entry/internal/invoke"
 	"fuchsiashelf.dev/parts/conf"
 	"fuchsiashelf.dev/parts/rule"
 	"fuchsiashelf.dev/parts/view"
@@ -57,7 +57,7 @@
 // Two callers that sent the same call get the same answer, at the same time.
 // Each keeps all of its end-to-end headers.
 func TestRespond(t *testing.T) {
-	reply := &pass.Reply{Status: 201, Body: []byte("ok"), Header: http.Header{
+	reply := &invoke.Reply{Status: 201, Body: []byte("ok"), Header: http.Header{
 		"Set-Cookie": {"a=1", "b=2"}, "X-End": {"kept"}, "Connection": {"X-Hop"}, "X-Hop": {"1"},
 		"Fuchsia-Verdict": {"not-run"}, "Content-Type": {"text/plain"},
 	}}
@@ -97,7 +97,7 @@
 		qt.Check(t, got, qt.Equals, test.want)
 		qt.Check(t, e == nil, qt.Equals, test.good)
 		if e != nil {
-			qt.Check(t, e.Field, qt.Equals, pass.IDHeader)
+			qt.Check(t, e.Field, qt.Equals, invoke.IDHeader)
 		}
 	}
 }
--- a/entry/internal/pass/pass.go
+++ b/entry/internal/invoke/pass.go
@@ -5,7 +5,7 @@
 // under a claim in the object API (package claim), under a ticket that this
 // or another entry host issued (package ticket), or, where the service asks
 // for no id, as a call of its own.
-package pass
+package invoke
 
 import (
 	"context"
--- a/entry/internal/pass/ticketed.go
+++ b/entry/internal/invoke/ticketed.go
@@ -1,4 +1,4 @@
-package pass
+package invoke
 
 import (
 	"context"
--- a/entry/internal/owner/answer.go
+++ b/entry/internal/owner/answer.go
@@ -4,7 +4,7 @@
 	"context"
 	"time"
 
-	"fuchsiashelf.dev/entry/internal/pass"
+	"fuchsiashelf.dev/entry/internal/invoke"
 	"fuchsiashelf.dev/parts/claim"
 	"fuchsiashelf.dev/parts/fault"
 	"fuchsiashelf.dev/parts/ticket"
@@ -46,7 +46,7 @@
 
 // redeem runs a call under a ticket of this entry host. It goes by this
 // host's own configuration.
-func (r *Client) redeem(ctx context.Context, ask *wire.CallAsk, deadline time.Time) (*pass.Reply, *fault.Error) {
+func (r *Client) redeem(ctx context.Context, ask *wire.CallAsk, deadline time.Time) (*invoke.Reply, *fault.Error) {
 	if !ticket.Is(ask.Id) {
 		return nil, &fault.Error{Code: fault.BadRequest, Verdict: fault.MayHaveRun, Message: "not a ticket"}
 	}
@@ -58,13 +58,13 @@
 			Message: "the entry host that issued the ticket knows no route for service " + ask.Service,
 		}
 	}
-	return r.Pass.Redeem(ctx, &pass.Call{
+	return r.Pass.Redeem(ctx, &invoke.Call{
 		Request: ask.Id, Team: ask.Team, ID: ask.Id, Service: snap.Config.Services[ask.Service], Pool: p,
 		Method: ask.Method, URI: ask.Uri, Header: header(ask.Headers), Body: ask.Body, Deadline: deadline,
 	})
 }
 
-func answer(reply *pass.Reply) *wire.CallReply {
+func answer(reply *invoke.Reply) *wire.CallReply {
 	if len(reply.Body) > maxForward {
 		return refusal(&fault.Error{
 			Code: fault.BrokenAnswer, Verdict: fault.Ran, Message: "the answer is too large to be handed on",
--- a/entry/internal/owner/owner.go
+++ b/entry/internal/owner/owner.go
@@ -8,7 +8,7 @@
 	"net/http"
 	"time"
 
-	"fuchsiashelf.dev/entry/internal/pass"
+	"fuchsiashelf.dev/entry/internal/invoke"
 	"fuchsiashelf.dev/parts/claim"
 	"fuchsiashelf.dev/parts/fault"
 	"fuchsiashelf.dev/parts/host"
@@ -22,12 +22,12 @@
 	View   *view.Publisher
 	Secret string
 	// Pass runs the calls of this entry host.
-	Pass *pass.Forwarder
+	Pass *invoke.Forwarder
 	// Client returns a client of another entry host.
 	Client func(ctx context.Context, h host.Host) (wire.DRPCEntryClient, error)
 }
 
-var _ pass.Peers = (*Client)(nil)
+var _ invoke.Peers = (*Client)(nil)
 
 const (
 	// joinWait bounds the time that a caller waits for a holder's answer. A
@@ -79,10 +79,10 @@
 }
 
 // AwaitClaim implements pass.Peers.
-func (r *Client) AwaitClaim(ctx context.Context, holder claim.Holder, call *pass.Call, nonce uint64) pass.ClaimStatus {
+func (r *Client) AwaitClaim(ctx context.Context, holder claim.Holder, call *invoke.Call, nonce uint64) invoke.ClaimStatus {
 	h, listed := r.find(holder.Entry)
 	if !listed {
-		return pass.ClaimStatus{}
+		return invoke.ClaimStatus{}
 	}
 	end := time.Now().Add(joinWait)
 	if call.Deadline.Before(end) {
@@ -96,18 +96,18 @@
 	})
 	switch {
 	case err != nil:
-		return pass.ClaimStatus{}
+		return invoke.ClaimStatus{}
 	case reply.Never:
-		return pass.ClaimStatus{NeverSent: true}
+		return invoke.ClaimStatus{NeverSent: true}
 	case reply.Code == "":
-		return pass.ClaimStatus{Reply: received(reply)}
+		return invoke.ClaimStatus{Reply: received(reply)}
 	}
-	return pass.ClaimStatus{Pending: reply.RetryAfterMs > 0}
+	return invoke.ClaimStatus{Pending: reply.RetryAfterMs > 0}
 }
 
 // Forward implements pass.Peers. Whatever fails, the verdict is MayHaveRun:
 // an earlier call under the ticket may have run, and only its issuer knows.
-func (r *Client) Forward(ctx context.Context, entry string, call *pass.Call) (*pass.Reply, *fault.Error) {
+func (r *Client) Forward(ctx context.Context, entry string, call *invoke.Call) (*invoke.Reply, *fault.Error) {
 	lost := func(message string, cause error) *fault.Error {
 		return &fault.Error{Code: fault.Repeated, Verdict: fault.MayHaveRun, Message: message, Cause: cause}
 	}
@@ -149,8 +149,8 @@
 	return h
 }
 
-func received(reply *wire.CallReply) *pass.Reply {
-	return &pass.Reply{Status: int(reply.Status), Header: header(reply.Headers), Body: reply.Body}
+func received(reply *wire.CallReply) *invoke.Reply {
+	return &invoke.Reply{Status: int(reply.Status), Header: header(reply.Headers), Body: reply.Body}
 }
 
 func failed(reply *wire.CallReply) *fault.Error {
--- a/entry/placer/order.go
+++ b/entry/placer/order.go
@@ -4,8 +4,8 @@
 	"context"
 	"time"
 
-	"fuchsiashelf.dev/entry/belief"
 	"fuchsiashelf.dev/entry/call"
+	"fuchsiashelf.dev/entry/state"
 	"fuchsiashelf.dev/parts/fleet"
 	"fuchsiashelf.dev/parts/place"
 	"fuchsiashelf.dev/parts/route"
@@ -41,7 +41,7 @@
 	}
 	until := now.Add(besideOthers*loadTime(e, o.End-o.First) + heartbeats)
 	p.settle(o.Server, o.First, o.End, until)
-	if p.State.Assign(belief.Assignment{ID: o.Server.ID, First: o.First, End: o.End, Until: until}, now) {
+	if p.State.Assign(state.Assignment{ID: o.Server.ID, First: o.First, End: o.End, Until: until}, now) {
 		p.Broadcast()
 	}
 	if o.First < o.Server.First || o.End > o.Server.End {
@@ -78,7 +78,7 @@
 		}
 		now := time.Now()
 		p.Log.Info("placer: carried out", "server", o.Server.ID, "first", o.First, "end", o.End)
-		if p.State.Assign(belief.Assignment{ID: o.Server.ID, First: o.First, End: o.End, Until: now.Add(shownIn), Done: true}, now) {
+		if p.State.Assign(state.Assignment{ID: o.Server.ID, First: o.First, End: o.End, Until: now.Add(shownIn), Done: true}, now) {
 			p.Broadcast()
 		}
 		return
--- a/entry/placer/placer.go
+++ b/entry/placer/placer.go
@@ -17,13 +17,13 @@
 	"sync"
 	"time"
 
-	"fuchsiashelf.dev/entry/belief"
 	"fuchsiashelf.dev/entry/call"
+	"fuchsiashelf.dev/entry/state"
 	"fuchsiashelf.dev/parts/domain"
 	"fuchsiashelf.dev/parts/fleet"
-	"fuchsiashelf.dev/parts/hops"
 	"fuchsiashelf.dev/parts/place"
 	"fuchsiashelf.dev/parts/route"
+	"fuchsiashelf.dev/parts/router"
 )
 
 // Timeouts and intervals.
@@ -60,9 +60,9 @@
 
 // Placer decides and orders. Set the exported fields before Run.
 type Placer struct {
-	State  *belief.Local
+	State  *state.Local
 	Engine call.EngineClient
-	Ledger *hops.LoadTracker
+	Ledger *router.LoadTracker
 	// Broadcast sends a new order to other entry hosts.
 	Broadcast func()
 	// IsLeader reports whether this entry host is the one to place.
--- a/entry/placer/placer_test.go
+++ b/entry/placer/placer_test.go
@@ -9,13 +9,13 @@
 
 	qt "github.com/frankban/quicktest"
 
-	"fuchsiashelf.dev/entry/belief"
 	"fuchsiashelf.dev/entry/call"
 	"fuchsiashelf.dev/entry/placer"
+	"fuchsiashelf.dev/entry/state"
 	"fuchsiashelf.dev/parts/fleet"
-	"fuchsiashelf.dev/parts/hops"
 	"fuchsiashelf.dev/parts/mirror"
 	"fuchsiashelf.dev/parts/route"
+	"fuchsiashelf.dev/parts/router"
 )
 
 // town decodes servers and a configuration that a test made.
@@ -47,7 +47,7 @@
 	return call.OrderStarted, nil
 }
 
-func (e engines) Reroute(context.Context, string, hops.Chain) (call.OrderResult, string, error) {
+func (e engines) Reroute(context.Context, string, router.Chain) (call.OrderResult, string, error) {
 	return call.OrderRejected, "", errors.New("no streams in this test")
 }
 
@@ -65,12 +65,12 @@
 	config.Replace([]mirror.Object{{Name: "main", Revision: 1}}, 1)
 	known.Replace(items, 1)
 	log := slog.New(slog.DiscardHandler)
-	state := &belief.Local{Decoder: servers, Log: log, LocalDomain: "a", Config: config, Servers: known}
+	state := &state.Local{Decoder: servers, Log: log, LocalDomain: "a", Config: config, Servers: known}
 	state.ReadConfig("main")
 	state.ReadServers(time.Now())
 	e := engines{servers, make(chan [2]int, 16)}
 	p := &placer.Placer{
-		State: state, Engine: e, Ledger: &hops.LoadTracker{}, Broadcast: func() {}, IsLeader: func() bool { return true }, Log: log, Interval: time.Hour,
+		State: state, Engine: e, Ledger: &router.LoadTracker{}, Broadcast: func() {}, IsLeader: func() bool { return true }, Log: log, Interval: time.Hour,
 	}
 	ctx, end := context.WithCancel(t.Context())
 	done := make(chan struct{})
--- a/entry/prog/calls.go
+++ b/entry/prog/calls.go
@@ -4,9 +4,9 @@
 	"math/rand/v2"
 	"time"
 
+	"fuchsiashelf.dev/entry/internal/invoke"
 	"fuchsiashelf.dev/entry/internal/mesh"
 	"fuchsiashelf.dev/entry/internal/owner"
-	"fuchsiashelf.dev/entry/internal/pass"
 	"fuchsiashelf.dev/parts/claim"
 	"fuchsiashelf.dev/parts/store"
 	"fuchsiashelf.dev/parts/ticket"
@@ -15,9 +15,9 @@
 )
 
 // calls makes the parts that hand calls through to plain services.
-func (d *daemon) calls(holder *view.Publisher, line *trace.Recorder, api store.API, peers *mesh.Mesh) *pass.Forwarder {
+func (d *daemon) calls(holder *view.Publisher, line *trace.Recorder, api store.API, peers *mesh.Mesh) *invoke.Forwarder {
 	others := &owner.Client{View: holder, Secret: d.settings.PeerSecret, Client: peers.Client}
-	p := &pass.Forwarder{
+	p := &invoke.Forwarder{
 		View: holder, Trace: line, Log: d.log,
 		Claims: &claim.Writer{
 			Store: api, Log: d.log, Writes: d.settings.Claims.WriteRate, Done: make(chan struct{}),
--- a/entry/prog/desk.go
+++ b/entry/prog/desk.go
@@ -3,8 +3,8 @@
 import (
 	"github.com/panjf2000/ants/v2"
 
+	"fuchsiashelf.dev/entry/internal/admin"
 	"fuchsiashelf.dev/entry/internal/mesh"
-	"fuchsiashelf.dev/entry/internal/seat"
 	"fuchsiashelf.dev/entry/internal/watch"
 	"fuchsiashelf.dev/parts/store"
 	"fuchsiashelf.dev/parts/trace"
@@ -16,7 +16,7 @@
 const seatWorkers = 128
 
 // deskParts makes the parts that put the operators' lines in force.
-func (d *daemon) deskParts(holder *view.Publisher, line *trace.Recorder, api store.API) (*watch.Watcher, *mesh.Mesh, *seat.Server, error) {
+func (d *daemon) deskParts(holder *view.Publisher, line *trace.Recorder, api store.API) (*watch.Watcher, *mesh.Mesh, *admin.Server, error) {
 	workers, err := ants.NewPool(seatWorkers)
 	if err != nil {
 		return nil, nil, nil, err
@@ -28,7 +28,7 @@
 	if err != nil {
 		return nil, nil, nil, err
 	}
-	desk := &seat.Server{
+	desk := &admin.Server{
 		View: holder, Store: api, Watch: feeder, Mesh: peers,
 		Trace: line, Log: d.log, Secret: d.settings.DeskSecret, Workers: workers,
 		MaxCallTime: d.settings.Claims.MaxDeadline,
--- a/entry/prog/prog.go
+++ b/entry/prog/prog.go
@@ -16,7 +16,7 @@
 	"github.com/cloudwego/hertz/pkg/app"
 	"github.com/rcrowley/go-metrics"
 
-	"fuchsiashelf.dev/entry/internal/gate"
+	"fuchsiashelf.dev/entry/internal/edge"
 	"fuchsiashelf.dev/entry/internal/setup"
 	"fuchsiashelf.dev/parts/boot"
 	"fuchsiashelf.dev/parts/httpd"
@@ -102,7 +102,7 @@
 	defer path.release()
 	path.relay.Guard = d.guard(holder, line, peers)
 	calls := d.calls(holder, line, api, peers)
-	door := &gate.Handler{
+	door := &edge.Handler{
 		View:  holder,
 		Relay: path.relay,
 		Pass:  calls, Admission: d.admission(holder, line, peers),
@@ -136,7 +136,7 @@
 	return err
 }
 
-func (d *daemon) serveCallers(ctx context.Context, door *gate.Handler) error {
+func (d *daemon) serveCallers(ctx context.Context, door *edge.Handler) error {
 	front := &httpd.Server{
 		Listener: d.callers, MaxBody: d.settings.MaxBody, TooLarge: door.RejectTooLarge,
 		DrainDelay: d.settings.Linger, Draining: door.RejectDraining,
@@ -154,7 +154,7 @@
 // opsGrace is how long the metrics page waits for its readers at a stop.
 const opsGrace = 200 * time.Millisecond
 
-func (d *daemon) serveOps(ctx context.Context, door *gate.Handler) error {
+func (d *daemon) serveOps(ctx context.Context, door *edge.Handler) error {
 	page := &httpd.Server{Listener: d.ops}
 	page.Init()
 	door.RegisterHealth(page.Hertz)
--- a/entry/belief/belief.go
+++ b/entry/state/belief.go
@@ -5,7 +5,7 @@
 // goes back to an older version. A backend server whose entry vanished right
 // after an outage of the object API is kept for a while: entries expire during the
 // outage, and living servers register again.
-package belief
+package state
 
 import (
 	"log/slog"
--- a/entry/belief/belief_test.go
+++ b/entry/state/belief_test.go
@@ -1,4 +1,4 @@
-package belief_test
+package state_test
 
 import (
 	"errors"
@@ -8,7 +8,7 @@
 
 	qt "github.com/frankban/quicktest"
 
-	"fuchsiashelf.dev/entry/belief"
+	"fuchsiashelf.dev/entry/state"
 	"fuchsiashelf.dev/parts/fleet"
 	"fuchsiashelf.dev/parts/mirror"
 	"fuchsiashelf.dev/parts/route"
@@ -38,8 +38,8 @@
 	return s, nil
 }
 
-func newLocal() *belief.Local {
-	return &belief.Local{
+func newLocal() *state.Local {
+	return &state.Local{
 		Decoder: decoder{}, Log: slog.New(slog.DiscardHandler), LocalDomain: "a",
 		Config: &mirror.Mirror{Kind: "config"}, Servers: &mirror.Mirror{Kind: "servers"}, ProbeExpired: func(string) {},
 	}
@@ -51,7 +51,7 @@
 
 var start = time.Unix(1_700_000_000, 0)
 
-func ids(s *belief.Local) []string {
+func ids(s *state.Local) []string {
 	var list []string
 	for _, server := range s.View().Servers {
 		list = append(list, server.ID)
@@ -128,10 +128,10 @@
 	s := newLocal()
 	s.Servers.Replace([]mirror.Object{item("i-1", 1, 1)}, 1)
 	s.ReadServers(start)
-	qt.Assert(t, s.Assign(belief.Assignment{ID: "i-1", First: 5, End: 25, Until: start.Add(time.Minute)}, start), qt.IsTrue)
+	qt.Assert(t, s.Assign(state.Assignment{ID: "i-1", First: 5, End: 25, Until: start.Add(time.Minute)}, start), qt.IsTrue)
 	server := s.View().Servers[0]
 	qt.Assert(t, []int{server.First, server.End, server.MemoryLayers}, qt.DeepEquals, []int{5, 10, 20})
-	qt.Assert(t, s.Assign(belief.Assignment{ID: "i-1", First: 5, End: 25, Until: start.Add(time.Minute)}, start), qt.IsFalse)
+	qt.Assert(t, s.Assign(state.Assignment{ID: "i-1", First: 5, End: 25, Until: start.Add(time.Minute)}, start), qt.IsFalse)
 	s.ReadServers(start.Add(2 * time.Minute))
 	qt.Assert(t, s.View().Servers[0].LayerCount(), qt.Equals, 10)
 }
@@ -143,7 +143,7 @@
 	s := newLocal()
 	s.Servers.Replace([]mirror.Object{item("i-1", 1, 1)}, 1)
 	s.ReadServers(start)
-	order := belief.Assignment{ID: "i-1", First: 5, End: 25, Until: start.Add(time.Minute)}
+	order := state.Assignment{ID: "i-1", First: 5, End: 25, Until: start.Add(time.Minute)}
 	s.Assign(order, start)
 	order.Done, order.Until = true, start.Add(2*time.Second)
 	qt.Assert(t, s.Assign(order, start), qt.IsTrue)
@@ -174,7 +174,7 @@
 	s := newLocal()
 	s.Servers.Replace([]mirror.Object{item("i-1", 1, 1)}, 1)
 	s.ReadServers(start)
-	s.Assign(belief.Assignment{ID: "i-1", First: 0, End: 20, Until: start.Add(time.Hour)}, start)
+	s.Assign(state.Assignment{ID: "i-1", First: 0, End: 20, Until: start.Add(time.Hour)}, start)
 	s.Suspect("i-1", start.Add(time.Hour), start)
 	s.Servers.Merge(mirror.Batch{After: 1, Cursor: 2, Items: []mirror.Object{item("i-1", 2, anew)}})
 	s.ReadServers(start.Add(time.Minute))
--- a/entry/belief/publish.go
+++ b/entry/state/publish.go
@@ -1,4 +1,4 @@
-package belief
+package state
 
 import (
 	"slices"
--- a/entry/belief/scale_test.go
+++ b/entry/state/scale_test.go
@@ -1,4 +1,4 @@
-package belief_test
+package state_test
 
 import (
 	"fmt"
@@ -8,12 +8,12 @@
 
 	qt "github.com/frankban/quicktest"
 
-	"fuchsiashelf.dev/entry/belief"
+	"fuchsiashelf.dev/entry/state"
 	"fuchsiashelf.dev/parts/mirror"
 )
 
 // many returns a belief of so many servers.
-func many(n int) *belief.Local {
+func many(n int) *state.Local {
 	s := newLocal()
 	var items []mirror.Object
 	for i := range n {
@@ -45,7 +45,7 @@
 	s := many(3000)
 	at, revision := start, uint64(1)
 	changes := map[string]func(){
-		"order":   func() { s.Assign(belief.Assignment{ID: name(7), First: 0, End: 5, Until: at}, at) },
+		"order":   func() { s.Assign(state.Assignment{ID: name(7), First: 0, End: 5, Until: at}, at) },
 		"suspect": func() { s.Suspect(name(8), at, at) },
 		"clear":   func() { s.ClearSuspicion(name(8), at) },
 		"slow":    func() { s.RecordSlowness(name(9), float64(at.Unix()), at) },
@@ -68,7 +68,7 @@
 // published.
 func TestChangesArePublishedOneByOne(t *testing.T) {
 	s := many(4)
-	s.Assign(belief.Assignment{ID: name(0), First: 0, End: 4, Until: start.Add(time.Second)}, start)
+	s.Assign(state.Assignment{ID: name(0), First: 0, End: 4, Until: start.Add(time.Second)}, start)
 	s.Suspect(name(1), start.Add(time.Second), start)
 	s.RecordSlowness(name(2), 12, start)
 	v := s.View()
@@ -112,12 +112,12 @@
 	now := start
 	one.RecordSlowness(name(0), 12, now)
 	for range 60 {
-		for _, pair := range [][2]*belief.Local{{one, other}, {other, one}} {
+		for _, pair := range [][2]*state.Local{{one, other}, {other, one}} {
 			list := pair[0].SlowServers()
 			sent := now
 			now = now.Add(60 * time.Millisecond)
 			for _, slow := range list {
-				pair[1].MergeSlow(belief.SlowServer{ID: slow.ID, Factor: slow.Factor, Until: now.Add(slow.Until.Sub(sent))}, now)
+				pair[1].MergeSlow(state.SlowServer{ID: slow.ID, Factor: slow.Factor, Until: now.Add(slow.Until.Sub(sent))}, now)
 			}
 		}
 		one.Sweep(now)
--- a/entry/stream/accuse.go
+++ b/entry/stream/accuse.go
@@ -6,8 +6,8 @@
 	"syscall"
 	"time"
 
-	"fuchsiashelf.dev/entry/belief"
 	"fuchsiashelf.dev/entry/call"
+	"fuchsiashelf.dev/entry/state"
 	"fuchsiashelf.dev/parts/poison"
 	"fuchsiashelf.dev/parts/probe"
 )
@@ -107,7 +107,7 @@
 	if s := w.State.View().ByAddress(address); s == nil || s.ID != id {
 		return false
 	}
-	if w.State.Suspect(id, now.Add(belief.SuspectFor), now) {
+	if w.State.Suspect(id, now.Add(state.SuspectFor), now) {
 		w.Log.Warn("servers: suspected", "server", id, "address", address, "why", why, "error", err)
 		w.Broadcast()
 	}
--- a/entry/stream/choose.go
+++ b/entry/stream/choose.go
@@ -6,12 +6,12 @@
 
 	"fuchsiashelf.dev/entry/call"
 	"fuchsiashelf.dev/parts/fault"
-	"fuchsiashelf.dev/parts/hops"
-	"fuchsiashelf.dev/parts/turns"
+	"fuchsiashelf.dev/parts/prio"
+	"fuchsiashelf.dev/parts/router"
 )
 
 // query describes the choice of a chain for a new run of a job.
-func (f *Forwarder) query(j *call.Job) *hops.Query {
+func (f *Forwarder) query(j *call.Job) *router.Query {
 	q := f.Monitor.query(j)
 	q.Delay = func(id string) float64 { return f.delay(j, id) }
 	return q
@@ -20,12 +20,12 @@
 // delay returns the cost, in seconds, of starting a chain for a job at a server
 // where requests wait or fail.
 func (f *Forwarder) delay(j *call.Job, id string) float64 {
-	return hops.StartCost(f.Monitor.Starts.Wait(id, time.Now()), firstTarget(j.Route)) + f.Failures.ExpectedDelay(id)
+	return router.StartCost(f.Monitor.Starts.Wait(id, time.Now()), firstTarget(j.Route)) + f.Failures.ExpectedDelay(id)
 }
 
 // choose finds a chain. A request for which there is no room now is queued, or
 // refused at once if the queue is full.
-func (r *run) choose(ctx context.Context) (hops.Chain, *fault.Error) {
+func (r *run) choose(ctx context.Context) (router.Chain, *fault.Error) {
 	if r.began {
 		return r.reroute(ctx)
 	}
@@ -45,7 +45,7 @@
 
 // lookOrRefuse takes room that the queued requests cannot use, because they are
 // larger or have tried its servers, and otherwise refuses the request at once.
-func (r *run) lookOrRefuse(after time.Duration) (hops.Chain, *fault.Error) {
+func (r *run) lookOrRefuse(after time.Duration) (router.Chain, *fault.Error) {
 	chain, e := r.look()
 	if chain == nil && e == nil {
 		e = full(after)
@@ -55,7 +55,7 @@
 
 // reroute finds a chain for an answer that broke off midway. It polls until shortly
 // before the caller gives up, and goes before requests that have not begun.
-func (r *run) reroute(ctx context.Context) (hops.Chain, *fault.Error) {
+func (r *run) reroute(ctx context.Context) (router.Chain, *fault.Error) {
 	until := r.passed.Add(rerouteWait(r.job.Route))
 	for {
 		chain, e := r.look()
@@ -78,7 +78,7 @@
 
 // look finds a chain with room. Neither a chain nor an error means that there
 // is none now.
-func (r *run) look() (hops.Chain, *fault.Error) {
+func (r *run) look() (router.Chain, *fault.Error) {
 	q := r.query(r.job)
 	q.Avoid = r.avoid
 	if chain := r.pick(q); chain != nil {
@@ -93,7 +93,7 @@
 
 // pick finds a chain that crosses failure domains only if their link has room
 // for the prompt.
-func (r *run) pick(q *hops.Query) hops.Chain {
+func (r *run) pick(q *router.Query) router.Chain {
 	chain := q.Pick()
 	if chain != nil && !r.Monitor.mayCross(r.job, chain.Crossings()) {
 		q.SingleDomain = true
@@ -104,7 +104,7 @@
 }
 
 // wait waits in the queue for room.
-func (r *run) wait(ctx context.Context, place *turns.Waiter) (hops.Chain, *fault.Error) {
+func (r *run) wait(ctx context.Context, place *prio.Waiter) (router.Chain, *fault.Error) {
 	until := time.Now().Add(min(longestWait(r.job.Route), r.job.Remaining()/2))
 	for time.Now().Add(waitStep).Before(until) {
 		if r.Queue.AtHead(place) {
@@ -127,7 +127,7 @@
 
 // lastResort finds a chain through servers that are suspected, where no other
 // holds all layers: a suspicion may be wrong.
-func (r *run) lastResort(q *hops.Query) (hops.Chain, *fault.Error) {
+func (r *run) lastResort(q *router.Query) (router.Chain, *fault.Error) {
 	q.AllowSuspected, q.Overcommit = true, false
 	if chain := q.Pick(); chain != nil {
 		return chain, nil
--- a/entry/stream/fail.go
+++ b/entry/stream/fail.go
@@ -9,7 +9,7 @@
 	"time"
 
 	"fuchsiashelf.dev/entry/call"
-	"fuchsiashelf.dev/entry/line"
+	"fuchsiashelf.dev/entry/conns"
 	"fuchsiashelf.dev/parts/fault"
 	"fuchsiashelf.dev/parts/fleet"
 )
@@ -45,7 +45,7 @@
 
 // failed handles a server's own failure. It is kept, and delivered if no other
 // chain does better before the caller has seen anything of an answer.
-func (r *run) failed(answer *line.Response, reply call.Reply) *fault.Error {
+func (r *run) failed(answer *conns.Response, reply call.Reply) *fault.Error {
 	body, err := io.ReadAll(io.LimitReader(answer, readSize))
 	r.avoid[answer.Request.URL.Host] = true
 	if err == nil && !call.StatusMeansNotRun(reply.Status) {
@@ -66,7 +66,7 @@
 }
 
 // broken explains an answer that ended early.
-func (r *run) broken(ctx context.Context, answer *line.Response, err error) *fault.Error {
+func (r *run) broken(ctx context.Context, answer *conns.Response, err error) *fault.Error {
 	answer.Reset()
 	if r.events.gap {
 		err = errors.New("an event is missing")
--- a/entry/stream/flow.go
+++ b/entry/stream/flow.go
@@ -17,15 +17,15 @@
 	"sync/atomic"
 	"time"
 
-	"fuchsiashelf.dev/entry/belief"
 	"fuchsiashelf.dev/entry/call"
-	"fuchsiashelf.dev/entry/line"
+	"fuchsiashelf.dev/entry/conns"
+	"fuchsiashelf.dev/entry/state"
 	"fuchsiashelf.dev/parts/domain"
 	"fuchsiashelf.dev/parts/fault"
 	"fuchsiashelf.dev/parts/fleet"
-	"fuchsiashelf.dev/parts/hops"
+	"fuchsiashelf.dev/parts/prio"
 	"fuchsiashelf.dev/parts/retry"
-	"fuchsiashelf.dev/parts/turns"
+	"fuchsiashelf.dev/parts/router"
 )
 
 const (
@@ -46,11 +46,11 @@
 // Forwarder passes requests on. Set the exported fields before use.
 type Forwarder struct {
 	Codec   call.Codec
-	Pool    *line.Pool
-	State   *belief.Local
-	Ledger  *hops.LoadTracker
+	Pool    *conns.Pool
+	State   *state.Local
+	Ledger  *router.LoadTracker
 	Monitor *Monitor
-	Queue   *turns.Queue
+	Queue   *prio.Queue
 	// Failures holds which servers fail requests.
 	Failures    *Failures
 	LocalDomain domain.Name
@@ -105,7 +105,7 @@
 }
 
 // attempt runs the request on one chain and passes the answer on.
-func (r *run) attempt(ctx context.Context, chain hops.Chain) *fault.Error {
+func (r *run) attempt(ctx context.Context, chain router.Chain) *fault.Error {
 	first := chain[0].Server
 	actx, cancel := context.WithCancelCause(ctx)
 	defer cancel(nil)
@@ -114,9 +114,9 @@
 	start := r.Monitor.Starts.Track(first.ID, notableWait(r.job.Route), time.Now())
 	defer r.Monitor.Starts.Untrack(start)
 	var reply call.Reply
-	o := line.Options{MaxIdle: fresh, Inspect: func(resp *http.Response) line.ResponseInfo {
+	o := conns.Options{MaxIdle: fresh, Inspect: func(resp *http.Response) conns.ResponseInfo {
 		reply = r.Codec.ParseReply(resp)
-		return line.ResponseInfo{OtherRequest: reply.ID != "" && reply.ID != r.job.ID, Close: reply.Closing, IdleTimeout: reply.IdleTimeout}
+		return conns.ResponseInfo{OtherRequest: reply.ID != "" && reply.ID != r.job.ID, Close: reply.Closing, IdleTimeout: reply.IdleTimeout}
 	}}
 	req := r.Codec.NewRequest(r.job.Request, call.SendOptions{
 		Server: first, Chain: chain, Timeout: r.job.Remaining(), Team: r.job.Team,
@@ -151,7 +151,7 @@
 }
 
 // relay passes the events of an answer on until its end.
-func (r *run) relay(ctx context.Context, answer *line.Response, live *live, start *hops.PendingStart) *fault.Error {
+func (r *run) relay(ctx context.Context, answer *conns.Response, live *live, start *router.PendingStart) *fault.Error {
 	r.events.resume()
 	r.begin(answer)
 	flush := http.NewResponseController(r.w)
@@ -180,7 +180,7 @@
 }
 
 // begin gives the caller the header of the first run's answer.
-func (r *run) begin(answer *line.Response) {
+func (r *run) begin(answer *conns.Response) {
 	if r.began {
 		return
 	}
--- a/entry/stream/live.go
+++ b/entry/stream/live.go
@@ -7,8 +7,8 @@
 	"time"
 
 	"fuchsiashelf.dev/entry/call"
-	"fuchsiashelf.dev/parts/hops"
 	"fuchsiashelf.dev/parts/probe"
+	"fuchsiashelf.dev/parts/router"
 )
 
 // live is a stream under way.
@@ -24,7 +24,7 @@
 	began       atomic.Bool
 
 	mu      sync.Mutex
-	chain   hops.Chain
+	chain   router.Chain
 	release func()
 	busy    bool
 	ended   bool
@@ -89,7 +89,7 @@
 }
 
 // parts returns the chain.
-func (l *live) parts() hops.Chain {
+func (l *live) parts() router.Chain {
 	l.mu.Lock()
 	defer l.mu.Unlock()
 	return l.chain
@@ -110,7 +110,7 @@
 
 // move reserves another chain for the stream. The answer to an order to change its
 // chain may arrive after its end; a reservation made then would never be released.
-func (l *live) move(ledger *hops.LoadTracker, chain hops.Chain) {
+func (l *live) move(ledger *router.LoadTracker, chain router.Chain) {
 	l.mu.Lock()
 	defer l.mu.Unlock()
 	if l.ended {
--- a/entry/stream/live_test.go
+++ b/entry/stream/live_test.go
@@ -8,22 +8,22 @@
 
 	"fuchsiashelf.dev/entry/call"
 	"fuchsiashelf.dev/parts/fleet"
-	"fuchsiashelf.dev/parts/hops"
 	"fuchsiashelf.dev/parts/route"
+	"fuchsiashelf.dev/parts/router"
 )
 
 // A stream ends while an order to change its chain is on its way, and the order
 // is taken. Room that was booked for it then would never come free: after some
 // hours of such streams everybody would be refused.
 func TestNoRoomIsBookedForAnEndedStream(t *testing.T) {
-	ledger := &hops.LoadTracker{}
+	ledger := &router.LoadTracker{}
 	w := &Monitor{Ledger: ledger}
-	chain := hops.Chain{{Server: &fleet.Server{ID: "i-1"}, First: 0, End: 4}}
+	chain := router.Chain{{Server: &fleet.Server{ID: "i-1"}, First: 0, End: 4}}
 	j := &call.Job{Request: &call.Request{PromptTokens: 10, TokensHint: 5}, Route: chat, Service: &route.Service{Engine: &route.Engine{}}}
 	_, cancel := context.WithCancelCause(context.Background())
 	l := w.add(j, chain, cancel, nil)
-	qt.Assert(t, ledger.Used("i-1"), qt.Equals, hops.Usage{TokenLayers: 60, Requests: 1, Starts: 1})
+	qt.Assert(t, ledger.Used("i-1"), qt.Equals, router.Usage{TokenLayers: 60, Requests: 1, Starts: 1})
 	w.remove(l)
 	l.move(ledger, chain)
-	qt.Assert(t, ledger.Used("i-1"), qt.Equals, hops.Usage{})
+	qt.Assert(t, ledger.Used("i-1"), qt.Equals, router.Usage{})
 }
--- a/entry/stream/repair.go
+++ b/entry/stream/repair.go
@@ -7,7 +7,7 @@
 	"fuchsiashelf.dev/entry/call"
 	"fuchsiashelf.dev/parts/domain"
 	"fuchsiashelf.dev/parts/fleet"
-	"fuchsiashelf.dev/parts/hops"
+	"fuchsiashelf.dev/parts/router"
 )
 
 // reroute gives each stalled stream of a first server another way.
@@ -81,7 +81,7 @@
 
 // detoured orders other chains behind the first server of a stream, and reports
 // whether the stream continues on one.
-func (w *Monitor) detoured(l *live, chain hops.Chain, avoid map[string]bool) bool {
+func (w *Monitor) detoured(l *live, chain router.Chain, avoid map[string]bool) bool {
 	for range maxReroutes {
 		next := w.detour(l, chain, avoid)
 		if next == nil || !w.mayCross(l.job, next.Crossings()-chain.Crossings()) {
@@ -108,7 +108,7 @@
 // domain, for which a run is reserved then. Loading the missing layers takes longer
 // than the longest pause that is on time, and the link between domains carries few
 // prompts in that time; reading the tokens again needs neither.
-func (w *Monitor) restartElsewhere(l *live, chain hops.Chain, avoid map[string]bool) bool {
+func (w *Monitor) restartElsewhere(l *live, chain router.Chain, avoid map[string]bool) bool {
 	if l.restart == nil {
 		return false
 	}
@@ -121,7 +121,7 @@
 // blocksLoad reports whether a stalled stream keeps a server from loading the layers
 // that it and others wait for: the server first lets all requests end that pass
 // through the layers it gives up, and this one never will.
-func (w *Monitor) blocksLoad(l *live, chain hops.Chain) bool {
+func (w *Monitor) blocksLoad(l *live, chain router.Chain) bool {
 	s := draining(w.State.View(), chain)
 	return s != nil && s.AwaitsReload && l.silent(time.Now())
 }
@@ -132,7 +132,7 @@
 	if crossings <= 0 {
 		return true
 	}
-	transfer := time.Duration(crossings) * hops.TransferTime(j.Service.Engine, j.PromptTokens)
+	transfer := time.Duration(crossings) * router.TransferTime(j.Service.Engine, j.PromptTokens)
 	hosts := w.EntryHosts()
 	w.mu.Lock()
 	defer w.mu.Unlock()
@@ -140,11 +140,11 @@
 }
 
 // detour finds another chain behind the same first part.
-func (w *Monitor) detour(l *live, chain hops.Chain, avoid map[string]bool) hops.Chain {
+func (w *Monitor) detour(l *live, chain router.Chain, avoid map[string]bool) router.Chain {
 	if avoid[chain[0].Server.Address] {
 		return nil
 	}
-	kept := map[string]hops.Stage{}
+	kept := map[string]router.Stage{}
 	for _, p := range chain[1:] {
 		kept[p.Server.Address] = p
 	}
@@ -154,8 +154,8 @@
 }
 
 // query describes the choice of a chain for a job.
-func (w *Monitor) query(j *call.Job) *hops.Query {
-	return &hops.Query{
+func (w *Monitor) query(j *call.Job) *router.Query {
+	return &router.Query{
 		Engine: j.Service.Engine, Servers: w.State.View().Service(j.Service.Name), LocalDomain: w.LocalDomain,
 		Prompt: j.PromptTokens, Answer: j.ExpectedTokens(j.Service.Engine), Used: w.Ledger.Used, Partitioned: w.State.Unreachable,
 	}
@@ -163,7 +163,7 @@
 
 // order tells the first server of the new chain. It returns which server is in
 // the way of it, if one is.
-func (w *Monitor) order(l *live, next hops.Chain) (taken call.OrderResult, at string) {
+func (w *Monitor) order(l *live, next router.Chain) (taken call.OrderResult, at string) {
 	ctx, cancel := context.WithTimeout(context.Background(), call.OrderTimeout)
 	defer cancel()
 	silence := l.silence(time.Now())
@@ -207,7 +207,7 @@
 }
 
 // draining returns a server of a chain, not the first, that the stream should leave.
-func draining(view *fleet.View, chain hops.Chain) *fleet.Server {
+func draining(view *fleet.View, chain router.Chain) *fleet.Server {
 	for _, p := range chain[1:] {
 		s := view.ByAddress(p.Server.Address)
 		if s == nil || s.ID != p.Server.ID {
--- a/entry/stream/repair_test.go
+++ b/entry/stream/repair_test.go
@@ -9,11 +9,11 @@
 	"fuchsiashelf.dev/entry/call"
 	"fuchsiashelf.dev/parts/fault"
 	"fuchsiashelf.dev/parts/fleet"
-	"fuchsiashelf.dev/parts/hops"
 	"fuchsiashelf.dev/parts/mirror"
+	"fuchsiashelf.dev/parts/prio"
 	"fuchsiashelf.dev/parts/retry"
 	"fuchsiashelf.dev/parts/route"
-	"fuchsiashelf.dev/parts/turns"
+	"fuchsiashelf.dev/parts/router"
 )
 
 // addServer adds a server to those that a watch knows.
@@ -77,7 +77,7 @@
 func TestReservedRunIsCertain(t *testing.T) {
 	w, servers := watched(&engines{}, 1)
 	first, other := servers["first"], servers["other-0"]
-	chain := hops.Chain{{Server: &first, First: 0, End: 4}, {Server: &other, First: 4, End: layers}}
+	chain := router.Chain{{Server: &first, First: 0, End: 4}, {Server: &other, First: 4, End: layers}}
 	for _, test := range []struct {
 		name    string
 		route   route.Route
@@ -105,7 +105,7 @@
 func TestNobodyIsRefusedBesideRoom(t *testing.T) {
 	w, servers := watched(&engines{}, 1)
 	j := w.stream(servers, "other", 0).job
-	f := &Forwarder{State: w.State, Ledger: w.Ledger, Monitor: w, Queue: &turns.Queue{}, Failures: &Failures{}, LocalDomain: "a"}
+	f := &Forwarder{State: w.State, Ledger: w.Ledger, Monitor: w, Queue: &prio.Queue{}, Failures: &Failures{}, LocalDomain: "a"}
 	for {
 		if place, _ := f.Queue.Enqueue(0, time.Second); place == nil {
 			break
@@ -115,7 +115,7 @@
 	chain, e := r.choose(t.Context())
 	qt.Assert(t, e == nil, qt.IsTrue, qt.Commentf("%v", e))
 	qt.Assert(t, chain.Complete(layers), qt.IsTrue)
-	w.Ledger.SetRemote("full", map[string]hops.Usage{"middle": {TokenLayers: 1e12, Requests: 1}, "other-0": {TokenLayers: 1e12, Requests: 1}})
+	w.Ledger.SetRemote("full", map[string]router.Usage{"middle": {TokenLayers: 1e12, Requests: 1}, "other-0": {TokenLayers: 1e12, Requests: 1}})
 	_, e = r.choose(t.Context())
 	qt.Assert(t, e, qt.IsNotNil)
 	qt.Assert(t, e.Code, qt.Equals, fault.Overloaded)
--- a/entry/stream/watch.go
+++ b/entry/stream/watch.go
@@ -8,12 +8,12 @@
 	"sync"
 	"time"
 
-	"fuchsiashelf.dev/entry/belief"
 	"fuchsiashelf.dev/entry/call"
+	"fuchsiashelf.dev/entry/state"
 	"fuchsiashelf.dev/parts/domain"
-	"fuchsiashelf.dev/parts/hops"
 	"fuchsiashelf.dev/parts/poison"
 	"fuchsiashelf.dev/parts/probe"
+	"fuchsiashelf.dev/parts/router"
 )
 
 // Timeouts and intervals, beside those that follow from routes.
@@ -36,7 +36,7 @@
 	maxProbes  = 30
 	// probeAway is the interval of checks of a suspected server of another failure
 	// domain: just before the suspicion expires.
-	probeAway = belief.SuspectFor - 200*time.Millisecond
+	probeAway = state.SuspectFor - 200*time.Millisecond
 	// recheckAfter is when a server that did not answer the first, short checks gets a
 	// long one: on a lossy link all of them may have been lost.
 	recheckAfter = 100 * time.Millisecond
@@ -68,10 +68,10 @@
 // Monitor looks after the streams under way. Set the exported fields before Run.
 type Monitor struct {
 	Engine call.EngineClient
-	State  *belief.Local
-	Ledger *hops.LoadTracker
+	State  *state.Local
+	Ledger *router.LoadTracker
 	// Starts holds how long requests wait for their first event at a server.
-	Starts      *hops.StartLatency
+	Starts      *router.StartLatency
 	LocalDomain domain.Name
 	Log         *slog.Logger
 	// Crashes holds the requests under which servers died.
@@ -91,7 +91,7 @@
 	book probe.Scheduler
 	wait probe.Timeout
 	// pipe counts the answers that are led across failure domains.
-	pipe hops.LinkBudget
+	pipe router.LinkBudget
 	// probed holds the addresses of accused servers that are being asked.
 	probed map[string]bool
 	// healthy holds when an accused server last answered.
@@ -105,7 +105,7 @@
 	swept, lagged time.Time
 }
 
-func (w *Monitor) add(j *call.Job, chain hops.Chain, cancel context.CancelCauseFunc, restart func() bool) *live {
+func (w *Monitor) add(j *call.Job, chain router.Chain, cancel context.CancelCauseFunc, restart func() bool) *live {
 	l := &live{job: j, chain: chain, cancel: cancel, restart: restart, release: w.Ledger.Reserve(chain, tokens(j))}
 	l.last.Store(time.Now().UnixNano())
 	w.mu.Lock()
--- a/entry/stream/watch_test.go
+++ b/entry/stream/watch_test.go
@@ -12,14 +12,14 @@
 
 	qt "github.com/frankban/quicktest"
 
-	"fuchsiashelf.dev/entry/belief"
 	"fuchsiashelf.dev/entry/call"
+	"fuchsiashelf.dev/entry/state"
 	"fuchsiashelf.dev/parts/fleet"
-	"fuchsiashelf.dev/parts/hops"
 	"fuchsiashelf.dev/parts/mirror"
 	"fuchsiashelf.dev/parts/poison"
 	"fuchsiashelf.dev/parts/probe"
 	"fuchsiashelf.dev/parts/route"
+	"fuchsiashelf.dev/parts/router"
 )
 
 // engines are engines that answer from memory.
@@ -34,7 +34,7 @@
 	hold chan struct{}
 
 	mu       sync.Mutex
-	rerouted map[string]hops.Chain
+	rerouted map[string]router.Chain
 	told     chan struct{}
 	// waits holds how long each question might take.
 	waits []time.Duration
@@ -53,7 +53,7 @@
 	return call.OrderRejected, nil
 }
 
-func (e *engines) Reroute(_ context.Context, id string, c hops.Chain) (call.OrderResult, string, error) {
+func (e *engines) Reroute(_ context.Context, id string, c router.Chain) (call.OrderResult, string, error) {
 	if e.hold != nil {
 		<-e.hold
 	}
@@ -87,7 +87,7 @@
 // watched returns a watch over a first server, one in the midst of chains, and
 // others that hold the same layers as that one.
 func watched(e *engines, others int) (*Monitor, fixed) {
-	e.rerouted = map[string]hops.Chain{}
+	e.rerouted = map[string]router.Chain{}
 	e.told = make(chan struct{}, 16)
 	servers := fixed{}
 	add := func(id string, first, end int) {
@@ -105,10 +105,10 @@
 	}
 	m.Replace(items, 1)
 	log := slog.New(slog.DiscardHandler)
-	s := &belief.Local{Decoder: servers, Log: log, LocalDomain: "a", Servers: m}
+	s := &state.Local{Decoder: servers, Log: log, LocalDomain: "a", Servers: m}
 	s.ReadServers(time.Now())
 	return &Monitor{
-		Engine: e, State: s, Ledger: &hops.LoadTracker{}, Starts: &hops.StartLatency{}, LocalDomain: "a", Log: log, Crashes: &poison.Counter{},
+		Engine: e, State: s, Ledger: &router.LoadTracker{}, Starts: &router.StartLatency{}, LocalDomain: "a", Log: log, Crashes: &poison.Counter{},
 		Broadcast: func() {}, EntryHosts: func() int { return 1 }, DropConns: func(string) {},
 	}, servers
 }
@@ -120,7 +120,7 @@
 		Accelerators: map[string]route.Accelerator{"card": {MemoryMB: 100, StepFactor: 1, PrefillFactor: 1}},
 	}
 	first, middle := servers["first"], servers["middle"]
-	chain := hops.Chain{{Server: &first, First: 0, End: 4}, {Server: &middle, First: 4, End: 12}}
+	chain := router.Chain{{Server: &first, First: 0, End: 4}, {Server: &middle, First: 4, End: 12}}
 	j := &call.Job{Request: &call.Request{ID: id, PromptTokens: 10, TokensHint: 5}, Route: chat, Service: &route.Service{Name: "assist", Engine: e}}
 	l := w.add(j, chain, func(error) {}, nil)
 	l.touch()
@@ -259,10 +259,10 @@
 	w, servers := watched(e, 1)
 	w.stream(servers, "r", 0)
 	until := time.Now().Add(time.Hour)
-	w.State.Assign(belief.Assignment{ID: "middle", First: 6, End: 12, Until: until}, time.Now())
+	w.State.Assign(state.Assignment{ID: "middle", First: 6, End: 12, Until: until}, time.Now())
 	w.drain(time.Now())
 	qt.Assert(t, w.drained.IsZero(), qt.IsTrue)
-	w.State.Assign(belief.Assignment{ID: "middle", First: 0, End: 6, Until: until}, time.Now())
+	w.State.Assign(state.Assignment{ID: "middle", First: 0, End: 6, Until: until}, time.Now())
 	w.drain(time.Now())
 	<-e.told
 	qt.Assert(t, e.rerouted["r"].String(), qt.Equals, "first=0-4 other-0=4-12")
@@ -282,13 +282,13 @@
 	w.State.ReadServers(time.Now())
 	l := w.stream(servers, "r", silentEvent(chat)+time.Millisecond)
 	first, middle := servers["first"], servers["middle"]
-	l.chain = hops.Chain{{Server: &first, First: 0, End: 4}, {Server: &middle, First: 4, End: 8}, {Server: &next, First: 8, End: 12}}
+	l.chain = router.Chain{{Server: &first, First: 0, End: 4}, {Server: &middle, First: 4, End: 8}, {Server: &next, First: 8, End: 12}}
 	ended := make(chan error, 1)
 	l.cancel = func(cause error) { ended <- cause }
 	w.repair(l, "middle")
 	qt.Assert(t, ended, qt.HasLen, 0)
 	l.repaired = time.Time{}
-	w.State.Assign(belief.Assignment{ID: "next", First: 4, End: 10, Until: time.Now().Add(time.Hour)}, time.Now())
+	w.State.Assign(state.Assignment{ID: "next", First: 4, End: 10, Until: time.Now().Add(time.Hour)}, time.Now())
 	w.repair(l, "middle")
 	qt.Assert(t, <-ended, qt.Equals, errNoWay)
 }
--- a/entry/plain/plain.go
+++ b/entry/unary/plain.go
@@ -5,7 +5,7 @@
 // whether it ran, the response says so. An idempotent request that fails or times out
 // is retried on another server while the retry budget allows it. A response is read
 // to its end before any of it is passed on, so that a truncated one can be retried.
-package plain
+package unary
 
 import (
 	"bytes"
@@ -15,9 +15,9 @@
 	"net/http"
 	"time"
 
-	"fuchsiashelf.dev/entry/belief"
 	"fuchsiashelf.dev/entry/call"
-	"fuchsiashelf.dev/entry/line"
+	"fuchsiashelf.dev/entry/conns"
+	"fuchsiashelf.dev/entry/state"
 	"fuchsiashelf.dev/parts/domain"
 	"fuchsiashelf.dev/parts/fault"
 	"fuchsiashelf.dev/parts/fleet"
@@ -50,8 +50,8 @@
 // Forwarder passes requests on. Set the exported fields before use.
 type Forwarder struct {
 	Codec       call.Codec
-	Pool        *line.Pool
-	State       *belief.Local
+	Pool        *conns.Pool
+	State       *state.Local
 	Stats       *Stats
 	LocalDomain domain.Name
 	// Probe asks a server that failed under a request whether it lives.
@@ -67,7 +67,7 @@
 	header http.Header
 	body   []byte
 	// rest is set for an answer larger than what is held.
-	rest *line.Response
+	rest *conns.Response
 	err  *fault.Error
 }
 
@@ -166,9 +166,9 @@
 	}
 	defer cancel()
 	var reply call.Reply
-	o := line.Options{DialTimeout: connectWait(j.Route), Inspect: func(r *http.Response) line.ResponseInfo {
+	o := conns.Options{DialTimeout: connectWait(j.Route), Inspect: func(r *http.Response) conns.ResponseInfo {
 		reply = f.Codec.ParseReply(r)
-		return line.ResponseInfo{OtherRequest: reply.ID != "" && reply.ID != j.ID, Close: reply.Closing, IdleTimeout: reply.IdleTimeout}
+		return conns.ResponseInfo{OtherRequest: reply.ID != "" && reply.ID != j.ID, Close: reply.Closing, IdleTimeout: reply.IdleTimeout}
 	}}
 	if j.Route.Kind == route.AtMostOnce {
 		o.MaxIdle = freshOnce
--- a/entry/plain/scores.go
+++ b/entry/unary/scores.go
@@ -1,4 +1,4 @@
-package plain
+package unary
 
 import (
 	"math/rand/v2"
--- a/load/internal/strike/strike.go
+++ b/load/internal/chaos/strike.go
@@ -1,5 +1,5 @@
 // Package strike switches faults on in stand-ins at given moments of a run.
-package strike
+package chaos
 
 import (
 	"bytes"
--- a/load/internal/drive/drive.go
+++ b/load/internal/runner/drive.go
@@ -1,6 +1,6 @@
 // Package drive runs a load run: it sends each shot of a plan at its time and
 // begins each fault at its time.
-package drive
+package runner
 
 import (
 	"context"
@@ -13,17 +13,17 @@
 	"github.com/panjf2000/ants/v2"
 
 	"fuchsiashelf.dev/load/internal/call"
+	"fuchsiashelf.dev/load/internal/chaos"
 	"fuchsiashelf.dev/load/internal/plan"
-	"fuchsiashelf.dev/load/internal/strike"
-	"fuchsiashelf.dev/load/internal/tally"
+	"fuchsiashelf.dev/load/internal/stats"
 )
 
 // Run is one load run. Set the exported fields, then call Do.
 type Run struct {
 	Plan   *plan.Plan
 	Caller *call.Caller
-	Tally  *tally.Recorder
-	Faults []strike.Fault
+	Tally  *stats.Recorder
+	Faults []chaos.Fault
 	// MaxOpen is the most calls open at once; a shot beyond is skipped and
 	// counted as such, so that a system that stands still can't exhaust the
 	// machine.
@@ -40,7 +40,7 @@
 }
 
 // Do runs until all calls are answered, the time is up or the context ends.
-func (r *Run) Do(ctx context.Context) (*tally.Report, error) {
+func (r *Run) Do(ctx context.Context) (*stats.Report, error) {
 	pool, err := ants.NewPool(r.MaxOpen, ants.WithNonblocking(true), ants.WithPreAlloc(false))
 	if err != nil {
 		return nil, err
--- a/load/internal/tally/report.go
+++ b/load/internal/stats/report.go
@@ -1,4 +1,4 @@
-package tally
+package stats
 
 import (
 	"maps"
--- a/load/internal/tally/tally.go
+++ b/load/internal/stats/tally.go
@@ -4,7 +4,7 @@
 // when it was: a sender that falls behind would otherwise leave out just the
 // waits that matter (coordinated omission). How late the sender itself was is
 // reported beside them, so that a reader can tell its share.
-package tally
+package stats
 
 import (
 	"sync"
--- a/load/internal/tally/tally_test.go
+++ b/load/internal/stats/tally_test.go
@@ -1,4 +1,4 @@
-package tally_test
+package stats_test
 
 import (
 	"strings"
@@ -9,7 +9,7 @@
 
 	"fuchsiashelf.dev/load/internal/call"
 	"fuchsiashelf.dev/load/internal/plan"
-	"fuchsiashelf.dev/load/internal/tally"
+	"fuchsiashelf.dev/load/internal/stats"
 )
 
 var began = time.Unix(1000, 0)
@@ -18,8 +18,8 @@
 	return began.Add(time.Duration(ms) * time.Millisecond)
 }
 
-func newTally() *tally.Recorder {
-	t := &tally.Recorder{Warmup: time.Second, Duration: 3 * time.Second, Tick: 500 * time.Millisecond}
+func newTally() *stats.Recorder {
+	t := &stats.Recorder{Warmup: time.Second, Duration: 3 * time.Second, Tick: 500 * time.Millisecond}
 	t.Start(began)
 	return t
 }
@@ -90,7 +90,7 @@
 	later.Token(at(2110))
 	later.Token(at(2120))
 	r := sums.Report()
-	c.Assert(r.Faults, qt.DeepEquals, []tally.FaultImpact{{
+	c.Assert(r.Faults, qt.DeepEquals, []stats.FaultImpact{{
 		What: "2s kill", AtMs: 2000, NextMs: []float64{80}, Ended: 1,
 	}})
 	var text strings.Builder
--- a/load/prog/prog.go
+++ b/load/prog/prog.go
@@ -12,7 +12,7 @@
 	"os"
 	"strings"
 
-	"fuchsiashelf.dev/load/internal/tally"
+	"fuchsiashelf.dev/load/internal/stats"
 	"fuchsiashelf.dev/parts/boot"
 )
 
@@ -45,7 +45,7 @@
 }
 
 // write writes the report, and the time series into its file.
-func (s *settings) write(r *tally.Report, stdout io.Writer) error {
+func (s *settings) write(r *stats.Report, stdout io.Writer) error {
 	if s.series != "" {
 		if err := writeSeries(s.series, r); err != nil {
 			return err
@@ -59,7 +59,7 @@
 }
 
 // writeSeries writes CSV or, to a file named *.json, JSON.
-func writeSeries(name string, r *tally.Report) (err error) {
+func writeSeries(name string, r *stats.Report) (err error) {
 	file, err := os.Create(name)
 	if err != nil {
 		return err
--- a/load/prog/settings.go
+++ b/load/prog/settings.go
@@ -12,10 +12,10 @@
 	"github.com/peterbourgon/ff/v3"
 
 	"fuchsiashelf.dev/load/internal/call"
-	"fuchsiashelf.dev/load/internal/drive"
+	"fuchsiashelf.dev/load/internal/chaos"
 	"fuchsiashelf.dev/load/internal/plan"
-	"fuchsiashelf.dev/load/internal/strike"
-	"fuchsiashelf.dev/load/internal/tally"
+	"fuchsiashelf.dev/load/internal/runner"
+	"fuchsiashelf.dev/load/internal/stats"
 )
 
 // settings are the settings of one run.
@@ -29,16 +29,16 @@
 }
 
 // faults is a flag that may be given more than once.
-type faults []strike.Fault
+type faults []chaos.Fault
 
 // String implements flag.Value.
 func (f *faults) String() string {
-	return fmt.Sprint([]strike.Fault(*f))
+	return fmt.Sprint([]chaos.Fault(*f))
 }
 
 // Set implements flag.Value.
 func (f *faults) Set(text string) error {
-	s, err := strike.Parse(text)
+	s, err := chaos.Parse(text)
 	*f = append(*f, s)
 	return err
 }
@@ -129,11 +129,11 @@
 	return errors.Join(list...)
 }
 
-func (s *settings) run(log io.Writer) *drive.Run {
+func (s *settings) run(log io.Writer) *runner.Run {
 	s.caller.Timeout = s.timeout
-	return &drive.Run{
+	return &runner.Run{
 		Plan: &s.plan, Caller: &s.caller,
-		Tally:  &tally.Recorder{Warmup: s.warm, Duration: s.plan.Duration, Tick: s.tick},
+		Tally:  &stats.Recorder{Warmup: s.warm, Duration: s.plan.Duration, Tick: s.tick},
 		Faults: s.faults, MaxOpen: s.maxOpen, Drain: s.drain,
 		Progress: s.progress, Log: log,
 	}
--- a/parts/loss/loss.go
+++ b/parts/loss/loss.go
@@ -13,7 +13,7 @@
 	"time"
 
 	"fuchsiashelf.dev/parts/fault"
-	"fuchsiashelf.dev/parts/trail"
+	"fuchsiashelf.dev/parts/reqlog"
 )
 
 // Cause is why a request was not served on time, or that it was.
@@ -91,7 +91,7 @@
 
 // Classify makes the account of all requests in the entries, in windows of the
 // given length from the first entry on.
-func Classify(entries []trail.Entry, every time.Duration) *Table {
+func Classify(entries []reqlog.Entry, every time.Duration) *Table {
 	c := counter{windows: map[string]*Row{}, routes: map[string]*Row{}, hosts: map[string]*Row{}, told: map[string]string{}}
 	if len(entries) == 0 {
 		return &c.table
@@ -123,7 +123,7 @@
 	told map[string]string
 }
 
-func (c *counter) add(e trail.Entry, window time.Duration) {
+func (c *counter) add(e reqlog.Entry, window time.Duration) {
 	cause := causeOf(e)
 	count(c.windows, clock(window), cause)
 	count(c.routes, text(e, "route"), cause)
@@ -144,7 +144,7 @@
 }
 
 // causeOf finds what cost the caller of a request most.
-func causeOf(e trail.Entry) Cause {
+func causeOf(e reqlog.Entry) Cause {
 	failure := text(e, "error")
 	status, _ := e.Attrs["status"].(float64)
 	broken, _ := e.Attrs["broken"].(bool)
@@ -195,13 +195,13 @@
 	return list
 }
 
-func text(e trail.Entry, name string) string {
+func text(e reqlog.Entry, name string) string {
 	s, _ := e.Attrs[name].(string)
 	return s
 }
 
 // duration reads an attribute that log/slog wrote as nanoseconds.
-func duration(e trail.Entry, name string) time.Duration {
+func duration(e reqlog.Entry, name string) time.Duration {
 	n, _ := e.Attrs[name].(float64)
 	return time.Duration(n)
 }
--- a/parts/loss/loss_test.go
+++ b/parts/loss/loss_test.go
@@ -11,7 +11,7 @@
 	"github.com/rogpeppe/go-internal/txtar"
 
 	"fuchsiashelf.dev/parts/loss"
-	"fuchsiashelf.dev/parts/trail"
+	"fuchsiashelf.dev/parts/reqlog"
 )
 
 var update = flag.Bool("update", false, "rewrite the expected tables")
@@ -23,7 +23,7 @@
 	const path = "testdata/day.txtar"
 	archive, err := txtar.ParseFile(path)
 	qt.Assert(t, err, qt.IsNil)
-	entries, err := trail.Read(trail.Source{Name: "log", From: strings.NewReader(string(archive.Files[0].Data))})
+	entries, err := reqlog.Read(reqlog.Source{Name: "log", From: strings.NewReader(string(archive.Files[0].Data))})
 	qt.Assert(t, err, qt.IsNil)
 	got := loss.Classify(entries, 2*time.Second).String()
 	if *update {
--- a/parts/turns/turns.go
+++ b/parts/prio/turns.go
@@ -7,7 +7,7 @@
 // callers can still go elsewhere.
 //
 // It is a pure state machine: times are arguments.
-package turns
+package prio
 
 import (
 	"slices"
--- a/parts/turns/turns_test.go
+++ b/parts/prio/turns_test.go
@@ -1,4 +1,4 @@
-package turns_test
+package prio_test
 
 import (
 	"testing"
@@ -6,16 +6,16 @@
 
 	qt "github.com/frankban/quicktest"
 
-	"fuchsiashelf.dev/parts/turns"
+	"fuchsiashelf.dev/parts/prio"
 )
 
 var start = time.Unix(1_700_000_000, 0)
 
 // play lets requests come at one rate and room come free at another, for ten
 // seconds, and counts what callers get.
-func play(q *turns.Queue, arrive, free time.Duration) (served, refused, vain int, longest time.Duration) {
+func play(q *prio.Queue, arrive, free time.Duration) (served, refused, vain int, longest time.Duration) {
 	type waiter struct {
-		place *turns.Waiter
+		place *prio.Waiter
 		since time.Time
 	}
 	var line []waiter
@@ -51,7 +51,7 @@
 // All the room is used, nobody waits in vain for long, and the rest is refused
 // at once.
 func TestOverload(t *testing.T) {
-	q := &turns.Queue{}
+	q := &prio.Queue{}
 	served, refused, vain, longest := play(q, 33*time.Millisecond, 50*time.Millisecond)
 	t.Logf("served %d, refused %d, in vain %d, longest wait %s", served, refused, vain, longest)
 	qt.Assert(t, served >= 195, qt.IsTrue)
@@ -62,14 +62,14 @@
 
 // Requests come slower than room comes free: nobody is refused.
 func TestUnderload(t *testing.T) {
-	q := &turns.Queue{}
+	q := &prio.Queue{}
 	_, refused, vain, _ := play(q, 60*time.Millisecond, 50*time.Millisecond)
 	qt.Assert(t, refused+vain, qt.Equals, 0)
 }
 
 // Nothing comes free at all. A long queue would hold everybody for nothing.
 func TestStandstill(t *testing.T) {
-	q := &turns.Queue{}
+	q := &prio.Queue{}
 	_, refused, vain, _ := play(q, 33*time.Millisecond, time.Hour)
 	qt.Assert(t, vain <= 40, qt.IsTrue)
 	qt.Assert(t, refused >= 260, qt.IsTrue)
@@ -78,7 +78,7 @@
 // A more urgent request comes last and goes first; the first in line needs more
 // than there is, and the next ones need not wait for it.
 func TestOrder(t *testing.T) {
-	q := &turns.Queue{}
+	q := &prio.Queue{}
 	large, _ := q.Enqueue(1, time.Second)
 	small, _ := q.Enqueue(1, time.Second)
 	urgent, _ := q.Enqueue(0, time.Second)
--- a/parts/trail/trail.go
+++ b/parts/reqlog/trail.go
@@ -8,7 +8,7 @@
 //
 // Logs carry the time of day of their host and no logical clock, so lines of
 // two hosts whose clocks differ may stand in the wrong order.
-package trail
+package reqlog
 
 import (
 	"bufio"
--- a/parts/trail/trail_test.go
+++ b/parts/reqlog/trail_test.go
@@ -1,4 +1,4 @@
-package trail_test
+package reqlog_test
 
 import (
 	"strings"
@@ -6,7 +6,7 @@
 
 	qt "github.com/frankban/quicktest"
 
-	"fuchsiashelf.dev/parts/trail"
+	"fuchsiashelf.dev/parts/reqlog"
 )
 
 const one = `{"time":"2026-12-03T10:00:00.5Z","level":"INFO","msg":"store: lost","node":"e1","error":"silent"}
@@ -26,7 +26,7 @@
 // not tell why: the death of a server in the midst of the chain stands in a
 // line without it. Everything else of that second would bury the cause.
 func TestFindExplains(t *testing.T) {
-	found, err := trail.Find("r1", trail.Source{Name: "one", From: strings.NewReader(one)}, trail.Source{Name: "two", From: strings.NewReader(two)})
+	found, err := reqlog.Find("r1", reqlog.Source{Name: "one", From: strings.NewReader(one)}, reqlog.Source{Name: "two", From: strings.NewReader(two)})
 	qt.Assert(t, err, qt.IsNil)
 	var lines []string
 	for _, e := range found {
@@ -41,7 +41,7 @@
 }
 
 func TestUnknownRequest(t *testing.T) {
-	found, err := trail.Find("r9", trail.Source{Name: "one", From: strings.NewReader(one)})
+	found, err := reqlog.Find("r9", reqlog.Source{Name: "one", From: strings.NewReader(one)})
 	qt.Assert(t, err, qt.IsNil)
 	qt.Assert(t, found, qt.HasLen, 0)
 }
@@ -49,9 +49,9 @@
 // One of the files is cut off within a line longer than any log has. What the
 // others tell is still shown, and the file is named.
 func TestUnreadableLogIsNamed(t *testing.T) {
-	found, err := trail.Find("r1",
-		trail.Source{Name: "broken.log", From: strings.NewReader(strings.Repeat("x", 2<<20))},
-		trail.Source{Name: "two", From: strings.NewReader(two)})
+	found, err := reqlog.Find("r1",
+		reqlog.Source{Name: "broken.log", From: strings.NewReader(strings.Repeat("x", 2<<20))},
+		reqlog.Source{Name: "two", From: strings.NewReader(two)})
 	qt.Assert(t, err, qt.ErrorMatches, "broken.log: .*too long")
 	qt.Assert(t, found, qt.HasLen, 1)
 }
@@ -60,7 +60,7 @@
 	f.Add(one)
 	f.Add(two)
 	f.Fuzz(func(t *testing.T, text string) {
-		found, _ := trail.Find("r1", trail.Source{Name: "log", From: strings.NewReader(text)})
+		found, _ := reqlog.Find("r1", reqlog.Source{Name: "log", From: strings.NewReader(text)})
 		for i := 1; i < len(found); i++ {
 			if found[i].At.Before(found[i-1].At) {
 				t.Fatal("not in the order of time")
--- a/parts/hops/herd_test.go
+++ b/parts/router/herd_test.go
@@ -1,4 +1,4 @@
-package hops_test
+package router_test
 
 import (
 	"fmt"
@@ -8,7 +8,7 @@
 	qt "github.com/frankban/quicktest"
 
 	"fuchsiashelf.dev/parts/fleet"
-	"fuchsiashelf.dev/parts/hops"
+	"fuchsiashelf.dev/parts/router"
 )
 
 // herd is the load right after all entry hosts were restarted: callers return at
@@ -16,7 +16,7 @@
 // requests each, another one for all.
 type herd struct {
 	servers []*fleet.Server
-	hosts   []*hops.LoadTracker
+	hosts   []*router.LoadTracker
 	// repeats is the retry budget that each host has left.
 	repeats []int
 	running map[string]int
@@ -36,7 +36,7 @@
 		h.servers = append(h.servers, server(fmt.Sprintf("fast-%d", i), "a", "big", 0, layers))
 	}
 	for range herdHosts {
-		h.hosts = append(h.hosts, &hops.LoadTracker{})
+		h.hosts = append(h.hosts, &router.LoadTracker{})
 		h.repeats = append(h.repeats, herdRepeats)
 	}
 	return h
--- a/parts/hops/hops.go
+++ b/parts/router/hops.go
@@ -12,7 +12,7 @@
 // full the server's memory is. Crossing from one failure domain to another in
 // the midst of a chain moves the activations of the whole prompt over a link
 // that all share, so it is taken only where no other way is left.
-package hops
+package router
 
 import (
 	"fmt"
--- a/parts/hops/hops_test.go
+++ b/parts/router/hops_test.go
@@ -1,4 +1,4 @@
-package hops_test
+package router_test
 
 import (
 	"fmt"
@@ -10,8 +10,8 @@
 
 	"fuchsiashelf.dev/parts/domain"
 	"fuchsiashelf.dev/parts/fleet"
-	"fuchsiashelf.dev/parts/hops"
 	"fuchsiashelf.dev/parts/route"
+	"fuchsiashelf.dev/parts/router"
 )
 
 const layers = 80
@@ -33,10 +33,10 @@
 	return &fleet.Server{ID: name, Address: name + ":1", Domain: in, Accelerator: card, First: first, End: end}
 }
 
-func query(servers ...*fleet.Server) *hops.Query {
-	return &hops.Query{
+func query(servers ...*fleet.Server) *router.Query {
+	return &router.Query{
 		Engine: engine(), Servers: servers, LocalDomain: "a", Prompt: 772, Answer: 174,
-		Used: func(string) hops.Usage { return hops.Usage{} },
+		Used: func(string) router.Usage { return router.Usage{} },
 	}
 }
 
@@ -55,7 +55,7 @@
 	q := query(a1, a2, server("b1", "b", "big", 0, 40), server("b2", "b", "big", 40, 80))
 	qt.Assert(t, q.Pick().String(), qt.Equals, "b1=0-40 b2=40-80")
 	q = query(a1, a2, server("b1", "b", "small", 0, 40), server("b2", "b", "small", 40, 80))
-	q.Used = func(id string) hops.Usage { return hops.Usage{Full: id == "a2"} }
+	q.Used = func(id string) router.Usage { return router.Usage{Full: id == "a2"} }
 	qt.Assert(t, q.Pick().String(), qt.Equals, "b1=0-40 b2=40-80")
 }
 
@@ -86,14 +86,14 @@
 	q := query(
 		server("a1", "a", "small", 0, 9), server("a2", "a", "small", 0, 9), server("a3", "a", "small", 9, 80),
 	)
-	q.Used = func(id string) hops.Usage {
+	q.Used = func(id string) router.Usage {
 		if id == "a1" {
-			return hops.Usage{TokenLayers: 1e9}
+			return router.Usage{TokenLayers: 1e9}
 		}
-		return hops.Usage{}
+		return router.Usage{}
 	}
 	qt.Assert(t, q.Pick().String(), qt.Equals, "a2=0-9 a3=9-80")
-	q.Used = func(string) hops.Usage { return hops.Usage{Full: true} }
+	q.Used = func(string) router.Usage { return router.Usage{Full: true} }
 	qt.Assert(t, q.Pick(), qt.IsNil)
 	q.Overcommit = true
 	qt.Assert(t, q.Pick(), qt.IsNotNil)
@@ -118,7 +118,7 @@
 func TestDetourKeepsFirstPart(t *testing.T) {
 	first := server("a1", "a", "small", 0, 10)
 	q := query(first, server("a2", "a", "small", 5, 80), server("a3", "a", "small", 0, 80))
-	q.FixedFirst = &hops.Stage{Server: first, First: 0, End: 10}
+	q.FixedFirst = &router.Stage{Server: first, First: 0, End: 10}
 	q.Avoid = map[string]bool{"a3:1": true}
 	qt.Assert(t, q.Pick().String(), qt.Equals, "a1=0-10 a2=10-80")
 	q.Avoid["a2:1"] = true
@@ -134,8 +134,8 @@
 	next := server("c", "a", "small", 35, 60)
 	last := server("d", "a", "small", 60, 80)
 	q := query(first, next, last, server("e", "a", "small", 20, 60))
-	q.FixedFirst = &hops.Stage{Server: first, First: 0, End: 20}
-	q.Cached = map[string]hops.Stage{
+	q.FixedFirst = &router.Stage{Server: first, First: 0, End: 20}
+	q.Cached = map[string]router.Stage{
 		next.Address: {Server: next, First: 40, End: 60},
 		last.Address: {Server: last, First: 60, End: 80},
 	}
@@ -166,11 +166,11 @@
 func TestSlowServerIsPassedBy(t *testing.T) {
 	slow, other := server("a1", "a", "small", 0, 40), server("a2", "a", "small", 0, 40)
 	q := query(slow, other, server("a3", "a", "small", 40, 80))
-	q.Used = func(id string) hops.Usage {
+	q.Used = func(id string) router.Usage {
 		if id == "a2" {
-			return hops.Usage{Requests: 10}
+			return router.Usage{Requests: 10}
 		}
-		return hops.Usage{}
+		return router.Usage{}
 	}
 	qt.Assert(t, q.Pick().String(), qt.Equals, "a1=0-40 a3=40-80")
 	slow.SlowdownFactor = 4
@@ -223,20 +223,20 @@
 }
 
 func TestLedger(t *testing.T) {
-	var l hops.LoadTracker
+	var l router.LoadTracker
 	s := server("a1", "a", "small", 0, 80)
-	release := l.Reserve(hops.Chain{{Server: s, First: 0, End: 80}}, 100)
-	l.SetRemote("entry-2", map[string]hops.Usage{"a1": {TokenLayers: 50, Requests: 2}})
-	qt.Assert(t, l.Used("a1"), qt.Equals, hops.Usage{TokenLayers: 8050, Requests: 3, Starts: 1})
+	release := l.Reserve(router.Chain{{Server: s, First: 0, End: 80}}, 100)
+	l.SetRemote("entry-2", map[string]router.Usage{"a1": {TokenLayers: 50, Requests: 2}})
+	qt.Assert(t, l.Used("a1"), qt.Equals, router.Usage{TokenLayers: 8050, Requests: 3, Starts: 1})
 	release()
 	release()
-	qt.Assert(t, l.Used("a1"), qt.Equals, hops.Usage{TokenLayers: 50, Requests: 2})
+	qt.Assert(t, l.Used("a1"), qt.Equals, router.Usage{TokenLayers: 50, Requests: 2})
 	l.SetRemote("entry-2", nil)
 	now := time.Unix(1000, 0)
 	l.RecordRefusal("a1", now)
 	qt.Assert(t, l.Used("a1").Full, qt.IsTrue)
 	l.Sweep(now.Add(time.Second))
-	qt.Assert(t, l.Used("a1"), qt.Equals, hops.Usage{})
+	qt.Assert(t, l.Used("a1"), qt.Equals, router.Usage{})
 }
 
 func BenchmarkPick(b *testing.B) {
--- a/parts/hops/ledger_test.go
+++ b/parts/router/ledger_test.go
@@ -1,4 +1,4 @@
-package hops_test
+package router_test
 
 import (
 	"fmt"
@@ -8,13 +8,13 @@
 	qt "github.com/frankban/quicktest"
 	"pgregory.net/rapid"
 
-	"fuchsiashelf.dev/parts/hops"
+	"fuchsiashelf.dev/parts/router"
 )
 
 // Guards against a server that leaves while the object API is away, and is tried
 // by a request every 200 ms although it refuses them all.
 func TestServerThatGoesOnRefusingIsTriedLessOften(t *testing.T) {
-	var l hops.LoadTracker
+	var l router.LoadTracker
 	now := time.Unix(1_000_000, 0)
 	tries := 0
 	for range 1000 {
@@ -33,9 +33,9 @@
 
 // Guards against a server that was full for a moment and stays unused.
 func TestServerThatAcceptsAgainIsUsed(t *testing.T) {
-	var l hops.LoadTracker
+	var l router.LoadTracker
 	now := time.Unix(1_000_000, 0)
-	chain := hops.Chain{{Server: server("a", "d", "small", 0, 80), First: 0, End: 80}}
+	chain := router.Chain{{Server: server("a", "d", "small", 0, 80), First: 0, End: 80}}
 	for range 3 {
 		l.RecordRefusal("a", now)
 		qt.Check(t, l.Used("a").Full, qt.IsTrue)
@@ -50,7 +50,7 @@
 // the other, and against a server that is left out for good since entry hosts hand
 // each other the word that it is full.
 func TestRefusalsOfOthersCount(t *testing.T) {
-	var one, other hops.LoadTracker
+	var one, other router.LoadTracker
 	now := time.Unix(1_000_000, 0)
 	qt.Check(t, one.RecordRefusal("a", now), qt.IsTrue)
 	qt.Check(t, one.RecordRefusal("a", now), qt.IsFalse)
@@ -73,11 +73,11 @@
 // Guards against a server that is left out for good since transit times of messages
 // add up.
 func TestRefusalsEndDespiteTransitTimes(t *testing.T) {
-	var one, other hops.LoadTracker
+	var one, other router.LoadTracker
 	now := time.Unix(1_000_000, 0)
 	one.RecordRefusal("a", now)
 	for range 40 {
-		for _, pair := range [][2]*hops.LoadTracker{{&one, &other}, {&other, &one}} {
+		for _, pair := range [][2]*router.LoadTracker{{&one, &other}, {&other, &one}} {
 			list := pair[0].Saturated(now)
 			now = now.Add(20 * time.Millisecond)
 			for id, left := range list {
@@ -96,22 +96,22 @@
 func TestTotalIsTheSumOverEntryHosts(t *testing.T) {
 	servers := []string{"a", "b", "c"}
 	rapid.Check(t, func(t *rapid.T) {
-		var l hops.LoadTracker
-		told := map[string]map[string]hops.Usage{}
-		own := map[string]hops.Usage{}
+		var l router.LoadTracker
+		told := map[string]map[string]router.Usage{}
+		own := map[string]router.Usage{}
 		for range rapid.IntRange(1, 30).Draw(t, "steps") {
 			id := rapid.SampledFrom(servers).Draw(t, "server")
 			tokens := rapid.IntRange(1, 3000).Draw(t, "tokens")
 			if rapid.Bool().Draw(t, "own") {
-				l.Reserve(hops.Chain{{Server: server(id, "d", "small", 0, 80), First: 0, End: 80}}, tokens)
+				l.Reserve(router.Chain{{Server: server(id, "d", "small", 0, 80), First: 0, End: 80}}, tokens)
 				u := own[id]
-				own[id] = hops.Usage{TokenLayers: u.TokenLayers + float64(80*tokens), Requests: u.Requests + 1, Starts: u.Starts + 1}
+				own[id] = router.Usage{TokenLayers: u.TokenLayers + float64(80*tokens), Requests: u.Requests + 1, Starts: u.Starts + 1}
 				continue
 			}
 			host := fmt.Sprint(rapid.IntRange(0, 3).Draw(t, "host"))
 			told[host] = nil
 			if rapid.Bool().Draw(t, "stays") {
-				told[host] = map[string]hops.Usage{id: {TokenLayers: float64(tokens), Requests: 2, Starts: 1}}
+				told[host] = map[string]router.Usage{id: {TokenLayers: float64(tokens), Requests: 2, Starts: 1}}
 			}
 			l.SetRemote(host, told[host])
 		}
@@ -132,11 +132,11 @@
 // What a choice reads for each server, with 300 entry hosts: 19,600 ns when each
 // was summed up, 142 ns with the sum kept, beside other work.
 func BenchmarkUsed(b *testing.B) {
-	var l hops.LoadTracker
+	var l router.LoadTracker
 	for host := range 300 {
-		used := map[string]hops.Usage{}
+		used := map[string]router.Usage{}
 		for i := range 100 {
-			used[fmt.Sprint((host+i)%1000)] = hops.Usage{TokenLayers: 1, Requests: 1}
+			used[fmt.Sprint((host+i)%1000)] = router.Usage{TokenLayers: 1, Requests: 1}
 		}
 		l.SetRemote(fmt.Sprint(host), used)
 	}
--- a/parts/hops/pipe.go
+++ b/parts/router/pipe.go
@@ -1,4 +1,4 @@
-package hops
+package router
 
 import "time"
 
--- a/parts/hops/pipe_test.go
+++ b/parts/router/pipe_test.go
@@ -1,4 +1,4 @@
-package hops_test
+package router_test
 
 import (
 	"testing"
@@ -7,14 +7,14 @@
 	qt "github.com/frankban/quicktest"
 
 	"fuchsiashelf.dev/parts/domain"
-	"fuchsiashelf.dev/parts/hops"
+	"fuchsiashelf.dev/parts/router"
 )
 
 // crossed returns how many transfers may begin within a second, if one is asked
 // for each millisecond.
 func crossed(transfer time.Duration, hosts int) int {
 	start := time.Unix(1_000_000, 0)
-	p := &hops.LinkBudget{}
+	p := &router.LinkBudget{}
 	n := 0
 	for ms := range 1000 {
 		if p.Reserve(transfer, 100*time.Millisecond, hosts, start.Add(time.Duration(ms)*time.Millisecond)) {
@@ -29,7 +29,7 @@
 // others have crossed; and with many entry hosts, each of which knows of its
 // own only, the link would be taken many times over.
 func TestEntryHostsShareTheLink(t *testing.T) {
-	transfer := hops.TransferTime(engine(), 900)
+	transfer := router.TransferTime(engine(), 900)
 	qt.Assert(t, transfer.Round(time.Millisecond), qt.Equals, 19*time.Millisecond)
 	for _, hosts := range []int{1, 4, 32} {
 		n := crossed(transfer, hosts)
--- a/parts/hops/starts_test.go
+++ b/parts/router/starts_test.go
@@ -1,4 +1,4 @@
-package hops_test
+package router_test
 
 import (
 	"fmt"
@@ -8,21 +8,21 @@
 	qt "github.com/frankban/quicktest"
 
 	"fuchsiashelf.dev/parts/fleet"
-	"fuchsiashelf.dev/parts/hops"
+	"fuchsiashelf.dev/parts/router"
 )
 
 // entryHost chooses chains with what it knows itself: its own requests, and how
 // long they wait.
 type entryHost struct {
 	name   string
-	ledger hops.LoadTracker
-	starts hops.StartLatency
+	ledger router.LoadTracker
+	starts router.StartLatency
 }
 
 // sent is a request at its first server.
 type sent struct {
 	host    *entryHost
-	start   *hops.PendingStart
+	start   *router.PendingStart
 	release func()
 	at, end time.Time
 }
@@ -106,7 +106,7 @@
 	q := query(c.servers...)
 	q.Used = h.ledger.Used
 	if c.waits {
-		q.Delay = func(id string) float64 { return hops.StartCost(h.starts.Wait(id, now), firstTarget) }
+		q.Delay = func(id string) float64 { return router.StartCost(h.starts.Wait(id, now), firstTarget) }
 	}
 	chain := q.Pick()
 	first := chain[0].Server.ID
@@ -170,11 +170,11 @@
 func TestNoStartWithoutASlot(t *testing.T) {
 	servers := newCrowd(1, false).servers
 	q := query(servers...)
-	q.Used = func(id string) hops.Usage {
+	q.Used = func(id string) router.Usage {
 		if id == "fast" {
-			return hops.Usage{Requests: 192, Starts: 180}
+			return router.Usage{Requests: 192, Starts: 180}
 		}
-		return hops.Usage{}
+		return router.Usage{}
 	}
 	// It still runs layers for requests that begin elsewhere.
 	qt.Check(t, q.Pick().String(), qt.Equals, "slow=0-9 fast=9-27 rest=27-80")
@@ -184,7 +184,7 @@
 }
 
 func TestWaitAtAServer(t *testing.T) {
-	var s hops.StartLatency
+	var s router.StartLatency
 	now := time.Unix(1_000_000, 0)
 	qt.Check(t, s.Wait("a", now), qt.Equals, time.Duration(0))
 	first, second := s.Track("a", firstTarget, now), s.Track("a", firstTarget, now.Add(100*time.Millisecond))
@@ -202,7 +202,7 @@
 // Guards against entry hosts that tell each other of waits all the time where
 // first events usually take long.
 func TestAnnouncementsAreRare(t *testing.T) {
-	var s hops.StartLatency
+	var s router.StartLatency
 	now := time.Unix(1_000_000, 0)
 	count := 0
 	for range 100 {
@@ -216,7 +216,7 @@
 		s.RecordFirstEvent(start, now)
 	}
 	qt.Check(t, count > 0 && count <= 30, qt.IsTrue, qt.Commentf("%d times in 30 s", count))
-	var usual hops.StartLatency
+	var usual router.StartLatency
 	start := usual.Track("fast", firstTarget/5, now)
 	qt.Check(t, usual.ShouldBroadcast(now.Add(firstTarget/6)), qt.IsFalse)
 	qt.Check(t, usual.ShouldBroadcast(now.Add(firstTarget/5)), qt.IsTrue)
--- a/soak/faults.go
+++ b/soak/faults.go
@@ -6,7 +6,7 @@
 	"time"
 
 	"fuchsiashelf.dev/soak/proxy"
-	"fuchsiashelf.dev/stand/plat"
+	"fuchsiashelf.dev/stand/fakes"
 )
 
 // The times of faults: how long until the next one, and how long one lasts.
@@ -71,9 +71,9 @@
 			e.terminate()
 		})
 	case 6:
-		trouble := []plat.FailureMode{plat.Unavailable, plat.Unresponsive}[r.rand.IntN(2)]
+		trouble := []fakes.FailureMode{fakes.Unavailable, fakes.Unresponsive}[r.rand.IntN(2)]
 		r.town.world.Store.SetFailureMode(trouble)
-		return fmt.Sprintf("the store: trouble %d", trouble), func() { r.town.world.Store.SetFailureMode(plat.Healthy) }, nil
+		return fmt.Sprintf("the store: trouble %d", trouble), func() { r.town.world.Store.SetFailureMode(fakes.Healthy) }, nil
 	case 7:
 		r.town.world.Store.DropHistory()
 		return "the store forgets; a new configuration", nil, r.town.configure(currentKey, oldKey)
--- a/soak/soak.go
+++ b/soak/soak.go
@@ -16,7 +16,7 @@
 	"sync"
 	"time"
 
-	"fuchsiashelf.dev/stand/plat"
+	"fuchsiashelf.dev/stand/fakes"
 )
 
 // Settings say what a run is like. Set them before Run.
@@ -167,7 +167,7 @@
 	got := r.town.send(e, id, "/ask/1", currentKey, events)
 	ok := got.status == 200 && got.err == nil
 	r.count(ok)
-	if ok && got.body != plat.StreamBody(id, events) {
+	if ok && got.body != fakes.StreamBody(id, events) {
 		r.broken("%s: %d events asked, got %q", id, events, got.body)
 	}
 	return ok
@@ -217,7 +217,7 @@
 	go func() { done <- r.town.send(0, id, "/ask/1", currentKey, events) }()
 	time.Sleep(150 * time.Millisecond)
 	r.town.entries[0].terminate()
-	if got := <-done; got.err != nil || got.body != plat.StreamBody(id, events) {
+	if got := <-done; got.err != nil || got.body != fakes.StreamBody(id, events) {
 		r.broken("%s: cut by a planned stop: %d %v", id, got.status, got.err)
 	}
 }
--- a/soak/town.go
+++ b/soak/town.go
@@ -13,7 +13,7 @@
 	"time"
 
 	"fuchsiashelf.dev/soak/proxy"
-	"fuchsiashelf.dev/stand/plat"
+	"fuchsiashelf.dev/stand/fakes"
 )
 
 // The keys of the only team: one that it keeps, and one that is taken away.
@@ -31,14 +31,14 @@
 // town is the platform with the entry hosts in front of it.
 type town struct {
 	Settings
-	world   plat.Platform
+	world   fakes.Platform
 	entries []*entry
 	// links are the proxies in front of servers.
 	links []*proxy.Proxy
 
 	mu      sync.Mutex
 	version int
-	servers []*plat.Server
+	servers []*fakes.Server
 	born    int
 }
 
@@ -89,10 +89,10 @@
 func (t *town) add(service, zone string) error {
 	t.mu.Lock()
 	t.born++
-	r := &plat.Server{ID: fmt.Sprintf("%s-%d", service, t.born), Service: service, Zone: zone, Slots: 16}
+	r := &fakes.Server{ID: fmt.Sprintf("%s-%d", service, t.born), Service: service, Zone: zone, Slots: 16}
 	t.mu.Unlock()
 	if service == "assist" {
-		r.Model, r.Kind, r.MemoryMB = &plat.Model{Layers: layers, LayerMB: 1000}, "card", 6000
+		r.Model, r.Kind, r.MemoryMB = &fakes.Model{Layers: layers, LayerMB: 1000}, "card", 6000
 		r.StepTime, r.LoadTime = 8*time.Millisecond, 20*time.Millisecond
 	}
 	r.Proxy = func(address string) (string, error) {
@@ -119,8 +119,8 @@
 	t.mu.Lock()
 	defer t.mu.Unlock()
 	t.version++
-	return plat.Config{
-		Version: t.version, Keys: keys, Model: plat.Model{Layers: layers, LayerMB: 1000}, MemoryMB: 6000,
+	return fakes.Config{
+		Version: t.version, Keys: keys, Model: fakes.Model{Layers: layers, LayerMB: 1000}, MemoryMB: 6000,
 	}.Put(&t.world.Store)
 }
 
@@ -129,7 +129,7 @@
 	e := &entry{town: t, name: fmt.Sprintf("entry-%d", i), zone: zone(i)}
 	for _, address := range []*string{&e.callers, &e.ops, &e.peers} {
 		var err error
-		if *address, err = plat.FreeAddress(); err != nil {
+		if *address, err = fakes.FreeAddress(); err != nil {
 			return err
 		}
 	}
@@ -148,7 +148,7 @@
 // begin starts the process of an entry host.
 func (e *entry) begin() error {
 	file := filepath.Join(e.town.Dir, e.name+".yaml")
-	text := plat.Settings{
+	text := fakes.Settings{
 		Name: e.name, Zone: e.zone, Callers: e.callers, Ops: e.ops, Peers: e.peers, Seed: e.seeds, Store: e.store.Address(), GraceSeconds: 6,
 	}.YAML()
 	if err := os.WriteFile(file, []byte(text), 0o600); err != nil {
@@ -160,7 +160,7 @@
 	}
 	defer log.Close()
 	cmd := exec.Command(e.town.Program)
-	cmd.Env = append(os.Environ(), plat.FileVariable+"="+file)
+	cmd.Env = append(os.Environ(), fakes.FileVariable+"="+file)
 	cmd.Stdout, cmd.Stderr = log, log
 	if err := cmd.Start(); err != nil {
 		return err
@@ -222,7 +222,7 @@
 
 // heal ends all faults but those that are for good.
 func (t *town) heal() {
-	t.world.Store.SetFailureMode(plat.Healthy)
+	t.world.Store.SetFailureMode(fakes.Healthy)
 	for _, e := range t.entries {
 		e.store.SetMode(proxy.Pass)
 		e.signal(syscall.SIGCONT)
@@ -261,7 +261,7 @@
 
 // send makes one attempt of a caller; events is zero for a plain service.
 func (t *town) send(e int, id, path, key string, events int) reply {
-	req, err := plat.Request{
+	req, err := fakes.Request{
 		Address: t.entries[e].callers, Path: path, ID: id, Key: key, Body: "body", Timeout: patience, Events: events,
 	}.HTTP()
 	if err != nil {
--- a/stand/plat/store.go
+++ b/stand/fakes/store.go
@@ -5,7 +5,7 @@
 //
 // A [Platform] holds all of them and writes down what ran where, which is what
 // tests look at.
-package plat
+package fakes
 
 import (
 	"encoding/json"
--- a/stand/plat/world.go
+++ b/stand/fakes/world.go
@@ -1,4 +1,4 @@
-package plat
+package fakes
 
 import (
 	"fmt"
