--- a/parts/router/cost.go
+++ b/parts/router/cost.go
@@ -9,79 +9,80 @@
 	"fuchsiashelf.dev/parts/route"
 )
 
-// The weights of the choice.
+// Weights of the cost of a chain.
 const (
-	// passSeconds is the overhead of each further server in a pass.
-	passSeconds = 0.0003
-	// busyPass multiplies the time of a step: a request that comes to a server
-	// waits for the pass under way.
-	busyPass = 1.3
-	// awaySeconds is the cost of starting a chain in another failure domain.
-	// Only events cross then, but a partition breaks them off. Home is left when
-	// it is slow, before it is full.
-	awaySeconds = 0.6
-	// crossWeight multiplies the time of a transfer between failure domains
-	// in the midst of a chain. All chains share the link, and a partition breaks
-	// those that cross, so it is taken only where home is much slower.
-	crossWeight = 60
-	// rereadWeight multiplies the time of reading in a part that an answer under
-	// way does not have yet. Its caller waits for that, while it hardly notices
-	// a somewhat slower pace, and the other requests of the server wait as well.
-	rereadWeight = 10
-	// waitWeight multiplies the wait for the first event, beyond what is usual.
-	// Its caller waits for that, as for reading again.
+	// hopSeconds is the overhead of each additional server per pass.
+	hopSeconds = 0.0003
+	// busyPassFactor multiplies the time of a step: a request that arrives at a
+	// server waits for the pass in progress.
+	busyPassFactor = 1.3
+	// remoteStartSeconds is the cost of starting a chain in another failure domain.
+	// Only events cross the link then, but a partition interrupts them. Requests
+	// leave the local domain when it is slow, before it is full.
+	remoteStartSeconds = 0.6
+	// crossingWeight multiplies the time of a transfer between failure domains within
+	// a chain. All chains share the link, and a partition breaks those that cross it,
+	// so a chain crosses only where the local domain is much slower.
+	crossingWeight = 60
+	// recomputeWeight multiplies the prefill time of a stage whose server does not
+	// hold the tokens of a running answer. The caller waits for the prefill, and so
+	// do the other requests of the server, while a somewhat lower decode rate is
+	// hardly noticed.
+	recomputeWeight = 10
+	// waitWeight multiplies the wait for the first event beyond prefillShare of its
+	// target. The caller waits for it, as for a recomputation.
 	waitWeight = 10
-	// usualWait is the share of the target of the first event that reading a
-	// prompt may take.
-	usualWait = 0.1
-	// fullWeight is by how much a full server seems slower than an empty one.
-	fullWeight = 0.5
-	// fullest is the share of a server's memory, and of its slots, that may be
-	// promised. Answers longer than their hint and requests of other entry hosts
-	// that are not known yet take the rest. Beyond it an engine preempts requests,
-	// or lets them wait for a slot.
-	fullest = 0.92
+	// prefillShare is the share of the first-event target that the prefill may take.
+	prefillShare = 0.1
+	// loadWeight is the relative extra cost of a full server over an empty one.
+	loadWeight = 0.5
+	// maxFill is the share of a server's memory, and of its slots, that may be
+	// reserved. The rest is for answers longer than their hint and for requests of
+	// other entry hosts that are not known yet. Above it an engine preempts requests
+	// or queues them for a slot.
+	maxFill = 0.92
 )
 
-// Capacity returns how many tokens x layers a server has for requests.
+// Capacity returns how many tokens x layers of requests fit into the memory that a
+// server's layers leave free.
 func Capacity(e *route.Engine, s *fleet.Server) float64 {
-	card, known := e.Accelerators[s.Accelerator]
+	accelerator, known := e.Accelerators[s.Accelerator]
 	if !known || e.TokenBytes <= 0 {
 		return math.Inf(1)
 	}
-	free := (card.MemoryMB - float64(max(s.MemoryLayers, s.LayerCount()))*e.LayerMB) * 1e6
+	free := (accelerator.MemoryMB - float64(max(s.MemoryLayers, s.LayerCount()))*e.LayerMB) * 1e6
 	return max(0, free) / (e.TokenBytes / float64(e.Layers))
 }
 
-// layersCost is the cost of running the layers [first, end) on a server.
-func (q *Query) layersCost(o offer, first, end int) float64 {
+// stageCost returns the cost of running the layers [first, end) on a server.
+func (q *Query) stageCost(c candidate, first, end int) float64 {
 	share := float64(end-first) / float64(q.Engine.Layers)
 	if len(q.Cached) == 0 {
-		return share * o.spread * (o.write + o.read)
+		return share * c.loadFactor * (c.decode + c.prefill)
 	}
-	kept, known := q.Cached[o.server.Address]
-	if known && kept.First == first && kept.End == end {
-		return share * o.write
+	cached, known := q.Cached[c.server.Address]
+	if known && cached.First == first && cached.End == end {
+		return share * c.decode
 	}
-	return share * o.spread * (o.write + rereadWeight*o.read)
+	return share * c.loadFactor * (c.decode + recomputeWeight*c.prefill)
 }
 
-// offer is a server with the cost of using it.
-type offer struct {
+// candidate is a server that may run a stage, with the cost of using it.
+type candidate struct {
 	server *fleet.Server
 	domain int
-	// read and write are the seconds that the request would take for all layers.
-	read, write float64
-	// spread makes fuller servers seem slower.
-	spread float64
-	// delay is the cost of starting there besides the work, in seconds.
+	// prefill and decode are the seconds that the request would take for all layers.
+	prefill, decode float64
+	// loadFactor raises the cost of fuller servers.
+	loadFactor float64
+	// delay is the cost of starting a chain there besides the work, in seconds.
 	delay float64
-	// occupied says that all slots for requests that start there are taken.
-	occupied bool
+	// slotsTaken says that all slots for requests that start there are taken.
+	slotsTaken bool
 }
 
-func (q *Query) offers(index map[domain.Name]int) []offer {
-	var list []offer
+func (q *Query) candidates(index map[domain.Name]int) []candidate {
+	var list []candidate
 	for _, s := range q.Servers {
 		if s.LayerCount() <= 0 || s.Leaving || s.Suspected && !q.AllowSuspected || q.Avoid[s.Address] {
 			continue
@@ -89,79 +90,80 @@
 		if q.FixedFirst != nil && s.Address == q.FixedFirst.Server.Address {
 			continue
 		}
-		if o, fits := q.offer(s); fits {
-			o.domain = index[s.Domain]
-			list = append(list, o)
+		if c, fits := q.candidate(s); fits {
+			c.domain = index[s.Domain]
+			list = append(list, c)
 		}
 	}
 	return list
 }
 
-// offer works out what a layer costs on a server, and whether the request fits
+// candidate returns what the layers cost on a server, and whether the request fits
 // into its memory.
-func (q *Query) offer(s *fleet.Server) (offer, bool) {
+func (q *Query) candidate(s *fleet.Server) (candidate, bool) {
 	used := q.Used(s.ID)
-	room := Capacity(q.Engine, s)
+	capacity := Capacity(q.Engine, s)
 	need := float64(q.Prompt+q.Answer) * float64(s.LayerCount())
-	taken := (used.TokenLayers + need) / max(room, 1)
-	_, kept := q.Cached[s.Address]
-	if (used.Full || taken > fullest) && !q.Overcommit && !kept {
-		return offer{}, false
+	fill := (used.TokenLayers + need) / max(capacity, 1)
+	_, cached := q.Cached[s.Address]
+	if (used.Full || fill > maxFill) && !q.Overcommit && !cached {
+		return candidate{}, false
 	}
-	o := offer{server: s}
-	o.read, o.write = q.EstimateTimes(s, used.Requests)
-	// Only these can start a chain; the others need not be asked about.
+	c := candidate{server: s}
+	c.prefill, c.decode = q.EstimateTimes(s, used.Requests)
+	// Only servers that hold layer 0 can start a chain; the delay of others is not
+	// needed.
 	if s.First == 0 {
-		o.occupied = s.Slots > 0 && used.Starts >= fullest*float64(s.Slots) && !q.Overcommit
+		c.slotsTaken = s.Slots > 0 && used.Starts >= maxFill*float64(s.Slots) && !q.Overcommit
 		if q.Delay != nil {
-			o.delay = q.Delay(s.ID)
+			c.delay = q.Delay(s.ID)
 		}
 	}
-	// Half as much again for a full server spreads requests over servers that
-	// are alike. A steeper rise makes chains of many parts when all are nearly
-	// full.
-	taken = min(taken, 1)
-	o.spread = 1 + fullWeight*taken*taken
-	return o, true
+	// Raising the cost by half for a full server spreads requests over similar
+	// servers. A steeper increase produces chains of many stages when all servers are
+	// nearly full.
+	fill = min(fill, 1)
+	c.loadFactor = 1 + loadWeight*fill*fill
+	return c, true
 }
 
-// EstimateTimes returns the times in which a server that works on some others would
-// read the prompt and write the answer if it ran all layers.
-func (q *Query) EstimateTimes(s *fleet.Server, others float64) (read, write float64) {
+// EstimateTimes returns the seconds in which a server that already works on some
+// other requests would prefill the prompt and decode the answer if it ran all layers.
+func (q *Query) EstimateTimes(s *fleet.Server, others float64) (prefill, decode float64) {
 	e := q.Engine
-	card, known := e.Accelerators[s.Accelerator]
+	accelerator, known := e.Accelerators[s.Accelerator]
 	if !known {
-		card = route.Accelerator{StepFactor: 1, PrefillFactor: 1}
+		accelerator = route.Accelerator{StepFactor: 1, PrefillFactor: 1}
 	}
 	context := others * float64(e.MeanPrompt+e.MeanAnswer/2) / 1000
 	step := e.Step.Seconds() + e.StepPerRequest.Seconds()*others + e.StepPerKiloToken.Seconds()*context
 	slow := max(1, s.SlowdownFactor)
-	write = slow * busyPass * step * card.StepFactor * float64(q.Answer)
-	read = slow * float64(q.Prompt) / max(e.PrefillPerSec, 1) * card.PrefillFactor
-	return read, write
+	decode = slow * busyPassFactor * step * accelerator.StepFactor * float64(q.Answer)
+	prefill = slow * float64(q.Prompt) / max(e.PrefillPerSec, 1) * accelerator.PrefillFactor
+	return prefill, decode
 }
 
-// StartCost returns the cost, in seconds, of starting a chain at a server where
-// requests wait that long for their first event, which should come within the
-// target.
+// StartCost returns the cost, in seconds, of starting a chain at a server where the
+// first event is expected after the given wait and should come within the target.
 func StartCost(wait, target time.Duration) float64 {
-	return waitWeight * max(0, wait.Seconds()-usualWait*target.Seconds())
+	return waitWeight * max(0, wait.Seconds()-prefillShare*target.Seconds())
 }
 
-// hop is the cost of a further server in the chain, over all passes of the
-// answer.
-func (q *Query) hop() float64 {
+// hopCost returns the cost of an additional server in the chain, over all passes of
+// the answer.
+func (q *Query) hopCost() float64 {
 	passes := 1 + float64(q.Answer)/float64(max(q.Engine.StepsPerPass, 1))
-	return passSeconds * passes
+	return hopSeconds * passes
 }
 
-// crossing is the cost of moving the prompt's activations between domains.
-func (q *Query) crossing() float64 {
-	return crossWeight * TransferTime(q.Engine, q.Prompt).Seconds()
+// crossingCost returns the cost of moving the prompt's activations between failure
+// domains.
+func (q *Query) crossingCost() float64 {
+	return crossingWeight * TransferTime(q.Engine, q.Prompt).Seconds()
 }
 
-// TransferTime returns how long the activations of so many tokens take on the link
-// between two failure domains.
+// TransferTime returns how long the activations of the given number of tokens take on
+// the link between two failure domains.
 func TransferTime(e *route.Engine, tokens int) time.Duration {
 	if e.InterDomainMbps <= 0 {
 		return 0
--- a/parts/router/herd_test.go
+++ b/parts/router/herd_test.go
@@ -11,21 +11,21 @@
 	"fuchsiashelf.dev/parts/router"
 )
 
-// herd is the load right after all entry hosts were restarted: callers return at
-// once, and no host knows what the others send. Eight fast servers have room for ten
-// requests each, another one for all.
+// herd simulates a thundering herd after a restart of all entry hosts: callers return
+// at once, and no entry host knows the load of the others. Eight fast servers take
+// ten requests each, and a slow one takes any number.
 type herd struct {
 	servers []*fleet.Server
 	hosts   []*router.LoadTracker
-	// repeats is the retry budget that each host has left.
-	repeats []int
+	// retries is the remaining retry budget of each entry host.
+	retries []int
 	running map[string]int
 }
 
 const (
 	herdHosts    = 30
-	herdRoom     = 10
-	herdRepeats  = 5
+	herdCapacity = 10
+	herdRetries  = 5
 	herdStep     = 5 * time.Millisecond
 	herdDelivery = 50 * time.Millisecond
 )
@@ -37,31 +37,32 @@
 	}
 	for range herdHosts {
 		h.hosts = append(h.hosts, &router.LoadTracker{})
-		h.repeats = append(h.repeats, herdRepeats)
+		h.retries = append(h.retries, herdRetries)
 	}
 	return h
 }
 
-// serve sends one request of a host, and reports whether it is served.
+// serve sends one request of an entry host, with retries, and reports whether a
+// server accepted it.
 func (h *herd) serve(host int, now time.Time) bool {
 	for {
 		q := query(h.servers...)
 		q.Used = h.hosts[host].Used
 		id := q.Pick()[0].Server.ID
-		if id == "roomy" || h.running[id] < herdRoom {
+		if id == "roomy" || h.running[id] < herdCapacity {
 			h.running[id]++
 			return true
 		}
 		h.hosts[host].RecordRefusal(id, now)
-		if h.repeats[host] == 0 {
+		if h.retries[host] == 0 {
 			return false
 		}
-		h.repeats[host]--
+		h.retries[host]--
 	}
 }
 
-// play returns how many of 450 requests in 200 ms are refused for good.
-func (h *herd) play(share bool) (refused int) {
+// run returns how many of 440 requests in 200 ms are refused after their retries.
+func (h *herd) run(share bool) (refused int) {
 	start := time.Unix(1_000_000, 0)
 	for step := range 40 {
 		now := start.Add(time.Duration(step) * herdStep)
@@ -77,7 +78,7 @@
 	return refused
 }
 
-// exchange sends the refusals that each host knows of to all others.
+// exchange sends the refusals that each entry host knows of to all others.
 func (h *herd) exchange(now time.Time) {
 	for _, from := range h.hosts {
 		full := from.Saturated(now)
@@ -89,11 +90,11 @@
 	}
 }
 
-// Guards against callers that are refused after a restart of all entry hosts, each of
-// which spends its retry budget on finding out which servers are full.
-func TestHerdIsServedWhereRefusalsAreShared(t *testing.T) {
-	alone, shared := newHerd().play(false), newHerd().play(true)
-	t.Logf("refused for good: %d, with shared refusals %d", alone, shared)
+// Guards against callers being refused after a restart of all entry hosts because
+// each entry host spends its retry budget on finding out which servers are full.
+func TestThunderingHerdSharesRefusals(t *testing.T) {
+	alone, shared := newHerd().run(false), newHerd().run(true)
+	t.Logf("refused after retries: %d, with shared refusals %d", alone, shared)
 	qt.Assert(t, alone > 0, qt.IsTrue)
 	qt.Assert(t, shared <= alone/2, qt.IsTrue)
 }
--- a/parts/router/starts_test.go
+++ b/parts/router/latency_test.go
@@ -11,15 +11,15 @@
 	"fuchsiashelf.dev/parts/router"
 )
 
-// entryHost chooses chains with what it knows itself: its own requests, and how
-// long they wait.
+// entryHost chooses chains by its own state: the load of its own requests, and their
+// waits.
 type entryHost struct {
-	name   string
-	ledger router.LoadTracker
-	starts router.StartLatency
+	name    string
+	loads   router.LoadTracker
+	latency router.StartLatency
 }
 
-// sent is a request at its first server.
+// sent is a request at the first server of its chain.
 type sent struct {
 	host    *entryHost
 	start   *router.PendingStart
@@ -27,31 +27,32 @@
 	at, end time.Time
 }
 
-// crowd plays callers that all come back at once to entry hosts which know
-// nothing of each other's requests.
+// crowd simulates callers that all return at once to entry hosts which know nothing
+// of each other's requests.
 type crowd struct {
 	hosts []*entryHost
-	// waits makes entry hosts consider how long their requests wait.
-	waits   bool
-	servers []*fleet.Server
-	queues  map[string][]*sent
-	running map[string][]*sent
-	// onTime and all count the requests of each second.
+	// useWaits makes entry hosts take the waits of their requests into account.
+	useWaits bool
+	servers  []*fleet.Server
+	queues   map[string][]*sent
+	running  map[string][]*sent
+	// onTime and all count the requests by the second in which their first event
+	// came.
 	onTime, all []int
 }
 
 const (
-	crowdRate   = 100
-	crowdTime   = 8 * time.Second
-	answerTime  = 2900 * time.Millisecond
-	firstTarget = 600 * time.Millisecond
-	tick        = 10 * time.Millisecond
-	tellEvery   = 20 * time.Millisecond
+	crowdRate      = 100
+	crowdTime      = 8 * time.Second
+	answerTime     = 2900 * time.Millisecond
+	firstTarget    = 600 * time.Millisecond
+	tick           = 10 * time.Millisecond
+	broadcastEvery = 20 * time.Millisecond
 )
 
-func newCrowd(hosts int, waits bool) *crowd {
+func newCrowd(hosts int, useWaits bool) *crowd {
 	c := &crowd{
-		waits: waits, queues: map[string][]*sent{}, running: map[string][]*sent{},
+		useWaits: useWaits, queues: map[string][]*sent{}, running: map[string][]*sent{},
 		onTime: make([]int, crowdTime/time.Second), all: make([]int, crowdTime/time.Second),
 	}
 	for i := range hosts {
@@ -67,7 +68,7 @@
 	return c
 }
 
-func (c *crowd) play() {
+func (c *crowd) run() {
 	start := time.Unix(1_000_000, 0)
 	for at := time.Duration(0); at < crowdTime; at += tick {
 		now := start.Add(at)
@@ -80,38 +81,38 @@
 		for id := range c.queues {
 			c.begin(id, now, int(at/time.Second))
 		}
-		if at%tellEvery == 0 {
-			c.tell(now)
+		if at%broadcastEvery == 0 {
+			c.broadcast(now)
 		}
 	}
 }
 
-// tell lets entry hosts announce their waits.
-func (c *crowd) tell(now time.Time) {
+// broadcast lets entry hosts broadcast their waits and loads.
+func (c *crowd) broadcast(now time.Time) {
 	for _, h := range c.hosts {
-		if !h.starts.ShouldBroadcast(now) {
+		if !h.latency.ShouldBroadcast(now) {
 			continue
 		}
 		for _, other := range c.hosts {
 			if other == h {
 				continue
 			}
-			other.starts.Merge(h.starts.Waits(now), now)
-			other.ledger.SetRemote(h.name, h.ledger.Local())
+			other.latency.Merge(h.latency.Waits(now), now)
+			other.loads.SetRemote(h.name, h.loads.Local())
 		}
 	}
 }
 
 func (c *crowd) send(h *entryHost, now time.Time) {
 	q := query(c.servers...)
-	q.Used = h.ledger.Used
-	if c.waits {
-		q.Delay = func(id string) float64 { return router.StartCost(h.starts.Wait(id, now), firstTarget) }
+	q.Used = h.loads.Used
+	if c.useWaits {
+		q.Delay = func(id string) float64 { return router.StartCost(h.latency.Wait(id, now), firstTarget) }
 	}
 	chain := q.Pick()
 	first := chain[0].Server.ID
 	c.queues[first] = append(c.queues[first], &sent{
-		host: h, start: h.starts.Track(first, firstTarget/5, now), release: h.ledger.Reserve(chain, 900), at: now,
+		host: h, start: h.latency.Track(first, firstTarget/5, now), release: h.loads.Reserve(chain, 900), at: now,
 	})
 }
 
@@ -132,7 +133,7 @@
 		r := c.queues[id][0]
 		c.queues[id] = c.queues[id][1:]
 		r.end = now.Add(answerTime)
-		r.host.starts.RecordFirstEvent(r.start, now)
+		r.host.latency.RecordFirstEvent(r.start, now)
 		c.running[id] = append(c.running[id], r)
 		c.all[second]++
 		if now.Sub(r.at) <= firstTarget {
@@ -141,17 +142,16 @@
 	}
 }
 
-// Guards against a queue that forms at the fastest first server when all callers
-// come back at once, and stays since every entry host sends as much there as
-// ends.
+// Guards against a persistent queue at the fastest first server: when all callers
+// return at once, each entry host keeps sending as many requests there as end.
 func TestQueueAtFirstServerDrains(t *testing.T) {
-	blind := newCrowd(100, false)
-	blind.play()
-	qt.Check(t, blind.onTime[7]*2 < blind.all[7], qt.IsTrue, qt.Commentf("the load makes no queue: %v of %v", blind.onTime, blind.all))
+	withoutWaits := newCrowd(100, false)
+	withoutWaits.run()
+	qt.Check(t, withoutWaits.onTime[7]*2 < withoutWaits.all[7], qt.IsTrue, qt.Commentf("the load forms no queue: %v of %v", withoutWaits.onTime, withoutWaits.all))
 	c := newCrowd(100, true)
-	c.play()
+	c.run()
 	qt.Check(t, sum(c.onTime)*100 >= sum(c.all)*95, qt.IsTrue, qt.Commentf("%v of %v on time", c.onTime, c.all))
-	// The slots are taken after two seconds and the first come free at 2.9.
+	// All slots are taken after two seconds; the first are free after 2.9 s.
 	for second := 4; second < len(c.all); second++ {
 		qt.Check(t, c.onTime[second]*100 >= c.all[second]*95, qt.IsTrue, qt.Commentf("second %d: %d of %d on time", second, c.onTime[second], c.all[second]))
 	}
@@ -159,15 +159,15 @@
 
 func sum(list []int) int {
 	n := 0
-	for _, one := range list {
-		n += one
+	for _, v := range list {
+		n += v
 	}
 	return n
 }
 
-// Guards against requests that wait for a slot of a server while others could
-// begin them.
-func TestNoStartWithoutASlot(t *testing.T) {
+// Guards against requests that wait for a slot of a server while others could start
+// them.
+func TestStartNeedsFreeSlot(t *testing.T) {
 	servers := newCrowd(1, false).servers
 	q := query(servers...)
 	q.Used = func(id string) router.Usage {
@@ -176,14 +176,14 @@
 		}
 		return router.Usage{}
 	}
-	// It still runs layers for requests that begin elsewhere.
+	// The server still runs layers of requests that start elsewhere.
 	qt.Check(t, q.Pick().String(), qt.Equals, "slow=0-9 fast=9-27 rest=27-80")
-	// Waiting for a slot is better than no chain at all.
+	// Waiting for a slot is better than having no chain.
 	q.Servers, q.Overcommit = []*fleet.Server{servers[0], servers[2]}, true
 	qt.Check(t, q.Pick().String(), qt.Equals, "fast=0-27 rest=27-80")
 }
 
-func TestWaitAtAServer(t *testing.T) {
+func TestExpectedWait(t *testing.T) {
 	var s router.StartLatency
 	now := time.Unix(1_000_000, 0)
 	qt.Check(t, s.Wait("a", now), qt.Equals, time.Duration(0))
@@ -199,9 +199,9 @@
 	qt.Check(t, s.Wait("a", now), qt.Equals, time.Duration(0))
 }
 
-// Guards against entry hosts that tell each other of waits all the time where
-// first events usually take long.
-func TestAnnouncementsAreRare(t *testing.T) {
+// Guards against entry hosts that broadcast waits continuously where first events
+// always take long.
+func TestBroadcastsAreRateLimited(t *testing.T) {
 	var s router.StartLatency
 	now := time.Unix(1_000_000, 0)
 	count := 0
@@ -216,10 +216,10 @@
 		s.RecordFirstEvent(start, now)
 	}
 	qt.Check(t, count > 0 && count <= 30, qt.IsTrue, qt.Commentf("%d times in 30 s", count))
-	var usual router.StartLatency
-	start := usual.Track("fast", firstTarget/5, now)
-	qt.Check(t, usual.ShouldBroadcast(now.Add(firstTarget/6)), qt.IsFalse)
-	qt.Check(t, usual.ShouldBroadcast(now.Add(firstTarget/5)), qt.IsTrue)
-	usual.Untrack(start)
-	qt.Check(t, usual.ShouldBroadcast(now.Add(time.Minute)), qt.IsFalse)
+	var fast router.StartLatency
+	start := fast.Track("fast", firstTarget/5, now)
+	qt.Check(t, fast.ShouldBroadcast(now.Add(firstTarget/6)), qt.IsFalse)
+	qt.Check(t, fast.ShouldBroadcast(now.Add(firstTarget/5)), qt.IsTrue)
+	fast.Untrack(start)
+	qt.Check(t, fast.ShouldBroadcast(now.Add(time.Minute)), qt.IsFalse)
 }
--- a/parts/router/ledger_test.go
+++ b/parts/router/load_test.go
@@ -11,9 +11,9 @@
 	"fuchsiashelf.dev/parts/router"
 )
 
-// Guards against a server that leaves while the object API is away, and is tried
-// by a request every 200 ms although it refuses them all.
-func TestServerThatGoesOnRefusingIsTriedLessOften(t *testing.T) {
+// Guards against sending a request every 200 ms to a server that refuses all of them,
+// such as one that is leaving while the object API is unavailable.
+func TestBackoffDoublesWhileServerRefuses(t *testing.T) {
 	var l router.LoadTracker
 	now := time.Unix(1_000_000, 0)
 	tries := 0
@@ -23,7 +23,7 @@
 			tries++
 			l.RecordRefusal("a", now)
 		}
-		// Others that were on their way do not lengthen the pause.
+		// Requests sent before the refusal was known do not lengthen the backoff.
 		l.RecordRefusal("a", now)
 		now = now.Add(10 * time.Millisecond)
 	}
@@ -31,8 +31,8 @@
 	qt.Check(t, tries >= 8, qt.IsTrue, qt.Commentf("%d tries in 10 s", tries))
 }
 
-// Guards against a server that was full for a moment and stays unused.
-func TestServerThatAcceptsAgainIsUsed(t *testing.T) {
+// Guards against a server that stays unused after it was saturated for a moment.
+func TestAcceptedRequestEndsBackoff(t *testing.T) {
 	var l router.LoadTracker
 	now := time.Unix(1_000_000, 0)
 	chain := router.Chain{{Server: server("a", "d", "small", 0, 80), First: 0, End: 80}}
@@ -46,10 +46,9 @@
 	}
 }
 
-// Guards against requests of every entry host that a full server refuses, one after
-// the other, and against a server that is left out for good since entry hosts hand
-// each other the word that it is full.
-func TestRefusalsOfOthersCount(t *testing.T) {
+// Guards against each entry host sending a request to a saturated server, and against
+// entry hosts that keep a refusal alive by sending it back and forth.
+func TestRemoteRefusalsCount(t *testing.T) {
 	var one, other router.LoadTracker
 	now := time.Unix(1_000_000, 0)
 	qt.Check(t, one.RecordRefusal("a", now), qt.IsTrue)
@@ -70,9 +69,9 @@
 	qt.Check(t, other.Used("a").Full, qt.IsFalse)
 }
 
-// Guards against a server that is left out for good since transit times of messages
+// Guards against a refusal that never expires because the transit times of messages
 // add up.
-func TestRefusalsEndDespiteTransitTimes(t *testing.T) {
+func TestRefusalsExpireDespiteTransitTimes(t *testing.T) {
 	var one, other router.LoadTracker
 	now := time.Unix(1_000_000, 0)
 	one.RecordRefusal("a", now)
@@ -91,13 +90,13 @@
 	qt.Check(t, other.Used("a").Full, qt.IsFalse)
 }
 
-// Guards against room that is never free again, or promised twice, since the sum
-// over entry hosts drifts from what each of them said.
-func TestTotalIsTheSumOverEntryHosts(t *testing.T) {
+// Guards against capacity that is never released, or reserved twice, because the
+// running total differs from the sum over entry hosts.
+func TestTotalIsSumOverEntryHosts(t *testing.T) {
 	servers := []string{"a", "b", "c"}
 	rapid.Check(t, func(t *rapid.T) {
 		var l router.LoadTracker
-		told := map[string]map[string]router.Usage{}
+		remote := map[string]map[string]router.Usage{}
 		own := map[string]router.Usage{}
 		for range rapid.IntRange(1, 30).Draw(t, "steps") {
 			id := rapid.SampledFrom(servers).Draw(t, "server")
@@ -109,15 +108,15 @@
 				continue
 			}
 			host := fmt.Sprint(rapid.IntRange(0, 3).Draw(t, "host"))
-			told[host] = nil
+			remote[host] = nil
 			if rapid.Bool().Draw(t, "stays") {
-				told[host] = map[string]router.Usage{id: {TokenLayers: float64(tokens), Requests: 2, Starts: 1}}
+				remote[host] = map[string]router.Usage{id: {TokenLayers: float64(tokens), Requests: 2, Starts: 1}}
 			}
-			l.SetRemote(host, told[host])
+			l.SetRemote(host, remote[host])
 		}
 		for _, id := range servers {
 			want := own[id]
-			for _, used := range told {
+			for _, used := range remote {
 				want.TokenLayers += used[id].TokenLayers
 				want.Requests += used[id].Requests
 				want.Starts += used[id].Starts
@@ -129,8 +128,8 @@
 	})
 }
 
-// What a choice reads for each server, with 300 entry hosts: 19,600 ns when each
-// was summed up, 142 ns with the sum kept, beside other work.
+// Measures the read of one server's load with 300 entry hosts: 142 ns with the
+// running total, against 19,600 ns for summing over entry hosts.
 func BenchmarkUsed(b *testing.B) {
 	var l router.LoadTracker
 	for host := range 300 {
--- a/parts/router/hops_test.go
+++ b/parts/router/router_test.go
@@ -16,7 +16,7 @@
 
 const layers = 80
 
-// engine is a model of 80 layers on two kinds of cards.
+// engine describes a model of 80 layers on two kinds of accelerators.
 func engine() *route.Engine {
 	return &route.Engine{
 		Layers: layers, LayerMB: 1750, TokenBytes: 590_000, HopBytes: 29_500, InterDomainMbps: 11_000,
@@ -29,8 +29,8 @@
 	}
 }
 
-func server(name string, in domain.Name, card string, first, end int) *fleet.Server {
-	return &fleet.Server{ID: name, Address: name + ":1", Domain: in, Accelerator: card, First: first, End: end}
+func server(name string, in domain.Name, accelerator string, first, end int) *fleet.Server {
+	return &fleet.Server{ID: name, Address: name + ":1", Domain: in, Accelerator: accelerator, First: first, End: end}
 }
 
 func query(servers ...*fleet.Server) *router.Query {
@@ -40,7 +40,7 @@
 	}
 }
 
-func TestStaysInDomain(t *testing.T) {
+func TestStaysInLocalDomain(t *testing.T) {
 	q := query(
 		server("a1", "a", "small", 0, 9), server("a2", "a", "small", 9, 80),
 		server("b1", "b", "small", 0, 40), server("b2", "b", "small", 40, 80),
@@ -48,9 +48,9 @@
 	qt.Assert(t, q.Pick().String(), qt.Equals, "a1=0-9 a2=9-80")
 }
 
-// Home is much slower than another domain, or full. Its callers would wait, or
-// be refused, while servers stand idle.
-func TestLeavesSlowDomain(t *testing.T) {
+// Guards against requests that wait or are refused in a slow or full local domain
+// while servers of another one are idle.
+func TestLeavesSlowLocalDomain(t *testing.T) {
 	a1, a2 := server("a1", "a", "small", 0, 9), server("a2", "a", "small", 9, 80)
 	q := query(a1, a2, server("b1", "b", "big", 0, 40), server("b2", "b", "big", 40, 80))
 	qt.Assert(t, q.Pick().String(), qt.Equals, "b1=0-40 b2=40-80")
@@ -59,9 +59,9 @@
 	qt.Assert(t, q.Pick().String(), qt.Equals, "b1=0-40 b2=40-80")
 }
 
-// One server of a failure domain dies, and its layers are held in another
-// domain. A caller whose request could not leave its domain would be refused.
-func TestCrossesOverGap(t *testing.T) {
+// Guards against refusing requests when a server fails and only another failure
+// domain holds its layers.
+func TestCrossesDomainsForMissingLayers(t *testing.T) {
 	q := query(
 		server("a1", "a", "small", 0, 30), server("a2", "a", "small", 40, 80),
 		server("b1", "b", "small", 30, 40),
@@ -69,9 +69,9 @@
 	qt.Assert(t, q.Pick().String(), qt.Equals, "a1=0-30 b1=30-40 a2=40-80")
 }
 
-// A partition cuts two domains off from each other while the entry hosts reach
-// both. A chain that crosses would wait until its caller leaves.
-func TestCutDomainsAreNotCrossed(t *testing.T) {
+// Guards against chains that cross a partition between two failure domains which both
+// reach the entry hosts: such a request stalls until its caller gives up.
+func TestAvoidsPartitionedLink(t *testing.T) {
 	q := query(
 		server("a1", "a", "small", 0, 40), server("b1", "b", "small", 40, 80),
 		server("b0", "b", "small", 0, 40),
@@ -80,9 +80,9 @@
 	qt.Assert(t, q.Pick().String(), qt.Equals, "b0=0-40 b1=40-80")
 }
 
-// The memory of a server is promised to others. Its engine would throw the
-// newest request out and read it again, and its caller would see a long pause.
-func TestFullServerIsLeftOut(t *testing.T) {
+// Guards against requests on a server whose memory is already reserved: its engine
+// would preempt the newest request and recompute it, a long pause for the caller.
+func TestSkipsFullServer(t *testing.T) {
 	q := query(
 		server("a1", "a", "small", 0, 9), server("a2", "a", "small", 0, 9), server("a3", "a", "small", 9, 80),
 	)
@@ -99,10 +99,9 @@
 	qt.Assert(t, q.Pick(), qt.IsNotNil)
 }
 
-// A server is suspected of having failed. While another holds its layers, no
-// request waits for it; where none does, the suspicion may be wrong, and a
-// refusal is certain.
-func TestSuspectsAreLastResort(t *testing.T) {
+// Guards against requests that wait for a suspected server while another holds its
+// layers, and against refusals where none does: the suspicion may be wrong.
+func TestSuspectedServersAreLastResort(t *testing.T) {
 	a1 := server("a1", "a", "big", 0, 40)
 	a1.Suspected = true
 	q := query(a1, server("a2", "a", "small", 0, 40), server("a3", "a", "small", 40, 80))
@@ -113,9 +112,9 @@
 	qt.Assert(t, q.Pick().String(), qt.Equals, "a1=0-40 a3=40-80")
 }
 
-// A server in the midst of a running chain dies. The first server holds the
-// stream, so the new chain must begin with the same part.
-func TestDetourKeepsFirstPart(t *testing.T) {
+// Guards against a reroute that replaces the first stage: its server holds the stream
+// to the entry host.
+func TestRerouteKeepsFirstStage(t *testing.T) {
 	first := server("a1", "a", "small", 0, 10)
 	q := query(first, server("a2", "a", "small", 5, 80), server("a3", "a", "small", 0, 80))
 	q.FixedFirst = &router.Stage{Server: first, First: 0, End: 10}
@@ -125,11 +124,11 @@
 	qt.Assert(t, q.Pick(), qt.IsNil)
 }
 
-// A server in the midst of an answer's chain dies, and the one that takes its
-// part could run some layers of the next one as well. If it did, both would
-// read the whole prompt again, and so for each of some thirty answers: their
-// callers would wait for half a second instead of a quarter.
-func TestDetourKeepsPartsAsTheyAre(t *testing.T) {
+// Guards against a reroute after a failure that also moves layers between the
+// remaining servers: each server whose range changes prefills the whole prompt again,
+// for each of some thirty answers, and their callers wait for 500 ms instead of
+// 250 ms.
+func TestRerouteKeepsCachedStages(t *testing.T) {
 	first := server("a", "a", "small", 0, 20)
 	next := server("c", "a", "small", 35, 60)
 	last := server("d", "a", "small", 60, 80)
@@ -142,10 +141,10 @@
 	qt.Assert(t, q.Pick().String(), qt.Equals, "a=0-20 e=20-40 c=40-60 d=60-80")
 }
 
-// The only server of a domain that holds the first layers answers 500 while its
-// reports are good. Each request would fail there and use up a repeat; another
-// domain serves it somewhat later.
-func TestFailingServerIsNoStart(t *testing.T) {
+// Guards against starting chains at a server that answers requests with status 500
+// while its reports are good: each request would use up a retry there, though another
+// failure domain serves it with little delay.
+func TestAvoidsStartAtFailingServer(t *testing.T) {
 	q := query(
 		server("a1", "a", "small", 0, 40), server("a2", "a", "small", 40, 80),
 		server("b1", "b", "small", 0, 40), server("b2", "b", "small", 40, 80),
@@ -160,10 +159,10 @@
 	qt.Assert(t, q.Pick().String(), qt.Equals, "b1=0-40 b2=40-80")
 }
 
-// A server takes four times as long as usual, as it says itself, and another
-// holds the same layers. Requests that go on through the slow one pile up there
-// and slow down every chain that it is part of.
-func TestSlowServerIsPassedBy(t *testing.T) {
+// Guards against routing through a server that reports to be slow while another holds
+// the same layers: requests would pile up there and slow down every chain that
+// includes it.
+func TestAvoidsSlowServer(t *testing.T) {
 	slow, other := server("a1", "a", "small", 0, 40), server("a2", "a", "small", 0, 40)
 	q := query(slow, other, server("a3", "a", "small", 40, 80))
 	q.Used = func(id string) router.Usage {
@@ -177,9 +176,10 @@
 	qt.Assert(t, q.Pick().String(), qt.Equals, "a2=0-40 a3=40-80")
 }
 
-// A fast server holds few layers in the midst of what a slow one holds. The
-// way through both would pass the slow one twice, which engines refuse.
-func TestNoServerTwice(t *testing.T) {
+// Guards against a chain that passes through a server twice, which engines refuse.
+// Here a fast server holds a few layers in the middle of a slow server's range, so
+// the cheapest path uses the slow one before and after it.
+func TestUsesEachServerOnce(t *testing.T) {
 	q := query(server("a1", "a", "small", 0, 80), server("a2", "a", "big", 30, 50))
 	chain := q.Pick()
 	qt.Assert(t, chain.Complete(layers), qt.IsTrue)
@@ -190,10 +190,9 @@
 	}
 }
 
-// Whatever servers hold, a chain runs each layer once and in order, and only
-// on servers that hold it. A token made otherwise would be wrong, and nobody
-// could tell.
-func TestChainsTile(t *testing.T) {
+// Guards against chains that skip or repeat layers, or run them on a server that does
+// not hold them: their tokens would be wrong, and nothing would report it.
+func TestChainsAreComplete(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		n := rapid.IntRange(1, 14).Draw(t, "servers")
 		var servers []*fleet.Server
@@ -201,7 +200,7 @@
 			first := rapid.IntRange(0, layers-1).Draw(t, "first")
 			end := rapid.IntRange(first, layers).Draw(t, "end")
 			s := server(fmt.Sprintf("s%d", i), domain.Name(rapid.SampledFrom([]string{"a", "b", "c"}).Draw(t, "domain")),
-				rapid.SampledFrom([]string{"big", "small"}).Draw(t, "card"), first, end)
+				rapid.SampledFrom([]string{"big", "small"}).Draw(t, "accelerator"), first, end)
 			s.Leaving = rapid.Bool().Draw(t, "leaving")
 			servers = append(servers, s)
 		}
@@ -212,17 +211,17 @@
 			return
 		}
 		if !chain.Complete(layers) {
-			t.Fatalf("%s does not tile", chain)
+			t.Fatalf("%s is not complete", chain)
 		}
 		for _, p := range chain {
 			if p.First < p.Server.First || p.End > p.Server.End || p.Server.Leaving {
-				t.Fatalf("%s: %s does not hold its part", chain, p.Server.ID)
+				t.Fatalf("%s: %s does not hold its stage", chain, p.Server.ID)
 			}
 		}
 	})
 }
 
-func TestLedger(t *testing.T) {
+func TestLoadTracker(t *testing.T) {
 	var l router.LoadTracker
 	s := server("a1", "a", "small", 0, 80)
 	release := l.Reserve(router.Chain{{Server: s, First: 0, End: 80}}, 100)
--- a/parts/router/search.go
+++ b/parts/router/search.go
@@ -8,28 +8,30 @@
 	"fuchsiashelf.dev/parts/fleet"
 )
 
-// step is the way by which a boundary is reached.
-type step struct {
-	cost   float64
-	server *fleet.Server
-	from   int
-	prev   int
+// label is the cheapest known path to a boundary and failure domain: its cost, and
+// its last stage with the boundary where it starts and the failure domain before it.
+type label struct {
+	cost       float64
+	server     *fleet.Server
+	from       int
+	prevDomain int
 }
 
-// search walks the boundaries in order. A state is a boundary and the server
-// that ran the layers before it, kept only as its failure domain.
-func (q *Query) search(whole bool) Chain {
+// search finds the shortest path by relaxing the boundaries in order. A state is a
+// boundary and the failure domain of the server that ran the layers before it. With
+// toEnd, each server runs up to the end of its range.
+func (q *Query) search(toEnd bool) Chain {
 	layers := q.Engine.Layers
 	domains, index := q.domains()
-	best := make([][]step, layers+1)
+	best := make([][]label, layers+1)
 	for i := range best {
-		best[i] = make([]step, len(domains))
+		best[i] = make([]label, len(domains))
 		for d := range best[i] {
 			best[i][d].cost = math.Inf(1)
 		}
 	}
-	offers := q.offers(index)
-	ends := q.ends()
+	candidates := q.candidates(index)
+	boundaries := q.boundaries()
 	start := 0
 	if q.FixedFirst != nil {
 		start = q.FixedFirst.End
@@ -38,7 +40,7 @@
 		for d, name := range domains {
 			best[0][d].cost = 0
 			if name != q.LocalDomain {
-				best[0][d].cost = awaySeconds
+				best[0][d].cost = remoteStartSeconds
 			}
 		}
 	}
@@ -47,43 +49,43 @@
 			if math.IsInf(best[at][d].cost, 1) {
 				continue
 			}
-			for _, o := range offers {
-				if o.server.First > at || o.server.End <= at || at == 0 && o.occupied {
+			for _, c := range candidates {
+				if c.server.First > at || c.server.End <= at || at == 0 && c.slotsTaken {
 					continue
 				}
-				q.extend(best, domains, ends, o, at, d, whole)
+				q.relax(best, domains, boundaries, c, at, d, toEnd)
 			}
 		}
 	}
-	return q.trace(best, start)
+	return q.backtrack(best, start)
 }
 
-// extend relaxes the boundaries that a server reaches from one state.
-func (q *Query) extend(best [][]step, domains []domain.Name, ends []int, o offer, at, from int, whole bool) {
-	cost := best[at][from].cost + q.hop()
-	if o.domain != from {
-		if at == 0 || q.SingleDomain || q.Partitioned != nil && q.Partitioned(domains[from], o.server.Domain) {
+// relax updates the states that a server reaches from one state.
+func (q *Query) relax(best [][]label, domains []domain.Name, boundaries []int, c candidate, at, from int, toEnd bool) {
+	cost := best[at][from].cost + q.hopCost()
+	if c.domain != from {
+		if at == 0 || q.SingleDomain || q.Partitioned != nil && q.Partitioned(domains[from], c.server.Domain) {
 			return
 		}
-		cost += q.crossing()
+		cost += q.crossingCost()
 	}
-	end := min(o.server.End, q.Engine.Layers)
-	for _, e := range ends {
-		if e <= at || e > end || whole && e != end {
+	end := min(c.server.End, q.Engine.Layers)
+	for _, e := range boundaries {
+		if e <= at || e > end || toEnd && e != end {
 			continue
 		}
-		total := cost + q.layersCost(o, at, e)
+		total := cost + q.stageCost(c, at, e)
 		if at == 0 {
-			total += o.delay
+			total += c.delay
 		}
-		if total < best[e][o.domain].cost {
-			best[e][o.domain] = step{cost: total, server: o.server, from: at, prev: from}
+		if total < best[e][c.domain].cost {
+			best[e][c.domain] = label{cost: total, server: c.server, from: at, prevDomain: from}
 		}
 	}
 }
 
-// trace follows the cheapest way back from the last layer.
-func (q *Query) trace(best [][]step, start int) Chain {
+// backtrack follows the back pointers of the cheapest path from the last layer.
+func (q *Query) backtrack(best [][]label, start int) Chain {
 	at, d := q.Engine.Layers, 0
 	for i := range best[at] {
 		if best[at][i].cost < best[at][d].cost {
@@ -95,9 +97,9 @@
 	}
 	var chain Chain
 	for at > start {
-		s := best[at][d]
-		chain = append(chain, Stage{Server: s.server, First: s.from, End: at})
-		at, d = s.from, s.prev
+		l := best[at][d]
+		chain = append(chain, Stage{Server: l.server, First: l.from, End: at})
+		at, d = l.from, l.prevDomain
 	}
 	if q.FixedFirst != nil {
 		chain = append(chain, *q.FixedFirst)
@@ -106,7 +108,7 @@
 	return chain
 }
 
-// domains lists the failure domains of the servers, and where each stands.
+// domains returns the failure domains of the servers, and the index of each.
 func (q *Query) domains() ([]domain.Name, map[domain.Name]int) {
 	var names []domain.Name
 	index := map[domain.Name]int{}
@@ -125,14 +127,14 @@
 	return names, index
 }
 
-// ends lists the boundaries at which one server may follow another.
-func (q *Query) ends() []int {
+// boundaries returns the boundaries at which one server may follow another, in order.
+func (q *Query) boundaries() []int {
 	list := []int{q.Engine.Layers}
 	for _, s := range q.Servers {
 		list = append(list, s.First, min(s.End, q.Engine.Layers))
 	}
-	for _, p := range q.Cached {
-		list = append(list, p.First, p.End)
+	for _, stage := range q.Cached {
+		list = append(list, stage.First, stage.End)
 	}
 	slices.Sort(list)
 	return slices.Compact(list)
