--- a/parts/place/bench_test.go
+++ b/parts/place/bench_test.go
@@ -9,33 +9,34 @@
 	"fuchsiashelf.dev/parts/place"
 )
 
-// Three failure domains of 1,000 servers each, all of which start empty: the
-// largest decision there is, of which the entry host that places makes five a
-// second: 1,671 ms before ranges were counted by their boundaries, 11 ms after.
-func BenchmarkDecideAtStart(b *testing.B) {
+// Measures the largest decision, three failure domains of 1,000 empty servers each,
+// which the leader makes five times a second: 11 ms with ranges counted by their
+// boundaries, 1,671 ms with a search through all ranges.
+func BenchmarkPlanEmptyServers(b *testing.B) {
 	for b.Loop() {
 		b.StopTimer()
 		list := fleetOf(1000)
 		b.StartTimer()
-		place.Plan(engine(), list, calm)
+		place.Plan(engine(), list, stable)
 	}
 }
 
-// The same fleet when all is held: what is decided anew all day, 3 ms.
-func BenchmarkDecideAtRest(b *testing.B) {
+// Measures the regular decision, in which nothing changes: 3 ms for the same servers
+// when all layers are held.
+func BenchmarkPlanSteadyState(b *testing.B) {
 	list := fleetOf(1000)
-	carry(place.Plan(engine(), list, calm))
+	apply(place.Plan(engine(), list, stable))
 	for b.Loop() {
-		place.Plan(engine(), list, calm)
+		place.Plan(engine(), list, stable)
 	}
 }
 
 func fleetOf(each int) []*fleet.Server {
-	cards := []string{"h100", "a100s", "l4", "t4", "l4", "t4", "l4", "t4", "l4", "t4"}
+	accelerators := []string{"h100", "a100s", "l4", "t4", "l4", "t4", "l4", "t4", "l4", "t4"}
 	var list []*fleet.Server
 	for _, in := range []domain.Name{"a", "b", "c"} {
 		for i := range each {
-			list = append(list, &fleet.Server{ID: fmt.Sprintf("%s-%04d", in, i), Domain: in, Accelerator: cards[i%len(cards)]})
+			list = append(list, &fleet.Server{ID: fmt.Sprintf("%s-%04d", in, i), Domain: in, Accelerator: accelerators[i%len(accelerators)]})
 		}
 	}
 	return list
--- a/parts/place/group.go
+++ b/parts/place/group.go
@@ -8,23 +8,23 @@
 	"fuchsiashelf.dev/parts/route"
 )
 
-// group is the servers that hold the layers together.
+// group is a set of servers that together hold all layers.
 type group struct {
 	engine  *route.Engine
 	servers []*fleet.Server
-	// cards are the kinds of accelerators that the servers have, by name.
-	cards map[string]*card
-	// tokens is the room for requests that each server should have.
-	tokens float64
-	// taken returns how many tokens x layers are promised of a server's memory.
-	taken func(id string) float64
-	// held is the range that each server holds or is about to, by its ID.
+	// accelerators are the kinds of accelerators that the servers have, by name.
+	accelerators map[string]*accelerator
+	// targetTokens is the target capacity of each server for requests.
+	targetTokens float64
+	// reserved returns how many tokens x layers of a server's memory are reserved.
+	reserved func(id string) float64
+	// held is the range that each server holds or will hold, by its ID.
 	held map[string]span
-	// count is how many servers hold a layer, and rooms the tokens that they
-	// have room for together.
-	count []int
-	rooms []float64
-	// edges is how many ranges begin or end at a boundary.
+	// holders is the number of servers that hold each layer, and capacities the
+	// tokens that fit into them together.
+	holders    []int
+	capacities []float64
+	// edges is the number of ranges that begin or end at each boundary.
 	edges []int
 }
 
@@ -35,14 +35,14 @@
 func newGroup(e *route.Engine, servers []*fleet.Server) *group {
 	g := &group{
 		engine: e, servers: slices.Clone(servers), held: map[string]span{},
-		count: make([]int, e.Layers), rooms: make([]float64, e.Layers), edges: make([]int, e.Layers+1),
+		holders: make([]int, e.Layers), capacities: make([]float64, e.Layers), edges: make([]int, e.Layers+1),
 	}
-	g.cards = cardsOf(e, servers)
+	g.accelerators = acceleratorsOf(e, servers)
 	slices.SortFunc(g.servers, func(a, b *fleet.Server) int {
-		x, y := g.cards[a.Accelerator], g.cards[b.Accelerator]
-		return cmp.Or(cmp.Compare(x.time, y.time), cmp.Compare(y.MemoryMB, x.MemoryMB), cmp.Compare(a.ID, b.ID))
+		x, y := g.accelerators[a.Accelerator], g.accelerators[b.Accelerator]
+		return cmp.Or(cmp.Compare(x.layerSeconds, y.layerSeconds), cmp.Compare(y.MemoryMB, x.MemoryMB), cmp.Compare(a.ID, b.ID))
 	})
-	g.tokens = g.balanced()
+	g.targetTokens = g.targetCapacity()
 	for _, s := range g.servers {
 		if s.LayerCount() > 0 {
 			g.set(s, span{max(0, s.First), min(s.End, e.Layers)})
@@ -51,9 +51,9 @@
 	return g
 }
 
-// usual returns how many layers a server should hold.
-func (g *group) usual(s *fleet.Server) int {
-	return size(g.engine, g.cards[s.Accelerator].MemoryMB, g.tokens)
+// targetLayers returns how many layers a server should hold.
+func (g *group) targetLayers(s *fleet.Server) int {
+	return layersBeside(g.engine, g.accelerators[s.Accelerator].MemoryMB, g.targetTokens)
 }
 
 // set replaces what a server holds.
@@ -65,12 +65,12 @@
 	g.add(s, r, 1)
 }
 
-// add counts a range, or takes it away.
+// add adds a range to the counts, or removes it if by is -1.
 func (g *group) add(s *fleet.Server, r span, by int) {
-	tokens := room(g.engine, s, r.len()) * float64(by)
+	tokens := capacity(g.engine, s, r.len()) * float64(by)
 	for l := r.first; l < r.end; l++ {
-		g.count[l] += by
-		g.rooms[l] += tokens
+		g.holders[l] += by
+		g.capacities[l] += tokens
 	}
 	if r.len() > 0 {
 		g.edges[r.first] += by
@@ -80,28 +80,28 @@
 
 // gap returns the first range of missing layers.
 func (g *group) gap() span {
-	first := slices.IndexFunc(g.count, func(n int) bool { return n <= 0 })
+	first := slices.IndexFunc(g.holders, func(n int) bool { return n <= 0 })
 	end := first
-	for end < len(g.count) && g.count[end] <= 0 {
+	for end < len(g.holders) && g.holders[end] <= 0 {
 		end++
 	}
 	return span{first, end}
 }
 
-// doubled reports whether others hold all layers of a range.
-func (g *group) doubled(r span) bool {
+// replicated reports whether other servers hold all layers of a range.
+func (g *group) replicated(r span) bool {
 	for l := r.first; l < r.end; l++ {
-		if g.count[l] < 2 {
+		if g.holders[l] < 2 {
 			return false
 		}
 	}
 	return true
 }
 
-// missing counts the layers without a holder.
+// missing returns the number of layers without a holder.
 func (g *group) missing() int {
 	n := 0
-	for _, c := range g.count {
+	for _, c := range g.holders {
 		if c <= 0 {
 			n++
 		}
@@ -109,34 +109,34 @@
 	return n
 }
 
-// best returns the range of so many layers that is worth most.
+// best returns the most valuable range of n layers.
 func (g *group) best(n int) span {
 	n = min(n, g.engine.Layers)
 	best := span{0, n}
-	alone := g.alone()
-	var bestWorth float64
+	unreplicated := g.unreplicated()
+	var bestValue float64
 	for at := 0; at+n <= g.engine.Layers; at++ {
 		r := span{at, at + n}
-		if w := g.worth(r, alone); w > bestWorth {
-			best, bestWorth = r, w
+		if v := g.value(r, unreplicated); v > bestValue {
+			best, bestValue = r, v
 		}
 	}
 	return best
 }
 
-// alone returns, for each server with layers that are not replicated, the range from
-// the first to the last of them.
-func (g *group) alone() []span {
-	if !slices.Contains(g.count, 1) {
+// unreplicated returns, for each server with layers that no other server holds, the
+// range from the first to the last of them.
+func (g *group) unreplicated() []span {
+	if !slices.Contains(g.holders, 1) {
 		return nil
 	}
 	var list []span
 	for _, s := range g.servers {
 		r := g.held[s.ID]
-		for r.len() > 0 && g.count[r.first] > 1 {
+		for r.len() > 0 && g.holders[r.first] > 1 {
 			r.first++
 		}
-		for r.len() > 0 && g.count[r.end-1] > 1 {
+		for r.len() > 0 && g.holders[r.end-1] > 1 {
 			r.end--
 		}
 		if r.len() > 0 {
@@ -146,23 +146,22 @@
 	return list
 }
 
-// worth returns the value of holding a range, given the ranges that are not
-// replicated.
-func (g *group) worth(r span, alone []span) float64 {
+// value returns the value of holding a range, given the unreplicated ranges.
+func (g *group) value(r span, unreplicated []span) float64 {
 	var sum float64
 	for l := r.first; l < r.end; l++ {
-		if g.count[l] <= 0 {
-			sum += worthMissing
+		if g.holders[l] <= 0 {
+			sum += missingValue
 			continue
 		}
-		sum += max(g.tokens, 1) / max(g.rooms[l], 1)
+		sum += max(g.targetTokens, 1) / max(g.capacities[l], 1)
 	}
-	for _, a := range alone {
+	for _, a := range unreplicated {
 		if r.first <= a.first && a.end <= r.end {
-			sum += worthSpared
+			sum += soleValue
 		}
 	}
-	// Counted, not looked for among all ranges: with 1,000 servers in a failure
-	// domain a decision would take longer than the time between two.
-	return sum + worthAligned*float64(g.edges[r.first]+g.edges[r.end])
+	// The counts of edges replace a search through all ranges: with 1,000 servers in
+	// a failure domain that would take longer than the time between two decisions.
+	return sum + alignedValue*float64(g.edges[r.first]+g.edges[r.end])
 }
--- a/parts/place/place_test.go
+++ b/parts/place/place_test.go
@@ -27,29 +27,29 @@
 	}
 }
 
-// calm and stir are moments in which servers are the same for a while, and not.
+// stable and unstable are conditions with and without a recent change of the servers.
 // No server is idle in either.
 var (
-	calm = times(true, func(string) bool { return false })
-	stir = times(false, func(string) bool { return false })
+	stable   = conditions(true, func(string) bool { return false })
+	unstable = conditions(false, func(string) bool { return false })
 )
 
-func times(calm bool, idle func(id string) bool) place.Conditions {
+func conditions(stable bool, idle func(id string) bool) place.Conditions {
 	return place.Conditions{
-		Stable:      func(domain.Name) bool { return calm },
+		Stable:      func(domain.Name) bool { return stable },
 		Idle:        idle,
 		Reserved:    func(string) float64 { return 0 },
 		JustStarted: func(string) bool { return false },
 	}
 }
 
-// today is the fleet of a deployment of today: three domains, each of which can
-// hold the model.
-func today() []*fleet.Server {
+// threeDomains returns the servers of three failure domains, each of which can hold
+// the model.
+func threeDomains() []*fleet.Server {
 	var list []*fleet.Server
-	add := func(in domain.Name, card string, n int) {
+	add := func(in domain.Name, accelerator string, n int) {
 		for i := range n {
-			list = append(list, &fleet.Server{ID: fmt.Sprintf("%s-%s-%d", in, card, i), Domain: in, Accelerator: card})
+			list = append(list, &fleet.Server{ID: fmt.Sprintf("%s-%s-%d", in, accelerator, i), Domain: in, Accelerator: accelerator})
 		}
 	}
 	add("a", "h100", 1)
@@ -65,14 +65,14 @@
 	return list
 }
 
-// carry carries out orders.
-func carry(orders []place.Assignment) {
-	for _, o := range orders {
-		o.Server.First, o.Server.End = o.First, o.End
+// apply applies assignments to the servers.
+func apply(assignments []place.Assignment) {
+	for _, a := range assignments {
+		a.Server.First, a.Server.End = a.First, a.End
 	}
 }
 
-// covered reports whether the sound servers of a domain hold all layers.
+// covered reports whether the healthy servers of a domain hold all layers.
 func covered(list []*fleet.Server, in domain.Name) bool {
 	held := make([]bool, 80)
 	for _, s := range list {
@@ -100,48 +100,48 @@
 	return nil
 }
 
-func TestEachDomainHoldsAll(t *testing.T) {
-	list := today()
-	orders := place.Plan(engine(), list, calm)
-	qt.Assert(t, orders, qt.HasLen, len(list))
-	carry(orders)
+func TestEachDomainHoldsAllLayers(t *testing.T) {
+	list := threeDomains()
+	assignments := place.Plan(engine(), list, stable)
+	qt.Assert(t, assignments, qt.HasLen, len(list))
+	apply(assignments)
 	for _, in := range []domain.Name{"a", "b", "c"} {
 		qt.Check(t, covered(list, in), qt.IsTrue, qt.Commentf("domain %s", in))
 	}
-	// Nothing is left to do: what servers hold stays.
-	qt.Assert(t, place.Plan(engine(), list, calm), qt.HasLen, 0)
+	// Nothing is left to change: servers keep what they hold.
+	qt.Assert(t, place.Plan(engine(), list, stable), qt.HasLen, 0)
 }
 
-// A server dies, and nobody else in its domain holds its layers. Every request
-// of the domain would have to cross to another one until the server is back.
-// Its neighbours take the layers over and give nothing up, so they need not
-// wait for requests that pass through them.
+// Guards against a failure domain without some layers after its only holder failed:
+// every request would cross to another domain until the server is back. Neighbours
+// take the layers over without giving any up, so they need not wait for the requests
+// that pass through them.
 func TestNeighboursCloseGap(t *testing.T) {
-	for _, dead := range today() {
-		list := today()
-		carry(place.Plan(engine(), list, calm))
+	for _, failed := range threeDomains() {
+		list := threeDomains()
+		apply(place.Plan(engine(), list, stable))
 		held := map[string][2]int{}
 		for _, s := range list {
 			held[s.ID] = [2]int{s.First, s.End}
 		}
-		find(list, dead.ID).Suspected = true
-		orders := place.Plan(engine(), list, stir)
-		for _, o := range orders {
-			was := held[o.Server.ID]
-			if o.First > was[0] || o.End < was[1] {
-				t.Logf("%s dead: %s gives up layers: %v to %d-%d", dead.ID, o.Server.ID, was, o.First, o.End)
+		find(list, failed.ID).Suspected = true
+		assignments := place.Plan(engine(), list, unstable)
+		for _, a := range assignments {
+			was := held[a.Server.ID]
+			if a.First > was[0] || a.End < was[1] {
+				t.Logf("%s failed: %s gives up layers: %v to %d-%d", failed.ID, a.Server.ID, was, a.First, a.End)
 			}
 		}
-		carry(orders)
-		qt.Check(t, covered(list, dead.Domain), qt.IsTrue, qt.Commentf("%s dead", dead.ID))
+		apply(assignments)
+		qt.Check(t, covered(list, failed.Domain), qt.IsTrue, qt.Commentf("%s failed", failed.ID))
 	}
 }
 
-// A partition makes most servers of a domain look dead to the entry host that
-// places. Orders to the rest would tear apart what works on the other side.
-func TestNoOrdersInCutOffDomain(t *testing.T) {
-	list := today()
-	carry(place.Plan(engine(), list, calm))
+// Guards against assignments in a failure domain whose servers look failed to the
+// leader because of a partition: they would break what works on the other side.
+func TestNoAssignmentsInPartitionedDomain(t *testing.T) {
+	list := threeDomains()
+	apply(place.Plan(engine(), list, stable))
 	n := 0
 	for _, s := range list {
 		if s.Domain == "b" && n < 6 {
@@ -149,107 +149,106 @@
 			n++
 		}
 	}
-	qt.Assert(t, place.Plan(engine(), list, stir), qt.HasLen, 0)
+	qt.Assert(t, place.Plan(engine(), list, unstable), qt.HasLen, 0)
 }
 
-// A server with many layers dies, and small ones hold second copies that no
-// request uses. Its neighbours would be left with room for a third of the
-// requests if they took its layers over; the idle ones take them at once.
+// Guards against overloading the neighbours of a failed server while idle servers
+// hold replicas that no request uses: the neighbours would keep a third of their
+// capacity. The idle servers take the layers at once.
 func TestIdleServersCloseGap(t *testing.T) {
-	list := today()
-	carry(place.Plan(engine(), list, calm))
+	list := threeDomains()
+	apply(place.Plan(engine(), list, stable))
 	find(list, "a-a100s-0").Suspected = true
-	orders := place.Plan(engine(), list, times(false, func(id string) bool { return strings.HasPrefix(id, "a-t4") }))
-	for _, o := range orders {
-		qt.Check(t, strings.HasPrefix(o.Server.ID, "a-t4"), qt.IsTrue, qt.Commentf("%s: %d to %d", o.Server.ID, o.First, o.End))
+	assignments := place.Plan(engine(), list, conditions(false, func(id string) bool { return strings.HasPrefix(id, "a-t4") }))
+	for _, a := range assignments {
+		qt.Check(t, strings.HasPrefix(a.Server.ID, "a-t4"), qt.IsTrue, qt.Commentf("%s: %d to %d", a.Server.ID, a.First, a.End))
 	}
-	carry(orders)
+	apply(assignments)
 	qt.Assert(t, covered(list, "a"), qt.IsTrue)
 }
 
-// The neighbours of a dead server hold its layers beside their own and have
-// little room for requests. Once a new server holds the layers they give them
-// up again, but not while it is unclear who lives.
-func TestNeighboursGiveUpInCalm(t *testing.T) {
-	list := today()
-	carry(place.Plan(engine(), list, calm))
-	dead := find(list, "b-l4-3")
-	dead.Suspected = true
-	carry(place.Plan(engine(), list, stir))
-	back := &fleet.Server{ID: "new", Domain: "b", Accelerator: "l4"}
-	list = append(list, back)
-	dead.Leaving = true
-	orders := place.Plan(engine(), list, stir)
-	qt.Assert(t, orders, qt.HasLen, 1)
-	qt.Assert(t, orders[0].Server, qt.Equals, back)
-	carry(orders)
+// Guards against neighbours that keep the layers of a failed server after another one
+// holds them, with little capacity for requests, and against giving them up while the
+// servers of the domain still change.
+func TestNeighboursGiveUpLayersWhenStable(t *testing.T) {
+	list := threeDomains()
+	apply(place.Plan(engine(), list, stable))
+	failed := find(list, "b-l4-3")
+	failed.Suspected = true
+	apply(place.Plan(engine(), list, unstable))
+	replacement := &fleet.Server{ID: "new", Domain: "b", Accelerator: "l4"}
+	list = append(list, replacement)
+	failed.Leaving = true
+	assignments := place.Plan(engine(), list, unstable)
+	qt.Assert(t, assignments, qt.HasLen, 1)
+	qt.Assert(t, assignments[0].Server, qt.Equals, replacement)
+	apply(assignments)
 	for range 5 {
-		carry(place.Plan(engine(), list, calm))
+		apply(place.Plan(engine(), list, stable))
 	}
 	qt.Assert(t, covered(list, "b"), qt.IsTrue)
-	qt.Assert(t, place.Plan(engine(), list, calm), qt.HasLen, 0)
+	qt.Assert(t, place.Plan(engine(), list, stable), qt.HasLen, 0)
 }
 
-// The servers of a service are replaced one by one. The new one, which came a
-// second before the old one left, was busy loading second copies then, and the
-// domain lacked up to twelve layers for four seconds each time: callers were
-// refused, and streams were cut, on a day on which nothing failed.
-func TestNewServerTakesOverFromTheOneThatLeaves(t *testing.T) {
-	for _, card := range []string{"l4", "a100s", "t4"} {
-		list := today()
-		carry(place.Plan(engine(), list, calm))
-		old := find(list, "b-"+card+"-0")
-		next := &fleet.Server{ID: "new", Domain: "b", Accelerator: card}
+// Guards against a rolling replacement in which the new server is busy loading
+// replicas when the old one leaves a second later: the domain lacks up to twelve
+// layers for four seconds each time, requests are refused and streams are cut.
+func TestNewServerReplacesLeavingServer(t *testing.T) {
+	for _, accelerator := range []string{"l4", "a100s", "t4"} {
+		list := threeDomains()
+		apply(place.Plan(engine(), list, stable))
+		old := find(list, "b-"+accelerator+"-0")
+		next := &fleet.Server{ID: "new", Domain: "b", Accelerator: accelerator}
 		list = append(list, next)
-		now := calm
+		now := stable
 		now.JustStarted = func(id string) bool { return id == "new" }
 		qt.Assert(t, place.Plan(engine(), list, now), qt.HasLen, 0)
 		old.Leaving = true
-		orders := place.Plan(engine(), list, now)
-		qt.Assert(t, orders, qt.HasLen, 1, qt.Commentf("%s", card))
-		qt.Assert(t, orders[0].Server, qt.Equals, next)
-		carry(orders)
+		assignments := place.Plan(engine(), list, now)
+		qt.Assert(t, assignments, qt.HasLen, 1, qt.Commentf("%s", accelerator))
+		qt.Assert(t, assignments[0].Server, qt.Equals, next)
+		apply(assignments)
 		qt.Check(t, covered(list, "b"), qt.IsTrue)
 	}
 }
 
-// A server comes to a domain that has just lost one and has little room left.
-// Nothing is to be waited for.
-func TestNewServerRelievesACrowdedDomain(t *testing.T) {
-	list := today()
-	carry(place.Plan(engine(), list, calm))
+// Guards against a new server that stays empty in a domain which has just lost one
+// and has little capacity left.
+func TestNewServerRelievesOverloadedDomain(t *testing.T) {
+	list := threeDomains()
+	apply(place.Plan(engine(), list, stable))
 	find(list, "b-a100s-0").Leaving = true
-	carry(place.Plan(engine(), list, stir))
+	apply(place.Plan(engine(), list, unstable))
 	list = append(list, &fleet.Server{ID: "new", Domain: "b", Accelerator: "l4"})
-	now := stir
+	now := unstable
 	now.JustStarted = func(id string) bool { return id == "new" }
 	qt.Assert(t, place.Plan(engine(), list, now), qt.HasLen, 1)
 }
 
-// A large server took layers over and has little room left, while small ones
-// hold second copies that nobody uses. It would refuse requests to the end of
-// the day; the idle ones relieve it, and it gives the layers up.
-func TestIdleServersRelieve(t *testing.T) {
-	list := today()
-	carry(place.Plan(engine(), list, calm))
+// Guards against a large server that stays at a low capacity after taking layers
+// over, while idle servers hold replicas that no request uses: the idle servers take
+// layers from it.
+func TestIdleServersRelieveOverloadedServer(t *testing.T) {
+	list := threeDomains()
+	apply(place.Plan(engine(), list, stable))
 	find(list, "a-a100s-0").Leaving = true
 	big := find(list, "a-h100-0")
 	big.First, big.End = 0, 37
-	idle := times(true, func(id string) bool { return strings.HasPrefix(id, "a-t4") })
+	idle := conditions(true, func(id string) bool { return strings.HasPrefix(id, "a-t4") })
 	for range 5 {
-		carry(place.Plan(engine(), list, idle))
+		apply(place.Plan(engine(), list, idle))
 	}
 	qt.Assert(t, covered(list, "a"), qt.IsTrue)
 	qt.Assert(t, big.LayerCount() <= 25, qt.IsTrue, qt.Commentf("%d layers", big.LayerCount()))
 }
 
-// A domain has too little memory for the whole model. Alone it would serve
-// nobody, so it shares a copy with another small one.
-func TestSmallDomainsShare(t *testing.T) {
+// Guards against a failure domain that cannot hold the whole model and serves no
+// request: it shares a copy with other small domains.
+func TestSmallDomainsShareACopy(t *testing.T) {
 	list := []*fleet.Server{
 		{ID: "a", Domain: "a", Accelerator: "h100"}, {ID: "b", Domain: "b", Accelerator: "h100"}, {ID: "c", Domain: "c", Accelerator: "h100"},
 	}
-	carry(place.Plan(engine(), list, calm))
+	apply(place.Plan(engine(), list, stable))
 	held := make([]int, 80)
 	for _, s := range list {
 		for l := s.First; l < s.End; l++ {
@@ -261,13 +260,13 @@
 	}
 }
 
-// No order ever asks a server to hold more than its memory: the engine would
-// crash, with every request on it. And deciding comes to rest: servers that
-// were ordered about for ever would never serve.
-func TestOrdersFitAndSettle(t *testing.T) {
+// Guards against assignments that exceed a server's memory, which would crash the
+// engine with all its requests, and against assignments that never converge: servers
+// that keep loading never serve.
+func TestAssignmentsFitAndConverge(t *testing.T) {
 	e := engine()
 	rapid.Check(t, func(t *rapid.T) {
-		list := today()
+		list := threeDomains()
 		for range rapid.IntRange(1, 6).Draw(t, "rounds") {
 			for range rapid.IntRange(0, 3).Draw(t, "faults") {
 				s := list[rapid.IntRange(0, len(list)-1).Draw(t, "which")]
@@ -282,34 +281,34 @@
 					list = append(list, &fleet.Server{ID: fmt.Sprintf("new-%d", len(list)), Domain: s.Domain, Accelerator: s.Accelerator})
 				}
 			}
-			orders := place.Plan(e, list, times(rapid.Bool().Draw(t, "calm"), func(string) bool { return rapid.Bool().Draw(t, "idle") }))
-			for _, o := range orders {
-				if o.First < 0 || o.End > e.Layers || o.First >= o.End {
-					t.Fatalf("%s: %d to %d", o.Server.ID, o.First, o.End)
+			assignments := place.Plan(e, list, conditions(rapid.Bool().Draw(t, "stable"), func(string) bool { return rapid.Bool().Draw(t, "idle") }))
+			for _, a := range assignments {
+				if a.First < 0 || a.End > e.Layers || a.First >= a.End {
+					t.Fatalf("%s: %d to %d", a.Server.ID, a.First, a.End)
 				}
-				if float64(o.End-o.First)*e.LayerMB > e.Accelerators[o.Server.Accelerator].MemoryMB {
-					t.Fatalf("%s: %d layers do not fit", o.Server.ID, o.End-o.First)
+				if float64(a.End-a.First)*e.LayerMB > e.Accelerators[a.Server.Accelerator].MemoryMB {
+					t.Fatalf("%s: %d layers do not fit", a.Server.ID, a.End-a.First)
 				}
-				if o.Server.Leaving || o.Server.Suspected {
-					t.Fatalf("%s is not sound", o.Server.ID)
+				if a.Server.Leaving || a.Server.Suspected {
+					t.Fatalf("%s is not healthy", a.Server.ID)
 				}
 			}
-			carry(orders)
+			apply(assignments)
 		}
 		for range 20 {
-			orders := place.Plan(e, list, calm)
-			if len(orders) == 0 {
+			assignments := place.Plan(e, list, stable)
+			if len(assignments) == 0 {
 				return
 			}
-			carry(orders)
+			apply(assignments)
 		}
-		t.Fatal("deciding does not come to rest")
+		t.Fatal("assignments do not converge")
 	})
 }
 
-// classrooms is an engine whose small cards are three times as fast as its
-// larger ones, beside a few that are large and fast.
-func classrooms() *route.Engine {
+// mixedAccelerators returns an engine whose small accelerators are three times as
+// fast as its medium ones, with large ones that are the fastest.
+func mixedAccelerators() *route.Engine {
 	return &route.Engine{
 		Layers: 80, LayerMB: 1750, TokenBytes: 590_000, Load: 14 * time.Second, Step: 1020 * time.Microsecond, PrefillPerSec: 164_000,
 		MeanPrompt: 772, MeanAnswer: 230,
@@ -320,97 +319,98 @@
 	}
 }
 
-// A domain's slow cards are larger than its fast ones. When the larger got
-// layers first, half of each answer's way went through the slow ones: events came
-// 90 ms apart where 40 are possible, twice as many answers were under way when
-// something failed, and the longest hardly ever came through.
-func TestFastCardsHoldLayersFirst(t *testing.T) {
-	e := classrooms()
-	for _, cards := range []map[string]int{
+// Guards against giving layers to the larger accelerators first when these are the
+// slower ones: events come 90 ms apart where 40 ms are possible, twice as many
+// answers are in flight when a server fails, and the longest answers rarely complete.
+func TestFastAcceleratorsHoldLayersFirst(t *testing.T) {
+	e := mixedAccelerators()
+	for _, accelerators := range []map[string]int{
 		{"a100": 1, "v100": 6, "l4": 6}, {"a100": 1, "v100": 10, "l4": 4}, {"a100": 2, "v100": 4, "l4": 4},
 	} {
 		var list []*fleet.Server
 		fastest := 0
-		for card, n := range cards {
+		for accelerator, n := range accelerators {
 			for i := range n {
-				list = append(list, &fleet.Server{ID: fmt.Sprintf("%s-%02d", card, i), Domain: "a", Accelerator: card})
+				list = append(list, &fleet.Server{ID: fmt.Sprintf("%s-%02d", accelerator, i), Domain: "a", Accelerator: accelerator})
 			}
 		}
-		carry(place.Plan(e, list, calm))
+		apply(place.Plan(e, list, stable))
 		for l := range e.Layers {
-			pace := math.Inf(1)
+			factor := math.Inf(1)
 			for _, s := range list {
 				if l >= s.First && l < s.End {
-					pace = min(pace, e.Accelerators[s.Accelerator].StepFactor)
+					factor = min(factor, e.Accelerators[s.Accelerator].StepFactor)
 				}
 			}
-			if pace < e.Accelerators["l4"].StepFactor {
+			if factor < e.Accelerators["l4"].StepFactor {
 				fastest++
 			}
 		}
-		// What the fast cards hold if they leave room for twice the requests that
-		// a domain has on an ordinary evening, 75.
+		// What the fast accelerators hold if they keep capacity for 150 requests,
+		// twice the 75 that a domain has on an ordinary evening.
 		want := 0
-		for card, n := range cards {
-			if card != "l4" {
+		for accelerator, n := range accelerators {
+			if accelerator != "l4" {
 				each := e.LayerMB + 150*1002*e.TokenBytes/float64(e.Layers)/1e6
-				want += n * int(e.Accelerators[card].MemoryMB/each)
+				want += n * int(e.Accelerators[accelerator].MemoryMB/each)
 			}
 		}
-		qt.Check(t, fastest >= min(want, e.Layers), qt.IsTrue, qt.Commentf("%v: %d layers, %d possible", cards, fastest, want))
+		qt.Check(t, fastest >= min(want, e.Layers), qt.IsTrue, qt.Commentf("%v: %d layers, %d possible", accelerators, fastest, want))
 	}
 }
 
-// Where all cards are about as slow, little is won by giving some of them more
-// layers, and the room that it costs is missed when a server dies: half of the
-// requests found none.
-func TestSlowCardsKeepTheirRoom(t *testing.T) {
-	list := today()
-	settle(t, list, calm)
+// Guards against trading capacity for speed where all accelerators are about equally
+// slow: little is gained, and after a server fails half of the requests find no
+// capacity.
+func TestSlowAcceleratorsKeepTheirCapacity(t *testing.T) {
+	list := threeDomains()
+	converge(t, list, stable)
 	for _, in := range []domain.Name{"a", "b", "c"} {
-		qt.Check(t, capacity(list, in) >= 110, qt.IsTrue, qt.Commentf("%s: room for %.0f requests", in, capacity(list, in)))
+		qt.Check(t, capacity(list, in) >= 110, qt.IsTrue, qt.Commentf("%s: capacity for %.0f requests", in, capacity(list, in)))
 	}
 }
 
-// Most servers hold layers that nobody else holds, and whichever of those dies
-// takes all answers of its domain along. Second copies that are spread over parts
-// of many servers' layers save none of them.
-func TestSecondCopiesCoverWholeServers(t *testing.T) {
-	e := classrooms()
+// Guards against replicas that are spread over parts of many servers' ranges: where
+// most layers have one holder, they save none of the answers when such a server
+// fails.
+func TestReplicasCoverWholeServers(t *testing.T) {
+	e := mixedAccelerators()
 	var list []*fleet.Server
-	for card, n := range map[string]int{"a100": 2, "v100": 4, "l4": 4} {
+	for accelerator, n := range map[string]int{"a100": 2, "v100": 4, "l4": 4} {
 		for i := range n {
-			list = append(list, &fleet.Server{ID: fmt.Sprintf("%s-%02d", card, i), Domain: "a", Accelerator: card})
+			list = append(list, &fleet.Server{ID: fmt.Sprintf("%s-%02d", accelerator, i), Domain: "a", Accelerator: accelerator})
 		}
 	}
-	carry(place.Plan(e, list, calm))
+	apply(place.Plan(e, list, stable))
 	qt.Assert(t, covered(list, "a"), qt.IsTrue)
-	harmless := 0
-	for _, dead := range list {
-		dead.Suspected = true
+	survived := 0
+	for _, failed := range list {
+		failed.Suspected = true
 		if covered(list, "a") {
-			harmless++
+			survived++
 		}
-		dead.Suspected = false
+		failed.Suspected = false
 	}
-	// The four slow ones are spares, and hold enough for each of the four small.
-	qt.Assert(t, harmless >= 8, qt.IsTrue, qt.Commentf("%d of %d deaths leave all layers held", harmless, len(list)))
+	// The four slow servers are spares, and hold enough for each of the four small
+	// ones.
+	qt.Assert(t, survived >= 8, qt.IsTrue, qt.Commentf("%d of %d failures leave all layers held", survived, len(list)))
 }
 
-// A large domain holds each layer several times over. Its fastest way has room for
-// a part of the requests only; when room was given up to make that one faster, all
-// others had less of it, and after some losses a fifth of the requests was refused.
-func TestLargeDomainsKeepTheirRoom(t *testing.T) {
+// Guards against trading capacity for speed in a large domain that holds each layer
+// several times: the fastest chain has capacity for only a part of the requests, all
+// other chains lose capacity, and after some failures a fifth of the requests is
+// refused.
+func TestLargeDomainsKeepTheirCapacity(t *testing.T) {
 	e := engine()
 	var list []*fleet.Server
-	for card, n := range map[string]int{"h100": 1, "a100s": 2, "l4": 13, "t4": 18} {
+	for accelerator, n := range map[string]int{"h100": 1, "a100s": 2, "l4": 13, "t4": 18} {
 		for i := range n {
-			list = append(list, &fleet.Server{ID: fmt.Sprintf("%s-%02d", card, i), Domain: "a", Accelerator: card})
+			list = append(list, &fleet.Server{ID: fmt.Sprintf("%s-%02d", accelerator, i), Domain: "a", Accelerator: accelerator})
 		}
 	}
-	carry(place.Plan(e, list, calm))
+	apply(place.Plan(e, list, stable))
 	for _, s := range list {
 		free := (e.Accelerators[s.Accelerator].MemoryMB - float64(s.LayerCount())*e.LayerMB) * 1e6 * float64(e.Layers) / e.TokenBytes / float64(s.LayerCount())
-		qt.Check(t, free >= 159*usualTokens, qt.IsTrue, qt.Commentf("%s: room for %.0f requests", s.ID, free/usualTokens))
+		qt.Check(t, free >= 159*meanTokens, qt.IsTrue, qt.Commentf("%s: capacity for %.0f requests", s.ID, free/meanTokens))
 	}
 }
--- /dev/null
+++ b/parts/place/rebalance.go
@@ -0,0 +1,161 @@
+package place
+
+import (
+	"cmp"
+	"slices"
+
+	"fuchsiashelf.dev/parts/fleet"
+)
+
+// A server that took over the layers of a failed one has little capacity for
+// requests, which limits its whole failure domain: requests are refused while most of
+// the memory is free. Ranges are therefore rebalanced one layer at a time and without
+// a gap: a neighbour with more capacity loads a layer next to its own, and the
+// overloaded server gives it up afterwards.
+
+const (
+	// minGain is the minimum ratio between the capacity of the neighbour with the
+	// layer and that of the overloaded server now. Without it two similar servers
+	// would pass a layer back and forth.
+	minGain = 1.15
+	// lowCapacity is the share of the target capacity below which servers that have
+	// just started are used at once, and a layer is passed along several servers.
+	// Each of these reroutes requests, so it is done only where the capacity would
+	// hardly last for an ordinary evening.
+	lowCapacity = 0.65
+	// maxReserved is the share of a server's capacity that the requests in flight may
+	// take once it holds more layers. When its memory is exceeded, the engine
+	// preempts the newest requests in the middle of their answers.
+	maxReserved = 0.85
+)
+
+// rebalance lets neighbours of overloaded servers take a layer from them. Each server
+// takes part in one such change at a time.
+func (g *group) rebalance() {
+	if g.missing() > 0 {
+		return
+	}
+	changed := map[string]bool{}
+	for _, s := range g.overloaded() {
+		if changed[s.ID] {
+			continue
+		}
+		changed[s.ID] = true
+		up, down := g.recipients(s, true, changed), g.recipients(s, false, changed)
+		list, last := up, true
+		if up == nil || down != nil && len(down) < len(up) {
+			list, last = down, false
+		}
+		if len(list) > 1 && capacity(g.engine, s, g.held[s.ID].len()) > lowCapacity*g.targetTokens {
+			continue
+		}
+		for _, n := range list {
+			g.take(n, last)
+			changed[n.ID] = true
+		}
+	}
+}
+
+// scarce reports whether some layer has little capacity for requests.
+func (g *group) scarce() bool {
+	return slices.Min(g.capacities) < lowCapacity*g.targetTokens
+}
+
+// overloaded returns the servers that hold more than their target number of layers,
+// ordered by rising capacity.
+func (g *group) overloaded() []*fleet.Server {
+	var list []*fleet.Server
+	for _, s := range g.servers {
+		if s.LayerCount() > 0 && g.held[s.ID].len() > g.targetLayers(s) {
+			list = append(list, s)
+		}
+	}
+	slices.SortStableFunc(list, func(a, b *fleet.Server) int {
+		return cmp.Compare(capacity(g.engine, a, g.held[a.ID].len()), capacity(g.engine, b, g.held[b.ID].len()))
+	})
+	return list
+}
+
+// recipients returns the servers that a layer is passed along to, upwards from the
+// last layer of an overloaded server or downwards from its first one. Each takes one
+// layer from the previous server. The last recipient either has more capacity with it
+// than the overloaded server has now, or can give up a layer because another server
+// holds it too.
+func (g *group) recipients(s *fleet.Server, last bool, changed map[string]bool) []*fleet.Server {
+	need := minGain * capacity(g.engine, s, g.held[s.ID].len())
+	var list []*fleet.Server
+	for at := s; len(list) < len(g.servers); {
+		n := g.neighbour(at, last, changed)
+		if n == nil {
+			return nil
+		}
+		list = append(list, n)
+		r := g.held[n.ID]
+		far := r.end - 1
+		if !last {
+			far = r.first
+		}
+		if capacity(g.engine, n, r.len()+1) >= need || g.holders[far] > 1 {
+			return list
+		}
+		at = n
+	}
+	return nil
+}
+
+// neighbour returns the adjacent server with the most capacity after taking a layer.
+func (g *group) neighbour(s *fleet.Server, last bool, changed map[string]bool) *fleet.Server {
+	r := g.held[s.ID]
+	var best *fleet.Server
+	var bestCapacity float64
+	for _, n := range g.servers {
+		o := g.held[n.ID]
+		isAdjacent := last && o.first == r.end || !last && o.end == r.first
+		if changed[n.ID] || !isAdjacent || o.len() == 0 || n.LayerCount() == 0 || o.len() >= maxLayersOf(g.engine, n) {
+			continue
+		}
+		if remaining := capacity(g.engine, n, o.len()+1); remaining > bestCapacity && g.fits(n, o.len()+1) {
+			best, bestCapacity = n, remaining
+		}
+	}
+	return best
+}
+
+// fits reports whether the requests in flight still fit into a server's memory if it
+// holds the given number of layers.
+func (g *group) fits(s *fleet.Server, layers int) bool {
+	return g.reserved(s.ID) <= maxReserved*capacity(g.engine, s, layers)*float64(layers)
+}
+
+// take adds to a server's range the adjacent layer of its overloaded neighbour.
+func (g *group) take(n *fleet.Server, last bool) {
+	o := g.held[n.ID]
+	if last {
+		g.set(n, span{o.first - 1, o.end})
+		return
+	}
+	g.set(n, span{o.first, o.end + 1})
+}
+
+// trim makes overloaded servers give up replicated layers above their target number,
+// in order of rising capacity.
+func (g *group) trim() {
+	if g.missing() > 0 {
+		return
+	}
+	for _, s := range g.overloaded() {
+		targetLayers := g.targetLayers(s)
+		for r := g.held[s.ID]; r.len() > targetLayers; {
+			switch {
+			case g.holders[r.first] > 1 && (g.holders[r.end-1] < 2 || g.capacities[r.first] >= g.capacities[r.end-1]):
+				r.first++
+			case g.holders[r.end-1] > 1:
+				r.end--
+			default:
+				targetLayers = r.len()
+				continue
+			}
+			g.set(s, r)
+		}
+	}
+}
