--- a/parts/retry/budget.go
+++ b/parts/retry/budget.go
@@ -1,26 +1,24 @@
-// Package retry decides what follows when a chain fails: whether another is
-// tried, when silence counts as failure, and how much repeating a pool can
-// bear.
+// Package retry decides what follows when a chain fails: whether another one is
+// tried, when silence counts as a failure, and how many retries a pool can bear.
 //
-// An attempt is one chain that a request is sent to. A later attempt resumes:
-// it is given the tokens that the caller already has and goes on behind them.
+// An attempt is one chain that a request is sent to. A later attempt resumes the
+// answer: it gets the tokens that the caller already has and continues after them.
 package retry
 
 import "sync/atomic"
 
-// The budget's rates. A relayed token earns a fiftieth of an attempt, so a
-// stream of 50 tokens has earned its own resumption. The floor lets a pool
-// that has relayed nothing yet try again.
+// The rates of the retry budget. Each tokensPerAttempt relayed tokens earn one retry,
+// so a stream of that length has earned its own resumption. With minAttempts a pool
+// can retry that has not relayed any tokens yet.
 const (
 	tokensPerAttempt = 50
-	floorAttempts    = 64
+	minAttempts      = 64
 )
 
-// Budget bounds the repeated attempts of a pool to a share of its successes
-// (a token bucket). Without it a fault that hits every chain would multiply
-// the load by the number of attempts just when there is the least room for
-// it, and callers would see a fault of one server become an overload of all.
-// Make one with NewBudget.
+// Budget is a retry budget: a token bucket that limits the retries of a pool to a
+// share of its successes. Without it a fault that hits every chain would multiply the
+// load by the number of attempts just when capacity is lowest, and callers would see
+// the fault of one server turn into an overload of all. Make one with NewBudget.
 type Budget struct {
 	// credit is in relayed tokens.
 	credit atomic.Int64
@@ -29,24 +27,24 @@
 // NewBudget returns a full budget.
 func NewBudget() *Budget {
 	b := &Budget{}
-	b.credit.Store(floorAttempts * tokensPerAttempt)
+	b.credit.Store(minAttempts * tokensPerAttempt)
 	return b
 }
 
-// Deposit adds relayed tokens. The bucket holds as much as is needed to resume
-// each request in flight once, since one failure domain's end may hit all.
+// Deposit adds relayed tokens. The bucket holds enough to resume each request in
+// flight once, since the loss of a failure domain may hit all of them.
 func (b *Budget) Deposit(tokens int, inFlight int64) {
-	most := max(floorAttempts, inFlight) * tokensPerAttempt
+	limit := max(minAttempts, inFlight) * tokensPerAttempt
 	for {
 		old := b.credit.Load()
-		next := min(old+int64(tokens), most)
+		next := min(old+int64(tokens), limit)
 		if next <= old || b.credit.CompareAndSwap(old, next) {
 			return
 		}
 	}
 }
 
-// Withdraw spends one attempt, and reports whether there was one.
+// Withdraw spends one retry, and reports whether the budget allowed it.
 func (b *Budget) Withdraw() bool {
 	for {
 		old := b.credit.Load()
--- a/parts/retry/decide.go
+++ b/parts/retry/decide.go
@@ -6,31 +6,31 @@
 	"fuchsiashelf.dev/parts/fault"
 )
 
-// MaxAttempts bounds the chains that one request is sent to.
+// MaxAttempts is the maximum number of chains that one request is sent to.
 const MaxAttempts = 6
 
-// RetryAfter is when a caller whose request was given up should come again: by
-// then a server that failed is avoided, or serves again.
+// RetryAfter is the time after which the caller of a failed request may return: by
+// then a failed server is avoided or has recovered.
 const RetryAfter = time.Second
 
-// Failure is a failed attempt.
+// Failure describes a failed attempt.
 type Failure struct {
-	// Error is how it failed.
+	// Error is the cause.
 	Error *fault.Error
-	// Attempt is its number, from 1.
+	// Attempt is the number of the attempt, from 1.
 	Attempt int
 	// Left is the time until the request's deadline.
 	Left time.Duration
-	// CallerConnected says that the caller is still there.
+	// CallerConnected says that the caller is still connected.
 	CallerConnected bool
-	// Sent is the number of tokens that the caller has.
+	// Sent is the number of tokens that the caller has received.
 	Sent int
 }
 
-// ShouldRetry reports whether another attempt may help, and whether it has to be
-// paid for from the budget. An attempt that is known not to have run costs
-// the servers next to nothing.
-func (f Failure) ShouldRetry() (again, pay bool) {
+// ShouldRetry reports whether another attempt may help, and whether it has to be paid
+// for from the retry budget. A retry is free if the failed attempt is known not to
+// have run, since that cost the servers next to nothing.
+func (f Failure) ShouldRetry() (retry, charge bool) {
 	if !f.CallerConnected || f.Left <= 0 || f.Attempt >= MaxAttempts {
 		return false, false
 	}
@@ -41,11 +41,11 @@
 	return false, false
 }
 
-// Final returns the error that the caller sees once the request is given up.
+// Final returns the error for the caller of a request that is not retried any more.
 // The verdict is the weakest of all attempts.
-func (f Failure) Final(all fault.Verdict) *fault.Error {
+func (f Failure) Final(verdict fault.Verdict) *fault.Error {
 	final := *f.Error
-	final.Verdict = all
+	final.Verdict = verdict
 	switch final.Code {
 	case fault.ServerFailed, fault.ServerRefused, fault.BrokenAnswer, fault.NoCover, fault.NoServer, fault.Overloaded:
 		final.RetryAfter = max(final.RetryAfter, RetryAfter)
--- a/parts/retry/gaps.go
+++ b/parts/retry/gaps.go
@@ -6,150 +6,152 @@
 	"time"
 )
 
-// Gaps follows the time between the tokens of one chain: its mean and its
-// mean deviation, as TCP does for its round trips.
+// Gaps estimates the time between the tokens of one chain by its mean and its mean
+// deviation, like the round-trip time estimate of TCP.
 type Gaps struct {
 	mean, dev float64
 	known     bool
 }
 
-// The weights of one new gap in the mean and in the deviation.
+// The weights of a new gap in the mean and in the deviation.
 const (
 	meanWeight = 1.0 / 8
 	devWeight  = 1.0 / 4
 )
 
-// Observe folds one gap in.
+// Observe adds a gap to the estimate.
 func (g *Gaps) Observe(gap time.Duration) {
 	value := float64(gap)
 	if !g.known {
 		g.mean, g.dev, g.known = value, value/2, true
 		return
 	}
-	off := value - g.mean
-	g.mean += meanWeight * off
-	if off < 0 {
-		off = -off
+	diff := value - g.mean
+	g.mean += meanWeight * diff
+	if diff < 0 {
+		diff = -diff
 	}
-	g.dev += devWeight * (off - g.dev)
+	g.dev += devWeight * (diff - g.dev)
 }
 
-// Timeouts say when a chain that has sent nothing is looked at.
+// Timeouts are the idle times after which a chain is probed and after which it has
+// failed.
 type Timeouts struct {
-	// Probe is when its servers are asked whether they are there.
+	// Probe is when the servers of the chain are probed.
 	Probe time.Duration
-	// Failure is when it counts as failed though all of them answer.
+	// Failure is when the chain counts as failed even if all servers answer.
 	Failure time.Duration
 }
 
-// The limits in terms of the usual gap. Below the floors, a pause of the
-// host's scheduler would look like a failure.
+// The timeouts in means and mean deviations of the gaps. Below the minimums, a pause
+// of the host's scheduler would look like a failure.
 const (
-	probeTimes, probeDevs   = 3, 4
-	silentTimes, silentDevs = 16, 16
-	probeFloor              = 100 * time.Millisecond
-	silentFloor             = 400 * time.Millisecond
-	// The floors for a first token are higher, since it may have to wait for
-	// other requests and its prompt has to be read.
-	firstProbeFloor  = 250 * time.Millisecond
-	firstSilentFloor = time.Second
-	// It is much longer than a gap, so fewer of it are time enough.
-	firstTimes, firstDevs = 4, 8
+	probeMeans, probeDevs     = 3, 4
+	failureMeans, failureDevs = 16, 16
+	minProbe                  = 100 * time.Millisecond
+	minFailure                = 400 * time.Millisecond
+	// The minimums for a first token are higher, since it may have to wait for other
+	// requests and for the prefill of its prompt.
+	minFirstProbe   = 250 * time.Millisecond
+	minFirstFailure = time.Second
+	// The first token takes much longer than a gap, so a lower multiple suffices.
+	firstMeans, firstDevs = 4, 8
 )
 
-// unknown are the limits while nothing is known of a pool.
-var unknown = Timeouts{Probe: firstProbeFloor, Failure: 5 * time.Second}
+// defaultTimeouts apply while a pool has no observations.
+var defaultTimeouts = Timeouts{Probe: minFirstProbe, Failure: 5 * time.Second}
 
-// Timeouts returns the limits for the next token of a chain.
+// Timeouts returns the timeouts for the next token of a chain.
 func (g *Gaps) Timeouts() Timeouts {
 	if !g.known {
-		return unknown
+		return defaultTimeouts
 	}
 	return Timeouts{
-		Probe:   max(probeFloor, g.times(probeTimes, probeDevs)),
-		Failure: max(silentFloor, g.times(silentTimes, silentDevs)),
+		Probe:   max(minProbe, g.multiple(probeMeans, probeDevs)),
+		Failure: max(minFailure, g.multiple(failureMeans, failureDevs)),
 	}
 }
 
-// first returns the limits for a first token, if these are times to first
-// tokens.
-func (g *Gaps) first() Timeouts {
+// firstToken returns the timeouts for a first token, if g estimates the times to
+// first tokens.
+func (g *Gaps) firstToken() Timeouts {
 	return Timeouts{
-		Probe:   max(firstProbeFloor, g.times(probeTimes, probeDevs)),
-		Failure: max(firstSilentFloor, g.times(firstTimes, firstDevs)),
+		Probe:   max(minFirstProbe, g.multiple(probeMeans, probeDevs)),
+		Failure: max(minFirstFailure, g.multiple(firstMeans, firstDevs)),
 	}
 }
 
-func (g *Gaps) times(means, devs float64) time.Duration {
+func (g *Gaps) multiple(means, devs float64) time.Duration {
 	return time.Duration(means*g.mean + devs*g.dev)
 }
 
-// Baseline is what a pool's chains usually take. It stands in for a chain's own
-// figures until there are any. Threads may use it together without locks.
+// Baseline estimates the typical gaps and first-token times of a pool's chains. It is
+// the estimate for a chain without observations of its own. It is safe for concurrent
+// use without locks.
 type Baseline struct {
-	gap   atomic.Pointer[Gaps]
-	first [sizes]atomic.Pointer[Gaps]
+	gap        atomic.Pointer[Gaps]
+	firstToken [lengthClasses]atomic.Pointer[Gaps]
 }
 
-// sizes is the number of classes of prompts by length; each is twice as long
-// as the one before. A long prompt takes long to read.
-const sizes = 24
+// lengthClasses is the number of classes of prompts by length, since a long prompt
+// takes long to prefill. Each class covers lengths twice as long as the previous one.
+const lengthClasses = 24
 
-func size(length int) int {
-	return min(bits.Len(uint(length)), sizes-1)
+func lengthClass(length int) int {
+	return min(bits.Len(uint(length)), lengthClasses-1)
 }
 
-// update replaces figures by changed ones.
-func update(at *atomic.Pointer[Gaps], change func(*Gaps)) {
+// update atomically replaces an estimate by a changed copy.
+func update(p *atomic.Pointer[Gaps], change func(*Gaps)) {
 	for {
-		old := at.Load()
+		old := p.Load()
 		next := Gaps{}
 		if old != nil {
 			next = *old
 		}
 		change(&next)
-		if at.CompareAndSwap(old, &next) {
+		if p.CompareAndSwap(old, &next) {
 			return
 		}
 	}
 }
 
-// ObserveFirstToken folds in the time to the first token of an attempt that had
-// to read so many bytes.
-func (u *Baseline) ObserveFirstToken(length int, d time.Duration) {
-	update(&u.first[size(length)], func(g *Gaps) { g.Observe(d) })
+// ObserveFirstToken adds the time to the first token of an attempt whose prompt has
+// the given length in bytes.
+func (b *Baseline) ObserveFirstToken(length int, d time.Duration) {
+	update(&b.firstToken[lengthClass(length)], func(g *Gaps) { g.Observe(d) })
 }
 
-// FirstToken returns the limits for the first token of an attempt. A length that
-// was not seen yet is judged by the next shorter one, and given the more time
-// the longer it is. Its servers are asked no later for that: a server that is
-// there answers while it reads.
-func (u *Baseline) FirstToken(length int) Timeouts {
-	class := size(length)
+// FirstToken returns the timeouts for the first token of an attempt. A length without
+// observations uses those of the next shorter class, with the failure timeout doubled
+// for each class between them. The probe timeout is not extended: a healthy server
+// answers probes while it works on the prompt.
+func (b *Baseline) FirstToken(length int) Timeouts {
+	class := lengthClass(length)
 	for below := class; below >= 0; below-- {
-		if g := u.first[below].Load(); g != nil {
-			l := g.first()
-			l.Failure <<= class - below
-			return l
+		if g := b.firstToken[below].Load(); g != nil {
+			t := g.firstToken()
+			t.Failure <<= class - below
+			return t
 		}
 	}
-	return unknown
+	return defaultTimeouts
 }
 
-// ObserveGaps folds in what one chain usually took.
-func (u *Baseline) ObserveGaps(g Gaps) {
+// ObserveGaps adds the estimate of one chain.
+func (b *Baseline) ObserveGaps(g Gaps) {
 	if !g.known {
 		return
 	}
-	update(&u.gap, func(all *Gaps) {
-		all.Observe(time.Duration(g.mean))
-		all.dev = max(all.dev, g.dev)
+	update(&b.gap, func(estimate *Gaps) {
+		estimate.Observe(time.Duration(g.mean))
+		estimate.dev = max(estimate.dev, g.dev)
 	})
 }
 
-// Gaps returns the figures that a new chain begins with.
-func (u *Baseline) Gaps() Gaps {
-	if g := u.gap.Load(); g != nil {
+// Gaps returns the estimate that a new chain begins with.
+func (b *Baseline) Gaps() Gaps {
+	if g := b.gap.Load(); g != nil {
 		return *g
 	}
 	return Gaps{}
--- a/parts/retry/retry_test.go
+++ b/parts/retry/retry_test.go
@@ -12,7 +12,7 @@
 
 const ms = time.Millisecond
 
-func settled(gap time.Duration) *Gaps {
+func steady(gap time.Duration) *Gaps {
 	g := &Gaps{}
 	for range 64 {
 		g.Observe(gap)
@@ -20,53 +20,53 @@
 	return g
 }
 
-// A server freezes at a usual gap of 20 ms: its connections stay open and
-// nothing comes. It has to be given up well within 500 ms, or the caller
-// reads the pause as the end.
-func TestFreezeIsSeenSoon(t *testing.T) {
+// Guards against a late failover when a server hangs: at a usual gap of 20 ms its
+// connections stay open and no token arrives. It has to be detected well within
+// 500 ms, or the caller takes the pause for the end of the answer.
+func TestHungServerIsDetectedSoon(t *testing.T) {
 	c := quicktest.New(t)
-	l := settled(20 * ms).Timeouts()
-	phase, wait := l.Next(0, true)
+	timeouts := steady(20 * ms).Timeouts()
+	phase, wait := timeouts.Next(0, true)
 	c.Assert(phase, quicktest.Equals, Healthy)
-	c.Assert(wait, quicktest.Equals, l.Probe)
-	phase, _ = l.Next(l.Probe, false)
+	c.Assert(wait, quicktest.Equals, timeouts.Probe)
+	phase, _ = timeouts.Next(timeouts.Probe, false)
 	c.Assert(phase, quicktest.Equals, Probing)
-	phase, _ = l.Next(250*ms, false)
+	phase, _ = timeouts.Next(250*ms, false)
 	c.Assert(phase, quicktest.Equals, Failed)
-	phase, _ = l.Next(250*ms, true)
+	phase, _ = timeouts.Next(250*ms, true)
 	c.Assert(phase, quicktest.Equals, Stalled)
-	phase, _ = l.Next(400*ms, true)
+	phase, _ = timeouts.Next(400*ms, true)
 	c.Assert(phase, quicktest.Equals, Failed)
 }
 
-// A chain is slow but healthy, and its gaps vary. Were it given up, its
-// request would begin again elsewhere, and a pool that is busy would be made
-// busier by that.
-func TestSlowChainIsNotSilent(t *testing.T) {
+// Guards against failing a slow but healthy chain whose gaps vary: its request would
+// be restarted elsewhere, which adds load to a busy pool.
+func TestSlowChainIsHealthy(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
-		usual := rapid.Int64Range(1, 5000).Draw(t, "usual")
-		g := settled(time.Duration(usual) * ms)
+		mean := rapid.Int64Range(1, 5000).Draw(t, "mean")
+		g := steady(time.Duration(mean) * ms)
 		for _, part := range rapid.SliceOfN(rapid.Int64Range(20, 200), 1, 100).Draw(t, "parts") {
-			gap := time.Duration(usual*part/100) * ms
+			gap := time.Duration(mean*part/100) * ms
 			if phase, _ := g.Timeouts().Next(gap, true); phase > Healthy {
-				t.Fatalf("a gap of %s at a usual %d ms is in phase %d", gap, usual, phase)
+				t.Fatalf("a gap of %s at a mean of %d ms is in phase %d", gap, mean, phase)
 			}
 			g.Observe(gap)
 		}
 	})
 }
 
-// The waits of the phases lead to an end, in order, whatever the limits.
-func TestPhasesEnd(t *testing.T) {
+// Guards against phases that never reach a failure, or that go back, for any
+// timeouts.
+func TestPhasesReachFailed(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
-		l := Timeouts{
+		timeouts := Timeouts{
 			Probe:   time.Duration(rapid.Int64Range(1, 1e10).Draw(t, "probe")),
-			Failure: time.Duration(rapid.Int64Range(1, 1e10).Draw(t, "silent")),
+			Failure: time.Duration(rapid.Int64Range(1, 1e10).Draw(t, "failure")),
 		}
-		there := rapid.Bool().Draw(t, "there")
+		probesAnswered := rapid.Bool().Draw(t, "probesAnswered")
 		idle, last := time.Duration(0), Healthy
 		for range 4 {
-			phase, wait := l.Next(idle, there)
+			phase, wait := timeouts.Next(idle, probesAnswered)
 			if phase < last {
 				t.Fatalf("phase %d after %d", phase, last)
 			}
@@ -76,29 +76,29 @@
 			last = phase
 			idle += wait
 		}
-		t.Fatal("never silent")
+		t.Fatal("never failed")
 	})
 }
 
-func TestFirstGivesLongPromptsTime(t *testing.T) {
+func TestFirstTokenTimeoutGrowsWithPrompt(t *testing.T) {
 	c := quicktest.New(t)
 	u := &Baseline{}
-	c.Assert(u.FirstToken(100), quicktest.Equals, unknown)
+	c.Assert(u.FirstToken(100), quicktest.Equals, defaultTimeouts)
 	for range 50 {
 		u.ObserveFirstToken(100, 500*ms)
 	}
 	short := u.FirstToken(100)
-	c.Assert(short.Failure < unknown.Failure, quicktest.IsTrue)
+	c.Assert(short.Failure < defaultTimeouts.Failure, quicktest.IsTrue)
 	c.Assert(u.FirstToken(450).Failure, quicktest.Equals, 4*short.Failure)
-	c.Assert(u.FirstToken(60000).Probe, quicktest.Equals, short.Probe, quicktest.Commentf("a frozen server is found as soon"))
-	u.ObserveGaps(*settled(30 * ms))
+	c.Assert(u.FirstToken(60000).Probe, quicktest.Equals, short.Probe, quicktest.Commentf("a hung server is detected as soon"))
+	u.ObserveGaps(*steady(30 * ms))
 	begin := u.Gaps()
 	c.Assert(begin.Timeouts().Failure < 2*time.Second, quicktest.IsTrue)
 }
 
-// A fault hits every chain of a pool. Repeats are paid from what the pool has
-// achieved, so the load stays bounded and what still works is left alone.
-func TestBudgetBoundsRepeats(t *testing.T) {
+// Guards against retries that multiply the load when a fault hits every chain of a
+// pool: they are limited by the tokens that the pool has relayed.
+func TestBudgetLimitsRetries(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		b := NewBudget()
 		earned, taken := 0, 0
@@ -113,29 +113,29 @@
 				taken++
 			}
 		}
-		if taken > floorAttempts+earned/tokensPerAttempt {
-			t.Fatalf("%d repeats for %d tokens", taken, earned)
+		if taken > minAttempts+earned/tokensPerAttempt {
+			t.Fatalf("%d retries for %d tokens", taken, earned)
 		}
 	})
 }
 
-func TestAgain(t *testing.T) {
+func TestShouldRetry(t *testing.T) {
 	for _, test := range []struct {
-		name       string
-		f          Failure
-		again, pay bool
+		name          string
+		f             Failure
+		retry, charge bool
 	}{
 		{"a server failed", Failure{Error: &fault.Error{Code: fault.ServerFailed}, Attempt: 1, Left: 1, CallerConnected: true}, true, true},
 		{"a server refused", Failure{Error: &fault.Error{Code: fault.ServerRefused, Verdict: fault.NotRun}, Attempt: 1, Left: 1, CallerConnected: true}, true, false},
 		{"no cover", Failure{Error: &fault.Error{Code: fault.NoCover}, Attempt: 1, Left: 1, CallerConnected: true}, false, false},
-		{"too many", Failure{Error: &fault.Error{Code: fault.ServerFailed}, Attempt: MaxAttempts, Left: 1, CallerConnected: true}, false, false},
-		{"too late", Failure{Error: &fault.Error{Code: fault.ServerFailed}, Attempt: 1, CallerConnected: true}, false, false},
-		{"caller left", Failure{Error: &fault.Error{Code: fault.ServerFailed}, Attempt: 1, Left: 1}, false, false},
+		{"too many attempts", Failure{Error: &fault.Error{Code: fault.ServerFailed}, Attempt: MaxAttempts, Left: 1, CallerConnected: true}, false, false},
+		{"deadline passed", Failure{Error: &fault.Error{Code: fault.ServerFailed}, Attempt: 1, CallerConnected: true}, false, false},
+		{"caller disconnected", Failure{Error: &fault.Error{Code: fault.ServerFailed}, Attempt: 1, Left: 1}, false, false},
 	} {
 		t.Run(test.name, func(t *testing.T) {
-			again, pay := test.f.ShouldRetry()
-			quicktest.Assert(t, again, quicktest.Equals, test.again)
-			quicktest.Assert(t, pay, quicktest.Equals, test.pay)
+			retry, charge := test.f.ShouldRetry()
+			quicktest.Assert(t, retry, quicktest.Equals, test.retry)
+			quicktest.Assert(t, charge, quicktest.Equals, test.charge)
 		})
 	}
 	c := quicktest.New(t)
--- a/parts/retry/share_test.go
+++ b/parts/retry/window_test.go
@@ -9,9 +9,9 @@
 	"fuchsiashelf.dev/parts/retry"
 )
 
-// All servers refuse, and every request asks for a second one. Without a bound
-// the servers would get twice the load just when they have no room.
-func TestShareBoundsRepeats(t *testing.T) {
+// Guards against retries that double the load of servers which all refuse requests
+// for lack of capacity.
+func TestWindowBudgetLimitsRetries(t *testing.T) {
 	s := &retry.WindowBudget{Ratio: 0.1, MinRetries: func() float64 { return 2 }, Window: 10 * time.Second}
 	now := time.Unix(1000, 0)
 	granted := 0
@@ -23,7 +23,8 @@
 		now = now.Add(10 * time.Millisecond)
 	}
 	qt.Assert(t, granted, qt.Equals, 12)
-	// A window later the requests are forgotten, and the slack is there again.
+	// After one window the requests no longer count, and the fixed number is
+	// available again.
 	now = now.Add(11 * time.Second)
 	qt.Assert(t, s.Withdraw(now), qt.IsTrue)
 	qt.Assert(t, s.Withdraw(now), qt.IsTrue)
