--- a/parts/chain/chain.go
+++ b/parts/chain/chain.go
@@ -1,11 +1,11 @@
-// Package chain finds chains: backend servers that together run all layers
-// of a model, in order, with no layer missing or doubled.
+// Package chain finds chains: backend servers that together run all layers of a
+// model, each exactly once and in order.
 //
-// Boundaries lie between layers; boundary 0 is before the first layer. A
-// server that holds the layers [first, end) can go on from any boundary
-// within them, and then runs up to its end: a hop. A chain is a path of hops
-// from boundary 0 to the last one. So servers whose ranges overlap can follow
-// each other, and each layer still runs once.
+// Boundaries lie between layers; boundary 0 is before the first layer. A server that
+// holds the layers [first, end) can continue from any boundary within them and then
+// runs up to its end: a hop. A chain is a path of hops from boundary 0 to the last
+// one. So servers whose ranges overlap can follow each other, and each layer still
+// runs once.
 package chain
 
 import (
@@ -22,31 +22,30 @@
 // Last is the Next of a hop that runs the last layer.
 const Last = -1
 
-// Hop is one server's part in a chain.
+// Hop is the layers that one server runs of a chain.
 type Hop struct {
 	// Server is the index of the server in Graph.Servers.
 	Server int
 	// First and End bound the layers that it runs.
 	First, End int
-	// Next is the index in Graph.Hops of the boundary that it ends at, or
-	// Last.
+	// Next is the index in Graph.Hops of the boundary that it ends at, or Last.
 	Next int
 }
 
 // Graph holds the hops of a pool, without those that no chain can use. It is
-// never changed.
+// immutable.
 type Graph struct {
 	// Layers is the number of layers of the model.
 	Layers int
 	// Servers are the servers of the pool that hold layers of the model.
 	Servers []host.Host
-	// Hops holds the hops by the boundary that they start at; Hops[0] starts
-	// at layer 0.
+	// Hops holds the hops by the boundary that they start at; Hops[0] starts at layer
+	// 0.
 	Hops [][]Hop
 }
 
-// New builds the graph of the given servers. It fails with NoCover, naming
-// each range of layers that no server holds, if they do not cover the model.
+// New builds the graph of the given servers. It fails with NoCover, naming each range
+// of layers that no server holds, if they do not cover the model.
 func New(layers int, servers []host.Host) (*Graph, error) {
 	g := &Graph{Layers: layers, Servers: usable(layers, servers)}
 	if gaps := g.gaps(); len(gaps) > 0 || layers < 1 {
@@ -55,8 +54,8 @@
 			Message: "no server covers layers " + strings.Join(gaps, " and "),
 		}
 	}
-	// Without a gap, a server goes on from every boundary that is reached.
-	bounds := g.reached()
+	// Without a gap, some server continues from every boundary that is reached.
+	bounds := g.reachable()
 	index := map[int]int{layers: Last}
 	for i, at := range bounds {
 		index[at] = i
@@ -72,21 +71,22 @@
 	return g, nil
 }
 
-// usable returns the servers that hold layers of the model, cut to these.
+// usable returns the servers that hold layers of the model, with their ranges clipped
+// to it.
 func usable(layers int, servers []host.Host) []host.Host {
-	var kept []host.Host
+	var clipped []host.Host
 	for _, s := range servers {
 		s.End = min(s.End, layers)
 		if s.First >= 0 && s.First < s.End {
-			kept = append(kept, s)
+			clipped = append(clipped, s)
 		}
 	}
-	return kept
+	return clipped
 }
 
-// reached returns the boundaries that hops from layer 0 reach, in order and
-// without the last one.
-func (g *Graph) reached() []int {
+// reachable returns the boundaries that hops from layer 0 reach, in order and without
+// the last one.
+func (g *Graph) reachable() []int {
 	found := map[int]bool{0: true}
 	for at := range g.Layers {
 		if !found[at] {
@@ -120,7 +120,7 @@
 	return gaps
 }
 
-// Stage returns the stage that a hop makes.
+// Stage returns the engine's stage for a hop.
 func (g *Graph) Stage(h Hop) engine.Stage {
 	s := &g.Servers[h.Server]
 	return engine.Stage{Server: s.Name, Address: s.Address, First: h.First, End: h.End}
--- a/parts/chain/chain_test.go
+++ b/parts/chain/chain_test.go
@@ -17,10 +17,10 @@
 	return all
 }
 
-// A pool lacks layers since its servers were listed with wrong ranges, or
-// since the only holder is gone. Operators and callers are told which layers,
-// and no request starts on a chain that cannot end.
-func TestGapsAreNamed(t *testing.T) {
+// Guards against requests that start on a chain which cannot end: a pool lacks layers
+// because its servers were listed with wrong ranges, or the only holder is gone. The
+// error names the layers for operators and callers.
+func TestErrorNamesMissingLayers(t *testing.T) {
 	for _, test := range []struct {
 		name   string
 		ranges [][2]int
@@ -33,7 +33,7 @@
 		{"several", [][2]int{{2, 8}, {10, 12}}, "0 to 2 and 8 to 10 and 12 to 24"},
 		{"beside an overlap", [][2]int{{0, 16}, {8, 16}, {20, 24}}, "16 to 20"},
 		{"beyond the model", [][2]int{{0, 8}, {30, 40}}, "8 to 24"},
-		{"turned round", [][2]int{{0, 8}, {24, 8}}, "8 to 24"},
+		{"reversed range", [][2]int{{0, 8}, {24, 8}}, "8 to 24"},
 	} {
 		t.Run(test.name, func(t *testing.T) {
 			_, err := New(24, servers(test.ranges...))
@@ -53,8 +53,8 @@
 	})
 }
 
-// walk follows hops from layer 0, choosing each by the given function, and
-// returns the layers in the order in which they run.
+// walk follows hops from layer 0, choosing each by the given function, and returns
+// the layers in the order in which they run.
 func walk(g *Graph, choose func(n int) int) []int {
 	var layers []int
 	for at := 0; at != Last; {
@@ -67,9 +67,10 @@
 	return layers
 }
 
-// Whatever the ranges, either the pool is refused since a layer has no
-// holder, or every walk runs each layer once, in order, on a holder.
-func TestEveryWalkIsWhole(t *testing.T) {
+// Guards against chains that skip or repeat layers, or run them on a server that does
+// not hold them: for any ranges, either the pool is rejected because a layer has no
+// holder, or every path runs each layer once and in order.
+func TestEveryPathIsComplete(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		layers := rapid.IntRange(1, 16).Draw(t, "layers")
 		ranges := rapid.SliceOfN(rapid.Custom(func(t *rapid.T) [2]int {
@@ -86,7 +87,7 @@
 		}
 		g, err := New(layers, servers(ranges...))
 		if (err == nil) != (held == layers) {
-			t.Fatalf("%d of %d layers held, but: %v", held, layers, err)
+			t.Fatalf("%d of %d layers held, got error: %v", held, layers, err)
 		}
 		if err != nil {
 			return
