--- a/entry/conns/line.go
+++ b/entry/conns/conns.go
@@ -27,21 +27,21 @@
 
 // The times of connections.
 const (
-	// dialTime bounds the making of a connection. It takes a millisecond; a
+	// dialTimeout bounds the making of a connection. It takes a millisecond; a
 	// lost opening packet is sent again after a second, by when another server
 	// serves sooner.
-	dialTime = 600 * time.Millisecond
-	// silentPeer is how long sent bytes may stay unconfirmed before the kernel
+	dialTimeout = 600 * time.Millisecond
+	// userTimeout is how long sent bytes may stay unconfirmed before the kernel
 	// gives the connection up. A network partition sends no reset.
-	silentPeer = 1500 * time.Millisecond
-	// usualIdle is how long a connection is kept unused if the backend server
+	userTimeout = 1500 * time.Millisecond
+	// defaultIdleTimeout is how long a connection is kept unused if the backend server
 	// does not say.
-	usualIdle = 4 * time.Second
-	// idleShare is the part of the told time for which one is reused, so that
+	defaultIdleTimeout = 4 * time.Second
+	// idleTimeoutShare is the part of the told time for which one is reused, so that
 	// a request does not cross the backend server's close.
-	idleShare = 0.7
-	// maxOthers bounds the answers to other requests that are read past.
-	maxOthers = 3
+	idleTimeoutShare = 0.7
+	// maxSkipped bounds the answers to other requests that are read past.
+	maxSkipped = 3
 )
 
 // Pool keeps connections to backend servers. The zero value is ready.
@@ -52,9 +52,9 @@
 
 type conn struct {
 	net.Conn
-	br    *bufio.Reader
-	until time.Time
-	since time.Time
+	br        *bufio.Reader
+	expires   time.Time
+	idleSince time.Time
 }
 
 // ResponseInfo is what a caller of the pool reads of an answer's header.
@@ -73,9 +73,9 @@
 	pool    *Pool
 	address string
 	conn    *conn
-	head    ResponseInfo
+	info    ResponseInfo
 	stop    func() bool
-	ended   bool
+	eof     bool
 	once    sync.Once
 }
 
@@ -124,7 +124,7 @@
 	if err := bw.Flush(); err != nil {
 		return nil, err
 	}
-	for range maxOthers {
+	for range maxSkipped {
 		resp, err := http.ReadResponse(c.br, req)
 		if err != nil {
 			return nil, err
@@ -134,7 +134,7 @@
 		}
 		head := o.Inspect(resp)
 		if !head.OtherRequest {
-			return &Response{Response: resp, conn: c, head: head}, nil
+			return &Response{Response: resp, conn: c, info: head}, nil
 		}
 		if _, err := io.Copy(io.Discard, resp.Body); err != nil {
 			return nil, err
@@ -151,7 +151,7 @@
 func (a *Response) Read(b []byte) (int, error) {
 	n, err := a.Body.Read(b)
 	if err == io.EOF {
-		a.ended = true
+		a.eof = true
 	}
 	return n, err
 }
@@ -161,12 +161,12 @@
 func (a *Response) Close() {
 	a.once.Do(func() {
 		alive := a.stop()
-		keep := alive && a.ended && !a.Response.Close && !a.head.Close && a.conn.br.Buffered() == 0
+		keep := alive && a.eof && !a.Response.Close && !a.info.Close && a.conn.br.Buffered() == 0
 		if !keep {
 			a.conn.Close()
 			return
 		}
-		a.pool.put(a.address, a.conn, a.head.IdleTimeout)
+		a.pool.put(a.address, a.conn, a.info.IdleTimeout)
 	})
 }
 
@@ -182,13 +182,13 @@
 		if c == nil {
 			break
 		}
-		stale := now.After(c.until) || o.MaxIdle > 0 && now.Sub(c.since) > o.MaxIdle
-		if !stale && quiet(c.Conn) {
+		stale := now.After(c.expires) || o.MaxIdle > 0 && now.Sub(c.idleSince) > o.MaxIdle
+		if !stale && reusable(c.Conn) {
 			return c, nil
 		}
 		c.Close()
 	}
-	return dial(ctx, address, cmp.Or(o.DialTimeout, dialTime))
+	return dial(ctx, address, cmp.Or(o.DialTimeout, dialTimeout))
 }
 
 func (p *Pool) pop(address string) *conn {
@@ -205,10 +205,10 @@
 
 func (p *Pool) put(address string, c *conn, idle time.Duration) {
 	if idle <= 0 {
-		idle = usualIdle
+		idle = defaultIdleTimeout
 	}
-	c.since = time.Now()
-	c.until = c.since.Add(time.Duration(float64(idle) * idleShare))
+	c.idleSince = time.Now()
+	c.expires = c.idleSince.Add(time.Duration(float64(idle) * idleTimeoutShare))
 	p.mu.Lock()
 	defer p.mu.Unlock()
 	if p.idle == nil {
@@ -236,7 +236,7 @@
 	for address, list := range p.idle {
 		var kept []*conn
 		for _, c := range list {
-			if now.After(c.until) {
+			if now.After(c.expires) {
 				old = append(old, c)
 				continue
 			}
@@ -271,13 +271,13 @@
 func SetUserTimeout(_, _ string, raw syscall.RawConn) error {
 	var failed error
 	err := raw.Control(func(fd uintptr) {
-		failed = syscall.SetsockoptInt(int(fd), syscall.IPPROTO_TCP, tcpUserTimeout, int(silentPeer.Milliseconds()))
+		failed = syscall.SetsockoptInt(int(fd), syscall.IPPROTO_TCP, tcpUserTimeout, int(userTimeout.Milliseconds()))
 	})
 	return errors.Join(err, failed)
 }
 
-// quiet reports whether a kept connection is open and holds no unread bytes.
-func quiet(c net.Conn) bool {
+// reusable reports whether a kept connection is open and holds no unread bytes.
+func reusable(c net.Conn) bool {
 	sc, ok := c.(syscall.Conn)
 	if !ok {
 		return true
--- a/entry/front/front.go
+++ b/entry/front/front.go
@@ -53,9 +53,9 @@
 	active atomic.Int64
 }
 
-// longest bounds requests of which neither caller nor route says how long
+// maxRequestTime bounds requests of which neither caller nor route says how long
 // they may take.
-const longest = 10 * time.Minute
+const maxRequestTime = 10 * time.Minute
 
 // Active returns the number of requests under way.
 func (h *Handler) Active() int64 {
@@ -70,11 +70,11 @@
 		w.Header().Set("Connection", "close")
 	}
 	start := time.Now()
-	j, err := h.job(w, r, start)
+	j, err := h.newJob(w, r, start)
 	if err != nil {
 		e := fault.As(err)
 		out := call.Outcome{Error: e, Status: call.WriteError(w, h.Codec, e)}
-		h.note(j, r, out, start)
+		h.record(j, r, out, start)
 		return
 	}
 	flow := h.Plain
@@ -85,17 +85,17 @@
 	if out.Error == nil && !out.Truncated {
 		h.Tally.RecordSuccess(j.Fingerprint, time.Now())
 	}
-	h.note(j, r, out, start)
+	h.record(j, r, out, start)
 	if out.Truncated {
 		// The connection is closed, so that a half answer looks like one.
 		panic(http.ErrAbortHandler)
 	}
 }
 
-// job reads a request and finds out where it belongs.
-func (h *Handler) job(w http.ResponseWriter, r *http.Request, start time.Time) (*call.Job, error) {
+// newJob reads a request and finds out where it belongs.
+func (h *Handler) newJob(w http.ResponseWriter, r *http.Request, start time.Time) (*call.Job, error) {
 	if h.RefuseAll.Load() {
-		return nil, h.ends()
+		return nil, h.draining()
 	}
 	table := h.State.Table()
 	if table == nil {
@@ -123,10 +123,10 @@
 	}
 	j.Service = &service
 	if service.Engine != nil && h.RefuseStreams.Load() {
-		return j, h.ends()
+		return j, h.draining()
 	}
-	j.Deadline = start.Add(patience(ask, matched))
-	ask.Body, err = body(w, r, table.Limits, j.Deadline)
+	j.Deadline = start.Add(requestTimeout(ask, matched))
+	ask.Body, err = readBody(w, r, table.Limits, j.Deadline)
 	ask.Arrived = start
 	if err != nil {
 		return j, err
@@ -138,13 +138,13 @@
 	return j, nil
 }
 
-// ends refuses a request that this process would not live to answer.
-func (h *Handler) ends() *fault.Error {
+// draining refuses a request that this process would not live to answer.
+func (h *Handler) draining() *fault.Error {
 	return &fault.Error{Code: fault.Draining, Verdict: fault.NotRun, Message: "this entry host ends", RetryAfter: h.RetryAfter()}
 }
 
-func patience(a *call.Request, r *route.Route) time.Duration {
-	wait := longest
+func requestTimeout(a *call.Request, r *route.Route) time.Duration {
+	wait := maxRequestTime
 	if a.Timeout > 0 {
 		wait = min(wait, a.Timeout)
 	}
@@ -154,9 +154,9 @@
 	return wait
 }
 
-// body reads a request's body, which a caller may send slowly, but not beyond
+// readBody reads a request's readBody, which a caller may send slowly, but not beyond
 // the request's time.
-func body(w http.ResponseWriter, r *http.Request, limits route.Limits, until time.Time) ([]byte, error) {
+func readBody(w http.ResponseWriter, r *http.Request, limits route.Limits, until time.Time) ([]byte, error) {
 	if r.ContentLength == 0 {
 		return nil, nil
 	}
@@ -182,12 +182,12 @@
 	return read, nil
 }
 
-// note counts a request and logs how it ended. Plain successes have a line of
+// record counts a request and logs how it ended. Plain successes have a line of
 // their own kind, so that the bound on the lines of a kind never hides a
 // failure behind them.
-func (h *Handler) note(j *call.Job, r *http.Request, out call.Outcome, start time.Time) {
+func (h *Handler) record(j *call.Job, r *http.Request, out call.Outcome, start time.Time) {
 	took := time.Since(start)
-	h.Meter.note(j, out, took)
+	h.Meter.record(j, out, took)
 	late := lateness(j, out)
 	attrs := []any{"status", out.Status, "took", took, "first", out.TimeToFirstByte}
 	if j != nil {
@@ -211,9 +211,9 @@
 
 // What may be late of an answer, as logs name it.
 const (
-	onTime     = "no"
-	lateFirst  = "first"
-	latePaused = "pause"
+	onTime    = "no"
+	lateFirst = "first"
+	lateGap   = "pause"
 )
 
 // lateness says what of an answer was later than its route's objectives.
@@ -221,16 +221,16 @@
 	switch {
 	case j == nil:
 		return onTime
-	case over(out.TimeToFirstByte, j.Route.Target):
+	case exceeds(out.TimeToFirstByte, j.Route.Target):
 		return lateFirst
-	case over(out.LongestGap, j.Route.MaxGap):
-		return latePaused
+	case exceeds(out.LongestGap, j.Route.MaxGap):
+		return lateGap
 	}
 	return onTime
 }
 
-// over reports whether a time is beyond what counts as on time, if anything
+// exceeds reports whether a time is beyond what counts as on time, if anything
 // does.
-func over(took, target time.Duration) bool {
+func exceeds(took, target time.Duration) bool {
 	return target > 0 && took > target
 }
--- a/entry/front/meter.go
+++ b/entry/front/meter.go
@@ -16,19 +16,19 @@
 	Registry metrics.Registry
 }
 
-// samples is how many times of each histogram are kept.
-const samples = 512
+// sampleSize is how many times of each histogram are kept.
+const sampleSize = 512
 
-func (m *Meter) note(j *call.Job, out call.Outcome, took time.Duration) {
+func (m *Meter) record(j *call.Job, out call.Outcome, took time.Duration) {
 	m.Count("requests." + outcome(out))
 	if j == nil {
 		return
 	}
 	kind := j.Route.Kind.String()
 	m.Count("requests." + kind)
-	m.time("took."+kind, took)
+	m.observe("took."+kind, took)
 	if out.TimeToFirstByte > 0 {
-		m.time("first."+kind, out.TimeToFirstByte)
+		m.observe("first."+kind, out.TimeToFirstByte)
 	}
 	if out.Sends > 1 {
 		m.Count("repeats." + kind)
@@ -45,9 +45,9 @@
 	metrics.GetOrRegisterGauge(name, m.Registry).Update(value)
 }
 
-func (m *Meter) time(name string, d time.Duration) {
+func (m *Meter) observe(name string, d time.Duration) {
 	h := m.Registry.GetOrRegister(name, func() metrics.Histogram {
-		return metrics.NewHistogram(metrics.NewUniformSample(samples))
+		return metrics.NewHistogram(metrics.NewUniformSample(sampleSize))
 	})
 	if histogram, ok := h.(metrics.Histogram); ok {
 		histogram.Update(d.Milliseconds())
--- a/entry/front/server.go
+++ b/entry/front/server.go
@@ -13,12 +13,12 @@
 	"fuchsiashelf.dev/parts/route"
 )
 
-// idleSlack is how much longer than the configuration says an unused
+// idleGrace is how much longer than the configuration says an unused
 // connection is kept: a caller that reuses one in time must not find it closed.
-const idleSlack = 2 * time.Second
+const idleGrace = 2 * time.Second
 
-// usualLimits hold until the first configuration is known.
-var usualLimits = route.Limits{HeaderBytes: 16 << 10, HeaderTime: 3 * time.Second, Idle: 15 * time.Second}
+// defaultLimits hold until the first configuration is known.
+var defaultLimits = route.Limits{HeaderBytes: 16 << 10, HeaderTime: 3 * time.Second, Idle: 15 * time.Second}
 
 // Server accepts callers' connections. Limits on headers can change while it
 // runs: each change begins a new http.Server for the connections to come, and
@@ -29,17 +29,17 @@
 	Handler  http.Handler
 	Log      *slog.Logger
 
-	mu      sync.Mutex
-	limits  route.Limits
-	servers []*http.Server
-	queue   *queue
-	idle    map[net.Conn]time.Time
-	stopped bool
+	mu       sync.Mutex
+	limits   route.Limits
+	servers  []*http.Server
+	listener *chanListener
+	idle     map[net.Conn]time.Time
+	stopped  bool
 }
 
 // Run accepts connections until Stop.
 func (s *Server) Run() {
-	s.SetLimits(usualLimits)
+	s.SetLimits(defaultLimits)
 	for {
 		c, err := s.Listener.Accept()
 		if errors.Is(err, net.ErrClosed) {
@@ -47,38 +47,38 @@
 		}
 		if err != nil {
 			s.Log.Error("front: a connection was not accepted", "error", err)
-			time.Sleep(acceptPause)
+			time.Sleep(acceptBackoff)
 			continue
 		}
 		s.mu.Lock()
-		q := s.queue
+		q := s.listener
 		s.mu.Unlock()
 		q.conns <- c
 	}
 }
 
-// acceptPause follows a failed accept, for want of descriptors for example.
-const acceptPause = 20 * time.Millisecond
+// acceptBackoff follows a failed accept, for want of descriptors for example.
+const acceptBackoff = 20 * time.Millisecond
 
 // SetLimits puts limits in force.
 func (s *Server) SetLimits(l route.Limits) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
-	same := s.queue != nil && l.HeaderBytes == s.limits.HeaderBytes && l.HeaderTime == s.limits.HeaderTime
+	same := s.listener != nil && l.HeaderBytes == s.limits.HeaderBytes && l.HeaderTime == s.limits.HeaderTime
 	s.limits = l
 	if same || s.stopped {
 		return
 	}
-	s.queue = &queue{conns: make(chan net.Conn), address: s.Listener.Addr()}
+	s.listener = &chanListener{conns: make(chan net.Conn), address: s.Listener.Addr()}
 	server := &http.Server{
 		Handler: s.Handler, ReadHeaderTimeout: l.HeaderTime, MaxHeaderBytes: l.HeaderBytes,
-		ConnState: s.state, ErrorLog: log.New(discard{}, "", 0),
+		ConnState: s.trackIdle, ErrorLog: log.New(discard{}, "", 0),
 	}
 	s.servers = append(s.servers, server)
-	go s.serve(server, s.queue)
+	go s.serve(server, s.listener)
 }
 
-func (s *Server) serve(server *http.Server, q *queue) {
+func (s *Server) serve(server *http.Server, q *chanListener) {
 	if err := server.Serve(q); !errors.Is(err, http.ErrServerClosed) {
 		s.Log.Error("front: a server ended", "error", err)
 	}
@@ -90,7 +90,7 @@
 
 func (discard) Write(b []byte) (int, error) { return len(b), nil }
 
-func (s *Server) state(c net.Conn, state http.ConnState) {
+func (s *Server) trackIdle(c net.Conn, state http.ConnState) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	if s.idle == nil {
@@ -112,7 +112,7 @@
 		return
 	}
 	for c, since := range s.idle {
-		if now.Sub(since) > s.limits.Idle+idleSlack {
+		if now.Sub(since) > s.limits.Idle+idleGrace {
 			c.Close()
 		}
 	}
@@ -135,8 +135,8 @@
 	}
 }
 
-// queue is a listener that hands on accepted connections.
-type queue struct {
+// chanListener is a listener that hands on accepted connections.
+type chanListener struct {
 	conns   chan net.Conn
 	address net.Addr
 	once    sync.Once
@@ -144,7 +144,7 @@
 	mu      sync.Mutex
 }
 
-func (q *queue) done() chan struct{} {
+func (q *chanListener) done() chan struct{} {
 	q.mu.Lock()
 	defer q.mu.Unlock()
 	if q.closed == nil {
@@ -154,7 +154,7 @@
 }
 
 // Accept implements net.Listener.
-func (q *queue) Accept() (net.Conn, error) {
+func (q *chanListener) Accept() (net.Conn, error) {
 	select {
 	case c := <-q.conns:
 		return c, nil
@@ -164,10 +164,10 @@
 }
 
 // Close implements net.Listener.
-func (q *queue) Close() error {
+func (q *chanListener) Close() error {
 	q.once.Do(func() { close(q.done()) })
 	return nil
 }
 
 // Addr implements net.Listener.
-func (q *queue) Addr() net.Addr { return q.address }
+func (q *chanListener) Addr() net.Addr { return q.address }
--- a/entry/gossip/codec.go
+++ b/entry/gossip/codec.go
@@ -13,23 +13,23 @@
 )
 
 const (
-	// deflateFrom is the size from which a message is deflated: a configuration
+	// minDeflateSize is the size from which a message is deflated: a configuration
 	// with thousands of routes, sent to a dozen entry hosts at once, would occupy a
 	// slow link for longer than an exchange may take.
-	deflateFrom = 2 << 10
-	// largest bounds a message, so that a small one cannot fill the memory.
-	largest = 32 << 20
+	minDeflateSize = 2 << 10
+	// maxMessageSize bounds a message, so that a small one cannot fill the memory.
+	maxMessageSize = 32 << 20
 )
 
 // The first byte of a message says how the rest is written.
 const (
-	plainForm byte = iota
-	deflatedForm
+	formatPlain byte = iota
+	formatDeflate
 )
 
 var (
-	errEmpty = errors.New("gossip: empty message")
-	errLarge = errors.New("gossip: message too large")
+	errEmpty    = errors.New("gossip: empty message")
+	errTooLarge = errors.New("gossip: message too large")
 )
 
 // deflaters reuses writers, whose tables are large.
@@ -50,11 +50,11 @@
 	if err != nil {
 		return nil, err
 	}
-	if len(body) < deflateFrom {
-		return append([]byte{plainForm}, body...), nil
+	if len(body) < minDeflateSize {
+		return append([]byte{formatPlain}, body...), nil
 	}
 	var out bytes.Buffer
-	out.WriteByte(deflatedForm)
+	out.WriteByte(formatDeflate)
 	w := deflaters.Get().(*flate.Writer)
 	defer deflaters.Put(w)
 	w.Reset(&out)
@@ -73,9 +73,9 @@
 		return errEmpty
 	}
 	switch form, body := b[0], b[1:]; form {
-	case plainForm:
+	case formatPlain:
 		return cbor.Unmarshal(body, m)
-	case deflatedForm:
+	case formatDeflate:
 		plain, err := inflate(body)
 		if err != nil {
 			return err
@@ -88,12 +88,12 @@
 
 func inflate(body []byte) ([]byte, error) {
 	r := flate.NewReader(bytes.NewReader(body))
-	plain, err := io.ReadAll(io.LimitReader(r, largest+1))
+	plain, err := io.ReadAll(io.LimitReader(r, maxMessageSize+1))
 	if err != nil {
 		return nil, fmt.Errorf("gossip: inflate: %w", err)
 	}
-	if len(plain) > largest {
-		return nil, errLarge
+	if len(plain) > maxMessageSize {
+		return nil, errTooLarge
 	}
 	return plain, nil
 }
--- a/entry/gossip/codec_test.go
+++ b/entry/gossip/codec_test.go
@@ -39,16 +39,16 @@
 // Guards against messages that are no messages, or would fill the memory.
 func TestBadMessagesAreRefused(t *testing.T) {
 	var bomb bytes.Buffer
-	bomb.WriteByte(deflatedForm)
+	bomb.WriteByte(formatDeflate)
 	w, err := flate.NewWriter(&bomb, flate.BestSpeed)
 	qt.Assert(t, err, qt.IsNil)
-	for range largest>>20 + 1 {
+	for range maxMessageSize>>20 + 1 {
 		_, err = w.Write(make([]byte, 1<<20))
 		qt.Assert(t, err, qt.IsNil)
 	}
 	qt.Assert(t, w.Close(), qt.IsNil)
 	for name, b := range map[string][]byte{
-		"empty": nil, "unknown form": {9, 1}, "no cbor": {plainForm, 0xff}, "no deflate": {deflatedForm, 1, 2, 3}, "bomb": bomb.Bytes(),
+		"empty": nil, "unknown form": {9, 1}, "no cbor": {formatPlain, 0xff}, "no deflate": {formatDeflate, 1, 2, 3}, "bomb": bomb.Bytes(),
 	} {
 		qt.Check(t, codec{}.Unmarshal(b, &Message{}), qt.IsNotNil, qt.Commentf(name))
 	}
--- a/entry/gossip/drpc.go
+++ b/entry/gossip/drpc.go
@@ -45,8 +45,8 @@
 	conn *drpcconn.Conn
 }
 
-// take reserves the client, and reports whether it was free.
-func (c *client) take() bool {
+// acquire reserves the client, and reports whether it was free.
+func (c *client) acquire() bool {
 	c.mu.Lock()
 	defer c.mu.Unlock()
 	if c.busy {
@@ -56,7 +56,7 @@
 	return true
 }
 
-func (c *client) give() {
+func (c *client) release() {
 	c.mu.Lock()
 	defer c.mu.Unlock()
 	c.busy = false
@@ -82,10 +82,10 @@
 
 // close ends the connection once no exchange is under way.
 func (c *client) close() {
-	if !c.take() {
+	if !c.acquire() {
 		return
 	}
-	defer c.give()
+	defer c.release()
 	if c.conn != nil {
 		if err := c.conn.Close(); err != nil {
 			c.failing = true
--- a/entry/gossip/gossip.go
+++ b/entry/gossip/gossip.go
@@ -24,32 +24,32 @@
 
 // Timeouts, intervals and fan-out.
 const (
-	// exchangeEvery is how often an entry host exchanges with one of its own
+	// localInterval is how often an entry host exchanges with one of its own
 	// failure domain, and acrossEvery how often with one of another. Traffic
 	// between domains is expensive.
-	exchangeEvery = 400 * time.Millisecond
-	acrossEvery   = 1200 * time.Millisecond
-	// pushWith and pushAcross are how many others of the own and of other
+	localInterval  = 400 * time.Millisecond
+	remoteInterval = 1200 * time.Millisecond
+	// broadcastLocal and pushAcross are how many others of the own and of other
 	// domains a change is sent to at once.
-	pushWith   = 12
-	pushAcross = 2
-	// pushEvery is the least time between two such rounds. After a start thousands
+	broadcastLocal  = 12
+	broadcastRemote = 2
+	// minBroadcastInterval is the least time between two such rounds. After a start thousands
 	// of servers get their orders, one by one.
-	pushEvery = 50 * time.Millisecond
-	// listenWith and listenAcross are the same for a new entry host.
-	listenWith   = 2
-	listenAcross = 1
-	// listenSeeds is the least chance in that time of an exchange with a seed.
-	listenSeeds = 0.5
-	// pullAfter delays fetching changes from another entry host: most arrive from
+	minBroadcastInterval = 50 * time.Millisecond
+	// startupLocal and listenAcross are the same for a new entry host.
+	startupLocal  = 2
+	startupRemote = 1
+	// minSeedChance is the least chance in that time of an exchange with a seed.
+	minSeedChance = 0.5
+	// pullDelay delays fetching changes from another entry host: most arrive from
 	// the object API meanwhile.
-	pullAfter = 150 * time.Millisecond
-	// exchangeTime bounds one exchange.
-	exchangeTime = 500 * time.Millisecond
-	// freshFor is how long an entry host counts as alive after the last message.
-	freshFor = 2 * time.Second
-	// forgetAfter is when a silent one is removed.
-	forgetAfter = 15 * time.Second
+	pullDelay = 150 * time.Millisecond
+	// exchangeTimeout bounds one exchange.
+	exchangeTimeout = 500 * time.Millisecond
+	// aliveFor is how long an entry host counts as alive after the last message.
+	aliveFor = 2 * time.Second
+	// removeAfter is when a silent one is removed.
+	removeAfter = 15 * time.Second
 )
 
 // Peer is the exchange of one entry host. Set the exported fields before Run.
@@ -84,31 +84,31 @@
 	// Random returns a number below n; nil means a random one.
 	Random func(n int) int
 
-	// sent is the number of messages so far.
-	sent atomic.Uint64
+	// messages is the number of messages so far.
+	messages atomic.Uint64
 
 	mu sync.Mutex
 	// started is when this entry host began to listen; settled says that a settled
 	// member has sent it the list of members.
 	started time.Time
 	settled bool
-	members map[string]*contact
+	members map[string]*memberState
 	clients map[string]*client
 	// pulls holds the kinds of which changes are being pulled.
 	pulls map[string]bool
-	// across is when this entry host last exchanged with another domain.
-	across time.Time
-	push   chan struct{}
-	once   sync.Once
+	// lastRemote is when this entry host last exchanged with another domain.
+	lastRemote time.Time
+	broadcast  chan struct{}
+	once       sync.Once
 }
 
 func (p *Peer) init() {
 	p.once.Do(func() {
 		p.started = time.Now()
-		p.members = map[string]*contact{}
+		p.members = map[string]*memberState{}
 		p.clients = map[string]*client{}
 		p.pulls = map[string]bool{}
-		p.push = make(chan struct{}, 1)
+		p.broadcast = make(chan struct{}, 1)
 	})
 }
 
@@ -116,7 +116,7 @@
 func (p *Peer) Broadcast() {
 	p.init()
 	select {
-	case p.push <- struct{}{}:
+	case p.broadcast <- struct{}{}:
 	default:
 	}
 }
@@ -125,56 +125,56 @@
 func (p *Peer) Run(ctx context.Context, l net.Listener) {
 	p.init()
 	go p.serve(ctx, l)
-	tick := time.NewTicker(exchangeEvery)
+	tick := time.NewTicker(localInterval)
 	defer tick.Stop()
-	p.round(ctx, pushWith, pushAcross)
-	push := p.push
+	p.round(ctx, broadcastLocal, broadcastRemote)
+	push := p.broadcast
 	var rested <-chan time.Time
 	for {
 		select {
 		case <-ctx.Done():
 			return
 		case <-push:
-			p.round(ctx, pushWith, pushAcross)
-			push, rested = nil, time.After(pushEvery)
+			p.round(ctx, broadcastLocal, broadcastRemote)
+			push, rested = nil, time.After(minBroadcastInterval)
 		case <-rested:
-			push, rested = p.push, nil
+			push, rested = p.broadcast, nil
 		case now := <-tick.C:
-			own, others := p.turn(now)
+			own, others := p.fanout(now)
 			p.round(ctx, own, others)
 		}
 	}
 }
 
-// turn returns with how many entry hosts of the own domain and of others to
+// fanout returns with how many entry hosts of the own domain and of others to
 // exchange now. A new one exchanges with more, so that all know each other before
 // one of them may lead.
-func (p *Peer) turn(now time.Time) (own, others int) {
+func (p *Peer) fanout(now time.Time) (own, others int) {
 	if !p.Settled() {
-		return listenWith, listenAcross
+		return startupLocal, startupRemote
 	}
-	if now.Sub(p.across) < acrossEvery {
+	if now.Sub(p.lastRemote) < remoteInterval {
 		return 1, 0
 	}
-	p.across = now
+	p.lastRemote = now
 	return 1, 1
 }
 
 // round starts exchanges with some entry hosts of the own domain and of others.
 func (p *Peer) round(ctx context.Context, own, others int) {
 	for _, address := range p.partners(own, others) {
-		p.exchangeWith(ctx, address)
+		p.startExchange(ctx, address)
 	}
 }
 
-// exchangeWith starts an exchange unless one with that address is under way.
-func (p *Peer) exchangeWith(ctx context.Context, address string) {
+// startExchange starts an exchange unless one with that address is under way.
+func (p *Peer) startExchange(ctx context.Context, address string) {
 	c := p.client(address)
-	if !c.take() {
+	if !c.acquire() {
 		return
 	}
 	go func() {
-		defer c.give()
+		defer c.release()
 		p.exchange(ctx, c, p.pulling())
 	}()
 }
@@ -189,7 +189,7 @@
 	var near, far []string
 	for name, m := range p.members {
 		switch {
-		case now.Sub(m.at) > forgetAfter:
+		case now.Sub(m.lastHeard) > removeAfter:
 			p.remove(name, m.Address)
 		case m.Domain == p.Self.Domain:
 			near = append(near, m.Address)
@@ -201,8 +201,8 @@
 		// Alone in its domain: exchange as often with others.
 		others = max(others, own)
 	}
-	list := append(p.draw(near, own), p.draw(far, others)...)
-	if len(p.Seeds) == 0 || p.random(seedDraws) >= int(p.seedChance(len(near)+len(far), now)*seedDraws) {
+	list := append(p.pick(near, own), p.pick(far, others)...)
+	if len(p.Seeds) == 0 || p.random(seedChanceScale) >= int(p.seedChance(len(near)+len(far), now)*seedChanceScale) {
 		return list
 	}
 	seed := p.Seeds[p.random(len(p.Seeds))]
@@ -212,22 +212,22 @@
 	return list
 }
 
-// seedDraws is how finely the chance of an exchange with a seed is drawn.
-const seedDraws = 1 << 16
+// seedChanceScale is how finely the chance of an exchange with a seed is drawn.
+const seedChanceScale = 1 << 16
 
 // seedChance is the chance that an exchange goes to a seed as well. In calm all
 // entry hosts together ask the seeds as often as one host asks others, however
 // many they are.
 func (p *Peer) seedChance(known int, now time.Time) float64 {
 	chance := float64(len(p.Seeds)) / float64(max(known, 1))
-	if now.Sub(p.started) < listenFor {
-		return max(listenSeeds, chance)
+	if now.Sub(p.started) < settleTime {
+		return max(minSeedChance, chance)
 	}
 	return chance
 }
 
-// draw returns at most so many addresses, drawn at random.
-func (p *Peer) draw(from []string, most int) []string {
+// pick returns at most so many addresses, drawn at random.
+func (p *Peer) pick(from []string, most int) []string {
 	slices.Sort(from)
 	p.shuffle(len(from), func(i, j int) { from[i], from[j] = from[j], from[i] })
 	return from[:min(most, len(from))]
@@ -260,7 +260,7 @@
 // exchange sends the local state to one entry host and merges its answer, which
 // contains no changes if brief is set.
 func (p *Peer) exchange(ctx context.Context, c *client, brief bool) {
-	ctx, cancel := context.WithTimeout(ctx, exchangeTime)
+	ctx, cancel := context.WithTimeout(ctx, exchangeTimeout)
 	defer cancel()
 	sent := p.message(nil)
 	sent.Brief = brief
@@ -278,7 +278,7 @@
 
 func (p *Peer) self() Member {
 	self := p.Self
-	self.Seq = p.sent.Add(1)
+	self.Seq = p.messages.Add(1)
 	self.Store = p.StoreUp()
 	self.Leaving = p.Leaving()
 	self.Settled = p.Settled()
--- a/entry/gossip/lead.go
+++ b/entry/gossip/leader.go
@@ -2,9 +2,9 @@
 
 import "time"
 
-// listenFor is how long a new entry host listens before it concludes from
+// settleTime is how long a new entry host listens before it concludes from
 // silence that others are absent: as long as a living one may go unheard.
-const listenFor = freshFor
+const settleTime = aliveFor
 
 // Settled reports whether this entry host has listened long enough to conclude that
 // a member is absent. Until then it takes no exclusive role: after a power failure
@@ -13,7 +13,7 @@
 	p.init()
 	p.mu.Lock()
 	defer p.mu.Unlock()
-	return p.settled || time.Since(p.started) >= listenFor
+	return p.settled || time.Since(p.started) >= settleTime
 }
 
 // IsLeader reports whether this entry host places layers: the first by name of
@@ -34,8 +34,8 @@
 	return true
 }
 
-// watcherAge is the age of the last message above which a watcher is not relied on.
-const watcherAge = 1200 * time.Millisecond
+// maxWatcherAge is the age of the last message above which a watcher is not relied on.
+const maxWatcherAge = 1200 * time.Millisecond
 
 // WatcherRank returns how many entry hosts of the failure domain come before this one
 // in the order in which they watch the object API. Those that it does not answer
@@ -45,7 +45,7 @@
 	mine := p.StoreUp()
 	ahead := 0
 	for _, m := range p.Alive() {
-		if m.Domain == p.Self.Domain && (m.Store || !mine) && m.Age < watcherAge && m.Name < p.Self.Name {
+		if m.Domain == p.Self.Domain && (m.Store || !mine) && m.Age < maxWatcherAge && m.Name < p.Self.Name {
 			ahead++
 		}
 	}
--- a/entry/gossip/lead_test.go
+++ b/entry/gossip/leader_test.go
@@ -39,7 +39,7 @@
 func (tn town) round() {
 	for n := range len(tn) {
 		p := tn.at(n)
-		for _, address := range p.partners(p.turn(time.Now())) {
+		for _, address := range p.partners(p.fanout(time.Now())) {
 			if other := tn[address]; other != nil && other != p {
 				p.Merge(other.Respond(p.message(nil)))
 			}
@@ -81,7 +81,7 @@
 				tn.round()
 				leaders := tn.leaders()
 				qt.Assert(t, len(leaders) <= 1, qt.IsTrue, qt.Commentf("%v lead", leaders))
-				time.Sleep(exchangeEvery)
+				time.Sleep(localInterval)
 			}
 			qt.Assert(t, tn.leaders(), qt.DeepEquals, []string{"entry-000"})
 		})
@@ -101,10 +101,10 @@
 				}
 			}
 		}
-		time.Sleep(listenFor)
+		time.Sleep(settleTime)
 		for range 20 {
 			tn.round()
-			time.Sleep(exchangeEvery)
+			time.Sleep(localInterval)
 		}
 		qt.Assert(t, tn.leaders(), qt.DeepEquals, []string{"entry-000"})
 	})
@@ -116,7 +116,7 @@
 	synctest.Test(t, func(t *testing.T) {
 		old, other, fresh := newPeer(1), newPeer(2), newPeer(0)
 		old.init()
-		time.Sleep(listenFor)
+		time.Sleep(settleTime)
 		qt.Assert(t, old.IsLeader(), qt.IsTrue)
 		fresh.Merge(other.message(nil))
 		qt.Assert(t, fresh.IsLeader(), qt.IsFalse)
--- a/entry/gossip/member.go
+++ b/entry/gossip/member.go
@@ -28,9 +28,9 @@
 	Settled bool
 }
 
-type contact struct {
+type memberState struct {
 	Member
-	at time.Time
+	lastHeard time.Time
 }
 
 // remove drops a silent entry host. The mutex is held.
@@ -52,7 +52,7 @@
 	list := make([]Member, 0, len(p.members))
 	for _, m := range p.members {
 		member := m.Member
-		member.Age = now.Sub(m.at)
+		member.Age = now.Sub(m.lastHeard)
 		list = append(list, member)
 	}
 	slices.SortFunc(list, func(a, b Member) int { return strings.Compare(a.Name, b.Name) })
@@ -63,8 +63,8 @@
 // failure domain, among which leader and watchers are chosen, and a random sample
 // of the others.
 const (
-	sampleFirst  = 4
-	sampleOthers = 8
+	samplePerDomain = 4
+	sampleOthers    = 8
 )
 
 // sample returns the members to list in a message.
@@ -72,8 +72,8 @@
 	var list, rest []Member
 	first := map[domain.Name]int{}
 	for _, m := range p.Members() {
-		fresh := m.Age <= freshFor && !m.Leaving
-		if fresh && first[m.Domain] < sampleFirst {
+		fresh := m.Age <= aliveFor && !m.Leaving
+		if fresh && first[m.Domain] < samplePerDomain {
 			first[m.Domain]++
 			list = append(list, m)
 			continue
@@ -86,11 +86,11 @@
 
 // Alive returns the other entry hosts that were heard from lately.
 func (p *Peer) Alive() []Member {
-	return slices.DeleteFunc(p.Members(), func(m Member) bool { return m.Age > freshFor || m.Leaving })
+	return slices.DeleteFunc(p.Members(), func(m Member) bool { return m.Age > aliveFor || m.Leaving })
 }
 
-// learn updates the members from a message.
-func (p *Peer) learn(m *Message) {
+// mergeMembers updates the members from a message.
+func (p *Peer) mergeMembers(m *Message) {
 	p.mu.Lock()
 	defer p.mu.Unlock()
 	now := time.Now()
@@ -98,36 +98,36 @@
 	direct.Age = 0
 	// Its message names the first of each failure domain.
 	p.settled = p.settled || direct.Settled
-	p.update(direct, now)
+	p.mergeMember(direct, now)
 	for _, other := range m.Members {
-		p.update(other, now)
+		p.mergeMember(other, now)
 	}
 }
 
-// update replaces what is known of a member if the new state is newer. The mutex
+// mergeMember replaces what is known of a member if the new state is newer. The mutex
 // is held.
-func (p *Peer) update(m Member, now time.Time) {
-	if m.Name == p.Self.Name || m.Age > forgetAfter {
+func (p *Peer) mergeMember(m Member, now time.Time) {
+	if m.Name == p.Self.Name || m.Age > removeAfter {
 		return
 	}
 	at := now.Add(-m.Age)
 	known := p.members[m.Name]
 	if known == nil {
 		p.Log.Info("peers: met", "peer", m.Name, "address", m.Address, "domain", m.Domain)
-		p.members[m.Name] = &contact{Member: m, at: at}
+		p.members[m.Name] = &memberState{Member: m, lastHeard: at}
 		return
 	}
-	if older(m, known.Member) || m.Boot == known.Boot && m.Seq == known.Seq && at.Before(known.at) {
+	if precedes(m, known.Member) || m.Boot == known.Boot && m.Seq == known.Seq && at.Before(known.lastHeard) {
 		return
 	}
 	if m.Leaving && !known.Leaving {
 		p.Ledger.SetRemote(m.Name, nil)
 	}
 	known.Member = m
-	known.at = at
+	known.lastHeard = at
 }
 
-// older reports whether one state of a member precedes another.
-func older(m, than Member) bool {
+// precedes reports whether one state of a member precedes another.
+func precedes(m, than Member) bool {
 	return m.Boot < than.Boot || m.Boot == than.Boot && m.Seq < than.Seq
 }
--- a/entry/gossip/message.go
+++ b/entry/gossip/message.go
@@ -102,25 +102,25 @@
 // announce the same change, and a large one fetched from all of them at once
 // would take longer than an exchange may.
 func (p *Peer) pull(address string, mine *mirror.Mirror, cursor uint64) {
-	if !p.claimPull(mine.Kind) {
+	if !p.beginPull(mine.Kind) {
 		return
 	}
 	wait := time.Duration(0)
 	if mine.Cursor() > 0 && p.ExpectsFromStore(mine.Kind) {
-		wait = pullAfter
+		wait = pullDelay
 	}
 	time.AfterFunc(wait, func() {
 		defer p.endPull(mine.Kind)
 		c := p.client(address)
-		if mine.Cursor() < cursor && c.take() {
+		if mine.Cursor() < cursor && c.acquire() {
 			p.exchange(context.Background(), c, false)
-			c.give()
+			c.release()
 		}
 	})
 }
 
-// claimPull reports whether the caller is to pull the changes of a kind.
-func (p *Peer) claimPull(kind string) bool {
+// beginPull reports whether the caller is to pull the changes of a kind.
+func (p *Peer) beginPull(kind string) bool {
 	p.mu.Lock()
 	defer p.mu.Unlock()
 	if p.pulls[kind] {
@@ -146,7 +146,7 @@
 // Merge merges a message.
 func (p *Peer) Merge(m *Message) {
 	p.init()
-	p.learn(m)
+	p.mergeMembers(m)
 	if m.From.Name != p.Self.Name {
 		p.Ledger.SetRemote(m.From.Name, m.Load)
 	}
@@ -167,11 +167,11 @@
 		p.Tally.Merge(mark, time.Now())
 	}
 	for _, b := range m.Changes {
-		p.merge(b, m.Whole[b.Kind], m.From.Name)
+		p.mergeChanges(b, m.Whole[b.Kind], m.From.Name)
 	}
 }
 
-func (p *Peer) merge(b mirror.Batch, whole bool, from string) {
+func (p *Peer) mergeChanges(b mirror.Batch, whole bool, from string) {
 	for _, mine := range p.Mirrors {
 		if mine.Kind != b.Kind {
 			continue
--- a/entry/gossip/pull_test.go
+++ b/entry/gossip/pull_test.go
@@ -14,16 +14,16 @@
 	p := newPeer(1)
 	p.Mirrors = []*mirror.Mirror{{Kind: "config"}, {Kind: "servers"}}
 	p.init()
-	qt.Check(t, p.claimPull("config"), qt.IsTrue)
+	qt.Check(t, p.beginPull("config"), qt.IsTrue)
 	for range 20 {
-		qt.Check(t, p.claimPull("config"), qt.IsFalse)
+		qt.Check(t, p.beginPull("config"), qt.IsFalse)
 	}
-	qt.Check(t, p.claimPull("servers"), qt.IsTrue)
+	qt.Check(t, p.beginPull("servers"), qt.IsTrue)
 	p.endPull("config")
 	qt.Check(t, p.pulling(), qt.IsTrue)
 	p.endPull("servers")
 	qt.Check(t, p.pulling(), qt.IsFalse)
-	qt.Check(t, p.claimPull("config"), qt.IsTrue)
+	qt.Check(t, p.beginPull("config"), qt.IsTrue)
 }
 
 // Guards against regular exchanges that carry the same changes as the pull that
--- a/entry/source/source.go
+++ b/entry/source/source.go
@@ -37,34 +37,34 @@
 const (
 	// watchSlack is how much longer an answer may take.
 	watchSlack = 500 * time.Millisecond
-	// listTime bounds a list: megabytes, for hundreds of entry hosts that start
+	// listTimeout bounds a list: megabytes, for hundreds of entry hosts that start
 	// together, over one link.
-	listTime = 20 * time.Second
-	// filledEvery is how often a list is checked for being superseded by the
+	listTimeout = 20 * time.Second
+	// fillCheckInterval is how often a list is checked for being superseded by the
 	// state of other entry hosts.
-	filledEvery = 50 * time.Millisecond
-	// peekTime bounds a stale read.
-	peekTime = 500 * time.Millisecond
-	// peekEvery is the interval of the stale reads, and bounds how long a silent
+	fillCheckInterval = 50 * time.Millisecond
+	// readTimeout bounds a stale read.
+	readTimeout = 500 * time.Millisecond
+	// readInterval is the interval of the stale reads, and bounds how long a silent
 	// object API goes unnoticed.
-	peekEvery = time.Second
-	// peekRelying is the interval while others follow for this entry host: only
+	readInterval = time.Second
+	// passiveReadInterval is the interval while others follow for this entry host: only
 	// followers need to know at once that the object API does not answer.
-	peekRelying = 4 * time.Second
-	// pauseShare of Wait is the pause after a watch that returned changes, so that
+	passiveReadInterval = 4 * time.Second
+	// watchPauseShare of Wait is the pause after a watch that returned changes, so that
 	// a burst of changes costs one call. A backup adds up to backupShare at random:
 	// it usually receives the next change from the main follower.
-	pauseShare  = 0.15
-	backupShare = 0.5
-	// backupWaits multiplies the wait of a backup's watch. Changes still arrive at
+	watchPauseShare   = 0.15
+	backupJitterShare = 0.5
+	// backupTimeoutFactor multiplies the wait of a backup's watch. Changes still arrive at
 	// once; only a watch that has stopped delivering is noticed later.
-	backupWaits = 3
-	// reliesFor is how often a relying entry host checks its role.
-	reliesFor = 200 * time.Millisecond
-	// firstPause and longestPause bound the exponential backoff after a failed
+	backupTimeoutFactor = 3
+	// roleCheckInterval is how often a relying entry host checks its role.
+	roleCheckInterval = 200 * time.Millisecond
+	// minBackoff and longestPause bound the exponential backoff after a failed
 	// call.
-	firstPause   = 100 * time.Millisecond
-	longestPause = time.Second
+	minBackoff = 100 * time.Millisecond
+	maxBackoff = time.Second
 )
 
 // Role is the part of an entry host in following objects for its failure domain.
@@ -101,17 +101,17 @@
 
 // Run follows until the context ends.
 func (f *Watcher) Run(ctx context.Context) {
-	pause := firstPause
+	pause := minBackoff
 	again := f.Mirror.Cursor() == 0
 	for ctx.Err() == nil {
 		if f.Mirror.Cursor() > 0 && f.role() == Passive {
-			sleep(ctx, reliesFor)
+			sleep(ctx, roleCheckInterval)
 			continue
 		}
-		err := f.step(ctx, again)
+		err := f.poll(ctx, again)
 		again = errors.Is(err, ErrCompacted) || f.Mirror.Cursor() == 0
 		if err == nil || errors.Is(err, ErrCompacted) {
-			pause = firstPause
+			pause = minBackoff
 			continue
 		}
 		if ctx.Err() != nil {
@@ -119,7 +119,7 @@
 		}
 		f.Log.Warn("store: no answer", "kind", f.Mirror.Kind, "error", err, "pause", pause)
 		sleep(ctx, pause/2+rand.N(pause))
-		pause = min(2*pause, longestPause)
+		pause = min(2*pause, maxBackoff)
 	}
 }
 
@@ -132,11 +132,11 @@
 	}
 }
 
-func (f *Watcher) step(ctx context.Context, whole bool) error {
+func (f *Watcher) poll(ctx context.Context, whole bool) error {
 	if whole {
 		return f.list(ctx)
 	}
-	wait := f.wait()
+	wait := f.timeout()
 	ctx, cancel := context.WithTimeout(ctx, wait+watchSlack)
 	defer cancel()
 	f.mu.Lock()
@@ -159,21 +159,21 @@
 	return nil
 }
 
-// wait returns how long a watch waits for changes.
-func (f *Watcher) wait() time.Duration {
+// timeout returns how long a watch waits for changes.
+func (f *Watcher) timeout() time.Duration {
 	if f.role() == Backup {
-		return backupWaits * f.WatchTimeout
+		return backupTimeoutFactor * f.WatchTimeout
 	}
 	return f.WatchTimeout
 }
 
 // pause returns how long to wait after a watch that returned changes.
 func (f *Watcher) pause() time.Duration {
-	pause := time.Duration(pauseShare * float64(f.WatchTimeout))
+	pause := time.Duration(watchPauseShare * float64(f.WatchTimeout))
 	if f.role() == Primary {
 		return pause
 	}
-	return pause + rand.N(time.Duration(backupShare*float64(f.WatchTimeout)))
+	return pause + rand.N(time.Duration(backupJitterShare*float64(f.WatchTimeout)))
 }
 
 func (f *Watcher) role() Role {
@@ -184,10 +184,10 @@
 }
 
 func (f *Watcher) list(ctx context.Context) error {
-	ctx, cancel := context.WithTimeout(ctx, listTime)
+	ctx, cancel := context.WithTimeout(ctx, listTimeout)
 	defer cancel()
 	if f.Mirror.Cursor() == 0 {
-		go f.untilFilled(ctx, cancel)
+		go f.cancelWhenFilled(ctx, cancel)
 	}
 	items, cursor, err := f.Store.List(ctx, f.Mirror.Kind)
 	if err != nil && f.Mirror.Cursor() > 0 && ctx.Err() == context.Canceled {
@@ -204,14 +204,14 @@
 	return nil
 }
 
-// untilFilled cancels a list once other entry hosts have sent the objects.
-func (f *Watcher) untilFilled(ctx context.Context, end context.CancelFunc) {
+// cancelWhenFilled cancels a list once other entry hosts have sent the objects.
+func (f *Watcher) cancelWhenFilled(ctx context.Context, end context.CancelFunc) {
 	for ctx.Err() == nil {
 		if f.Mirror.Cursor() > 0 {
 			end()
 			return
 		}
-		sleep(ctx, filledEvery)
+		sleep(ctx, fillCheckInterval)
 	}
 }
 
@@ -230,9 +230,9 @@
 	// Main.
 	Role func() Role
 
-	mu    sync.Mutex
-	alive bool
-	seen  time.Time
+	mu         sync.Mutex
+	alive      bool
+	lastAnswer time.Time
 }
 
 // Alive reports whether the last read was answered, and when the last answer
@@ -240,16 +240,16 @@
 func (p *Monitor) Alive() (bool, time.Time) {
 	p.mu.Lock()
 	defer p.mu.Unlock()
-	return p.alive, p.seen
+	return p.alive, p.lastAnswer
 }
 
 // Run reads until the context ends.
 func (p *Monitor) Run(ctx context.Context) {
-	p.set(true)
+	p.setAlive(true)
 	var last time.Time
 	for ctx.Err() == nil {
-		sleep(ctx, peekEvery)
-		if p.rests() && time.Since(last) < peekRelying {
+		sleep(ctx, readInterval)
+		if p.passive() && time.Since(last) < passiveReadInterval {
 			continue
 		}
 		last = time.Now()
@@ -257,44 +257,44 @@
 	}
 }
 
-// rests reports whether others follow for this entry host and the object API
+// passive reports whether others follow for this entry host and the object API
 // answered the last read. In an outage every entry host checks for its end.
-func (p *Monitor) rests() bool {
+func (p *Monitor) passive() bool {
 	alive, _ := p.Alive()
 	return alive && p.Role != nil && p.Role() == Passive
 }
 
 func (p *Monitor) check(ctx context.Context) {
-	ctx, cancel := context.WithTimeout(ctx, peekTime)
+	ctx, cancel := context.WithTimeout(ctx, readTimeout)
 	defer cancel()
 	revision, err := p.Store.StaleRevision(ctx, p.Kind, p.Name)
-	was := p.set(err == nil)
+	was := p.setAlive(err == nil)
 	switch {
 	case err != nil && was:
 		p.Log.Warn("store: lost", "error", err)
 	case err == nil && !was:
 		p.Log.Info("store: regained")
 		p.OnRecovery()
-		p.restart()
+		p.restartWatches()
 	case err == nil && revision > p.Mirror.Cursor():
 		p.Log.Warn("store: a watch missed a change", "revision", revision, "cursor", p.Mirror.Cursor())
-		p.restart()
+		p.restartWatches()
 	}
 }
 
-func (p *Monitor) restart() {
+func (p *Monitor) restartWatches() {
 	for _, f := range p.Watchers {
 		f.Restart()
 	}
 }
 
-func (p *Monitor) set(alive bool) (was bool) {
+func (p *Monitor) setAlive(alive bool) (was bool) {
 	p.mu.Lock()
 	defer p.mu.Unlock()
 	was = p.alive
 	p.alive = alive
 	if alive {
-		p.seen = time.Now()
+		p.lastAnswer = time.Now()
 	}
 	return was
 }
--- a/entry/state/order.go
+++ b/entry/state/assignment.go
@@ -26,13 +26,13 @@
 			delete(s.suspects, id)
 		}
 	}
-	server.SlowdownFactor = s.slows[id].Factor
+	server.SlowdownFactor = s.slow[id].Factor
 	server.MemoryLayers = server.LayerCount()
-	o, ordered := s.orders[id]
+	o, ordered := s.assignments[id]
 	switch {
 	case !ordered:
 	case server.First == o.First && server.End == o.End || now.After(o.Until):
-		delete(s.orders, id)
+		delete(s.assignments, id)
 	case o.Done:
 		server.First, server.End = o.First, o.End
 		server.MemoryLayers = server.LayerCount()
@@ -54,18 +54,18 @@
 func (s *Local) Assign(o Assignment, now time.Time) bool {
 	s.mu.Lock()
 	defer s.mu.Unlock()
-	if s.orders == nil {
-		s.orders = map[string]Assignment{}
+	if s.assignments == nil {
+		s.assignments = map[string]Assignment{}
 	}
-	old, known := s.orders[o.ID]
+	old, known := s.assignments[o.ID]
 	if known && !(o.Done && !old.Done) && (old.First == o.First && old.End == o.End || o.Until.Before(old.Until)) {
 		return false
 	}
 	if at, exists := s.decoded[o.ID]; exists && at.server.First == o.First && at.server.End == o.End {
 		return false
 	}
-	s.orders[o.ID] = o
-	s.refresh([]string{o.ID}, false, now)
+	s.assignments[o.ID] = o
+	s.update([]string{o.ID}, false, now)
 	return true
 }
 
@@ -73,8 +73,8 @@
 func (s *Local) Assignments() []Assignment {
 	s.mu.Lock()
 	defer s.mu.Unlock()
-	list := make([]Assignment, 0, len(s.orders))
-	for _, o := range s.orders {
+	list := make([]Assignment, 0, len(s.assignments))
+	for _, o := range s.assignments {
 		list = append(list, o)
 	}
 	return list
--- a/entry/state/belief.go
+++ b/entry/state/state.go
@@ -28,14 +28,14 @@
 
 // Timeouts and intervals.
 const (
-	// lapse is how long a server is kept whose entry expired in an outage: entries
+	// expiredGrace is how long a server is kept whose entry expired in an outage: entries
 	// of living servers are back within two seconds of its end.
-	lapse = 1900 * time.Millisecond
-	// afterOutage is how long after the end of an outage a missing entry counts as
+	expiredGrace = 1900 * time.Millisecond
+	// recoveryWindow is how long after the end of an outage a missing entry counts as
 	// expired, not as removed.
-	afterOutage = 1500 * time.Millisecond
-	// askFor is how long probing the servers with expired entries takes.
-	askFor = 400 * time.Millisecond
+	recoveryWindow = 1500 * time.Millisecond
+	// probeWindow is how long probing the servers with expired entries takes.
+	probeWindow = 400 * time.Millisecond
 	// SuspectFor is how long a server is avoided after a failure. A crashed one
 	// returns under a new ID, one behind a partition answers a probe.
 	SuspectFor = 2 * time.Second
@@ -58,23 +58,23 @@
 
 	mu sync.Mutex
 	// decoded holds the servers by ID, with the revision they were read at.
-	decoded map[string]known
-	// read is the cursor of the mirror up to which entries are decoded.
-	read uint64
-	// lapsed holds servers that are gone from the mirror but kept until then.
-	lapsed map[string]keep
-	// asked is when entries last lapsed.
-	asked time.Time
+	decoded map[string]decodedServer
+	// cursor is the cursor of the mirror up to which entries are decoded.
+	cursor uint64
+	// expired holds servers that are gone from the mirror but kept until then.
+	expired map[string]expiredServer
+	// lastExpiry is when entries last lapsed.
+	lastExpiry time.Time
 	// suspects holds until when a server is avoided.
 	suspects map[string]time.Time
-	// slows holds the servers that say that they are slow.
-	slows map[string]SlowServer
-	// orders holds the orders to servers whose entries do not show them yet.
-	orders map[string]Assignment
-	// cuts holds until when which failure domains do not reach which others.
-	cuts map[[2]domain.Name]time.Time
-	// back is when the object API answered again after an outage.
-	back time.Time
+	// slow holds the servers that say that they are slow.
+	slow map[string]SlowServer
+	// assignments holds the assignments to servers whose entries do not show them yet.
+	assignments map[string]Assignment
+	// partitions holds until when which failure domains do not reach which others.
+	partitions map[[2]domain.Name]time.Time
+	// recoveredAt is when the object API answered again after an outage.
+	recoveredAt time.Time
 	// adjustedServers are the servers of the view before those of a failure domain
 	// that is cut off are suspected.
 	adjustedServers []*fleet.Server
@@ -82,12 +82,12 @@
 	changed chan struct{}
 }
 
-type known struct {
+type decodedServer struct {
 	revision uint64
 	server   fleet.Server
 }
 
-type keep struct {
+type expiredServer struct {
 	server fleet.Server
 	until  time.Time
 }
@@ -119,7 +119,7 @@
 func (s *Local) StoreRecovered(now time.Time) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
-	s.back = now
+	s.recoveredAt = now
 }
 
 // Probing reports whether servers whose entries lapsed are being asked whether
@@ -127,14 +127,14 @@
 func (s *Local) Probing(now time.Time) bool {
 	s.mu.Lock()
 	defer s.mu.Unlock()
-	return now.Before(s.asked.Add(askFor))
+	return now.Before(s.lastExpiry.Add(probeWindow))
 }
 
 // KeepsExpired reports whether servers are kept whose entries lapsed.
 func (s *Local) KeepsExpired() bool {
 	s.mu.Lock()
 	defer s.mu.Unlock()
-	return len(s.lapsed) > 0
+	return len(s.expired) > 0
 }
 
 // ReadConfig takes the configuration from its mirror.
@@ -148,11 +148,11 @@
 			s.Log.Error("config: an unreadable configuration was left out", "revision", item.Revision, "error", err)
 			return
 		}
-		s.takeTable(t, item.Revision)
+		s.applyTable(t, item.Revision)
 	}
 }
 
-func (s *Local) takeTable(t *route.Table, revision uint64) {
+func (s *Local) applyTable(t *route.Table, revision uint64) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	old := s.table.Load()
@@ -167,14 +167,14 @@
 // ReadServers takes the changes of the servers from their mirror.
 func (s *Local) ReadServers(now time.Time) {
 	s.mu.Lock()
-	changes, whole := s.Servers.Since(s.read)
-	s.read = changes.Cursor
+	changes, whole := s.Servers.Since(s.cursor)
+	s.cursor = changes.Cursor
 	gone := s.decode(changes.Items)
 	if whole {
-		gone = s.missing(changes.Items)
+		gone = s.notListed(changes.Items)
 	}
-	lapsed := s.drop(gone, now)
-	s.show(changes.Items, now)
+	lapsed := s.remove(gone, now)
+	s.publishChanges(changes.Items, now)
 	s.mu.Unlock()
 	for _, address := range lapsed {
 		s.ProbeExpired(address)
@@ -185,8 +185,8 @@
 // gone.
 func (s *Local) decode(items []mirror.Object) (gone []string) {
 	if s.decoded == nil {
-		s.decoded = map[string]known{}
-		s.lapsed = map[string]keep{}
+		s.decoded = map[string]decodedServer{}
+		s.expired = map[string]expiredServer{}
 	}
 	// A server that started again under its ID has a deletion and an entry among the
 	// changes; the revision of the deletion need not be the lower one.
@@ -210,21 +210,21 @@
 		if seen && server.StartedAt.After(old.server.StartedAt) {
 			// A new run under an old ID holds nothing, and nothing that was
 			// said of the old one holds for it.
-			delete(s.orders, item.Name)
+			delete(s.assignments, item.Name)
 			delete(s.suspects, item.Name)
 			s.Log.Info("servers: started anew", "server", server.ID, "address", server.Address, "revision", item.Revision)
 		}
-		s.tell(old.server, server, seen, item.Revision)
-		s.decoded[item.Name] = known{revision: item.Revision, server: server}
-		delete(s.lapsed, item.Name)
+		s.logChanges(old.server, server, seen, item.Revision)
+		s.decoded[item.Name] = decodedServer{revision: item.Revision, server: server}
+		delete(s.expired, item.Name)
 		present[item.Name] = true
 	}
 	return slices.DeleteFunc(gone, func(id string) bool { return present[id] })
 }
 
-// missing returns the IDs of servers that a complete list does not show as they
+// notListed returns the IDs of servers that a complete list does not show as they
 // were last decoded.
-func (s *Local) missing(list []mirror.Object) (gone []string) {
+func (s *Local) notListed(list []mirror.Object) (gone []string) {
 	listed := make(map[string]uint64, len(list))
 	for _, item := range list {
 		listed[item.Name] = item.Revision
@@ -237,22 +237,22 @@
 	return gone
 }
 
-// drop forgets servers whose entries are gone, and keeps lapsed ones. It returns
+// remove forgets servers whose entries are gone, and keeps lapsed ones. It returns
 // the addresses of those that have just lapsed.
-func (s *Local) drop(gone []string, now time.Time) (lapsed []string) {
+func (s *Local) remove(gone []string, now time.Time) (lapsed []string) {
 	gone = slices.DeleteFunc(gone, func(id string) bool {
 		_, seen := s.decoded[id]
 		return !seen
 	})
 	// Many entries that vanish at once lapsed in an outage of the object API
 	// that this entry host need not have seen itself.
-	outage := now.Before(s.back.Add(afterOutage)) || len(gone) > 2 && len(gone)*4 > len(s.decoded)
+	outage := now.Before(s.recoveredAt.Add(recoveryWindow)) || len(gone) > 2 && len(gone)*4 > len(s.decoded)
 	for _, id := range gone {
 		old := s.decoded[id].server
 		delete(s.decoded, id)
 		if outage && !old.Leaving {
-			s.lapsed[id] = keep{server: old, until: now.Add(lapse)}
-			s.asked = now
+			s.expired[id] = expiredServer{server: old, until: now.Add(expiredGrace)}
+			s.lastExpiry = now
 			lapsed = append(lapsed, old.Address)
 		}
 		s.Log.Info("servers: gone", "server", id, "address", old.Address, "kept", outage)
@@ -260,7 +260,7 @@
 	return lapsed
 }
 
-func (s *Local) tell(old, now fleet.Server, seen bool, revision uint64) {
+func (s *Local) logChanges(old, now fleet.Server, seen bool, revision uint64) {
 	if !seen {
 		s.Log.Info("servers: new", "server", now.ID, "service", now.Service, "address", now.Address,
 			"domain", now.Domain, "card", now.Accelerator, "revision", revision)
--- a/entry/state/doubt.go
+++ b/entry/state/suspicion.go
@@ -9,9 +9,9 @@
 	"fuchsiashelf.dev/parts/fleet"
 )
 
-// away suspects all servers of other failure domains of which several are
+// suspectPartitioned suspects all servers of other failure domains of which several are
 // suspected. It returns the list, in which it replaces them.
-func (s *Local) away(list []*fleet.Server) []*fleet.Server {
+func (s *Local) suspectPartitioned(list []*fleet.Server) []*fleet.Server {
 	bad := map[domain.Name]int{}
 	for _, server := range list {
 		if server.Suspected && server.Domain != s.LocalDomain {
@@ -19,14 +19,14 @@
 		}
 	}
 	for d, suspects := range bad {
-		if suspects >= awayLeast && float64(suspects) > awayShare*float64(countIn(list, d)) {
-			suspectAll(list, d)
+		if suspects >= partitionMinSuspects && float64(suspects) > partitionShare*float64(countInDomain(list, d)) {
+			suspectDomain(list, d)
 		}
 	}
 	return list
 }
 
-func countIn(list []*fleet.Server, d domain.Name) int {
+func countInDomain(list []*fleet.Server, d domain.Name) int {
 	n := 0
 	for _, server := range list {
 		if server.Domain == d {
@@ -36,7 +36,7 @@
 	return n
 }
 
-func suspectAll(list []*fleet.Server, d domain.Name) {
+func suspectDomain(list []*fleet.Server, d domain.Name) {
 	for i, server := range list {
 		if server.Domain == d && !server.Suspected {
 			suspect := *server
@@ -60,7 +60,7 @@
 	}
 	s.suspects[id] = until
 	if !suspected || !now.Before(old) {
-		s.refresh([]string{id}, false, now)
+		s.update([]string{id}, false, now)
 		return true
 	}
 	return false
@@ -72,7 +72,7 @@
 	defer s.mu.Unlock()
 	if _, suspected := s.suspects[id]; suspected {
 		delete(s.suspects, id)
-		s.refresh([]string{id}, false, now)
+		s.update([]string{id}, false, now)
 	}
 }
 
@@ -87,23 +87,23 @@
 	return list
 }
 
-// cutFor is how long two failure domains count as partitioned after a server of one
+// partitionTTL is how long two failure domains count as partitioned after a server of one
 // timed out on a healthy server of the other.
-const cutFor = 3 * time.Second
+const partitionTTL = 3 * time.Second
 
 // MarkUnreachable notes that servers of one failure domain do not reach those of
 // another.
 func (s *Local) MarkUnreachable(from, to domain.Name, now time.Time) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
-	if s.cuts == nil {
-		s.cuts = map[[2]domain.Name]time.Time{}
+	if s.partitions == nil {
+		s.partitions = map[[2]domain.Name]time.Time{}
 	}
-	if _, known := s.cuts[[2]domain.Name{from, to}]; !known {
+	if _, known := s.partitions[[2]domain.Name{from, to}]; !known {
 		s.Log.Warn("servers: domains cut off from each other", "from", from, "to", to)
 	}
-	s.cuts[[2]domain.Name{from, to}] = now.Add(cutFor)
-	s.cuts[[2]domain.Name{to, from}] = now.Add(cutFor)
+	s.partitions[[2]domain.Name{from, to}] = now.Add(partitionTTL)
+	s.partitions[[2]domain.Name{to, from}] = now.Add(partitionTTL)
 }
 
 // Unreachable reports whether servers of one failure domain are taken not to reach
@@ -111,24 +111,24 @@
 func (s *Local) Unreachable(from, to domain.Name) bool {
 	s.mu.Lock()
 	defer s.mu.Unlock()
-	until, known := s.cuts[[2]domain.Name{from, to}]
+	until, known := s.partitions[[2]domain.Name{from, to}]
 	if known && time.Now().After(until) {
-		delete(s.cuts, [2]domain.Name{from, to})
+		delete(s.partitions, [2]domain.Name{from, to})
 		return false
 	}
 	return known
 }
 
 const (
-	// slowFor is how long a server is taken to be as slow as it last said. It is
+	// slownessTTL is how long a server is taken to be as slow as it last said. It is
 	// asked again whenever a stream through it pauses.
-	slowFor = 3 * time.Second
-	// slowFrom is the slowness from which on it matters: below it a server still
+	slownessTTL = 3 * time.Second
+	// minSlowdown is the slowness from which on it matters: below it a server still
 	// serves sooner than one in another failure domain.
-	slowFrom = 1.3
-	// transitTime is by how much a later expiry may be due to the transit time of a
+	minSlowdown = 1.3
+	// maxTransitTime is by how much a later expiry may be due to the transit time of a
 	// message. Added up, transit times would keep an old report alive.
-	transitTime = 300 * time.Millisecond
+	maxTransitTime = 300 * time.Millisecond
 )
 
 // SlowServer is a server whose work takes longer than usual.
@@ -143,15 +143,15 @@
 // RecordSlowness notes how many times as long as usual a server's work takes, as it says
 // itself. It reports whether the server was not known to be that slow.
 func (s *Local) RecordSlowness(id string, times float64, now time.Time) (news bool) {
-	if times >= slowFrom {
-		return s.MergeSlow(SlowServer{ID: id, Factor: times, Until: now.Add(slowFor)}, now)
+	if times >= minSlowdown {
+		return s.MergeSlow(SlowServer{ID: id, Factor: times, Until: now.Add(slownessTTL)}, now)
 	}
 	s.mu.Lock()
 	defer s.mu.Unlock()
-	if _, known := s.slows[id]; known {
-		delete(s.slows, id)
+	if _, known := s.slow[id]; known {
+		delete(s.slow, id)
 		s.Log.Info("servers: as fast as usual", "server", id)
-		s.refresh([]string{id}, false, now)
+		s.update([]string{id}, false, now)
 	}
 	return false
 }
@@ -161,19 +161,19 @@
 func (s *Local) MergeSlow(slow SlowServer, now time.Time) (news bool) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
-	old, known := s.slows[slow.ID]
-	if known && slow.Until.Sub(old.Until) < transitTime {
+	old, known := s.slow[slow.ID]
+	if known && slow.Until.Sub(old.Until) < maxTransitTime {
 		return false
 	}
-	if s.slows == nil {
-		s.slows = map[string]SlowServer{}
+	if s.slow == nil {
+		s.slow = map[string]SlowServer{}
 	}
-	s.slows[slow.ID] = slow
+	s.slow[slow.ID] = slow
 	if known && old.Factor == slow.Factor {
 		return false
 	}
 	s.Log.Info("servers: slow", "server", slow.ID, "times", slow.Factor)
-	s.refresh([]string{slow.ID}, false, now)
+	s.update([]string{slow.ID}, false, now)
 	return true
 }
 
@@ -181,5 +181,5 @@
 func (s *Local) SlowServers() []SlowServer {
 	s.mu.Lock()
 	defer s.mu.Unlock()
-	return slices.Collect(maps.Values(s.slows))
+	return slices.Collect(maps.Values(s.slow))
 }
--- a/entry/unary/plain.go
+++ b/entry/unary/unary.go
@@ -26,25 +26,25 @@
 )
 
 const (
-	// held is how much of an answer is read before the caller gets it. Larger
+	// maxBufferedBody is how much of an answer is read before the caller gets it. Larger
 	// ones are passed on as they come.
-	held = 1 << 20
-	// freshOnce is the maximum idle time of a connection that is reused for a request
+	maxBufferedBody = 1 << 20
+	// maxIdleAtMostOnce is the maximum idle time of a connection that is reused for a request
 	// that is not idempotent: after a close by the server it is unknown whether the
 	// request ran.
-	freshOnce = time.Second
-	// comeBack is when a refused caller should come again: queues of a plain
+	maxIdleAtMostOnce = time.Second
+	// refusalRetryAfter is when a refused caller should come again: queues of a plain
 	// service empty within some tens of milliseconds.
-	comeBack = 200 * time.Millisecond
-	// silentShare is the timeout of an idempotent request at one server while another
+	refusalRetryAfter = 200 * time.Millisecond
+	// attemptTimeoutShare is the timeout of an idempotent request at one server while another
 	// may be tried, as a fraction of the route's target. The rest is enough for a
 	// second response of average duration.
-	silentShare = 0.6
-	// connectShare bounds the time to connect, as a fraction of the route's target.
+	attemptTimeoutShare = 0.6
+	// connectTimeoutShare bounds the time to connect, as a fraction of the route's target.
 	// Nothing has been sent by then, so any request may go to another server.
-	connectShare = 0.4
-	// leastConnect is the minimum of that bound: a few round trips.
-	leastConnect = 40 * time.Millisecond
+	connectTimeoutShare = 0.4
+	// minConnectTimeout is the minimum of that bound: a few round trips.
+	minConnectTimeout = 40 * time.Millisecond
 )
 
 // Forwarder passes requests on. Set the exported fields before use.
@@ -86,9 +86,9 @@
 	var failure *attempt
 	fail := func(e *fault.Error) call.Outcome {
 		if failure != nil && !call.CallerGone(ctx) {
-			return f.deliver(w, out, j, *failure)
+			return f.writeResponse(w, out, j, *failure)
 		}
-		return f.fail(ctx, w, out, verdict, e)
+		return f.writeError(ctx, w, out, verdict, e)
 	}
 	for {
 		server := f.Stats.Pick(f.State.View().Service(j.Service.Name), f.LocalDomain, avoid)
@@ -106,26 +106,26 @@
 			verdict = verdict.Weaken(a.err.Verdict)
 		}
 		if a.err == nil {
-			if !f.another(j, a, more, budget) {
-				return f.deliver(w, out, j, a)
+			if !f.retryResponse(j, a, more, budget) {
+				return f.writeResponse(w, out, j, a)
 			}
 			failure = &a
 			continue
 		}
-		if !f.again(ctx, j, a, out.Sends, budget) {
+		if !f.retryError(ctx, j, a, out.Sends, budget) {
 			return fail(a.err)
 		}
 	}
 }
 
-// another reports whether a failure response is retried on a second server.
-func (f *Forwarder) another(j *call.Job, a attempt, more bool, budget *retry.WindowBudget) bool {
+// retryResponse reports whether a failure response is retried on a second server.
+func (f *Forwarder) retryResponse(j *call.Job, a attempt, more bool, budget *retry.WindowBudget) bool {
 	failed := a.reply.Status >= http.StatusInternalServerError
 	return failed && more && a.rest == nil && j.Route.Repeatable() && budget.Withdraw(time.Now())
 }
 
-// again reports whether a failed sending is followed by another.
-func (f *Forwarder) again(ctx context.Context, j *call.Job, a attempt, sends int, budget *retry.WindowBudget) bool {
+// retryError reports whether a failed sending is followed by another.
+func (f *Forwarder) retryError(ctx context.Context, j *call.Job, a attempt, sends int, budget *retry.WindowBudget) bool {
 	if ctx.Err() != nil {
 		return false
 	}
@@ -161,17 +161,17 @@
 	sctx, cancel := context.WithCancel(ctx)
 	if more && j.Route.Repeatable() && j.Route.Target > 0 {
 		cancel()
-		wait := time.Duration(float64(j.Route.Target) * silentShare)
-		sctx, cancel = context.WithTimeoutCause(ctx, wait, errSilent)
+		wait := time.Duration(float64(j.Route.Target) * attemptTimeoutShare)
+		sctx, cancel = context.WithTimeoutCause(ctx, wait, errAttemptTimeout)
 	}
 	defer cancel()
 	var reply call.Reply
-	o := conns.Options{DialTimeout: connectWait(j.Route), Inspect: func(r *http.Response) conns.ResponseInfo {
+	o := conns.Options{DialTimeout: connectTimeout(j.Route), Inspect: func(r *http.Response) conns.ResponseInfo {
 		reply = f.Codec.ParseReply(r)
 		return conns.ResponseInfo{OtherRequest: reply.ID != "" && reply.ID != j.ID, Close: reply.Closing, IdleTimeout: reply.IdleTimeout}
 	}}
 	if j.Route.Kind == route.AtMostOnce {
-		o.MaxIdle = freshOnce
+		o.MaxIdle = maxIdleAtMostOnce
 	}
 	req := f.Codec.NewRequest(j.Request, call.SendOptions{Server: server, Timeout: j.Remaining(), Team: j.Team, Priority: j.Priority})
 	answer, err := f.Pool.Do(sctx, server.Address, req, o)
@@ -179,15 +179,15 @@
 		return attempt{err: fault.As(err)}
 	}
 	a := attempt{reply: reply, header: answer.Header}
-	a.body, err = io.ReadAll(io.LimitReader(answer, held))
+	a.body, err = io.ReadAll(io.LimitReader(answer, maxBufferedBody))
 	if err != nil {
 		answer.Close()
 		a.err = &fault.Error{Code: fault.BrokenAnswer, Verdict: fault.MayHaveRun, Message: "the answer broke off", Server: server.ID, Cause: err}
 		return a
 	}
-	if len(a.body) == held && j.Route.Kind != route.Idempotent {
+	if len(a.body) == maxBufferedBody && j.Route.Kind != route.Idempotent {
 		a.rest = answer
-	} else if len(a.body) == held {
+	} else if len(a.body) == maxBufferedBody {
 		a.err = &fault.Error{Code: fault.BrokenAnswer, Verdict: fault.MayHaveRun, Message: "the answer is too large", Server: server.ID}
 		answer.Close()
 		return a
@@ -195,23 +195,23 @@
 		answer.Close()
 	}
 	if reply.NotRun {
-		a.err = &fault.Error{Code: fault.ServerRefused, Verdict: fault.NotRun, Message: "the backend server refused", Server: server.ID, RetryAfter: comeBack}
+		a.err = &fault.Error{Code: fault.ServerRefused, Verdict: fault.NotRun, Message: "the backend server refused", Server: server.ID, RetryAfter: refusalRetryAfter}
 	}
 	return a
 }
 
-// connectWait bounds the time to connect for a route; zero means the default.
-func connectWait(r *route.Route) time.Duration {
+// connectTimeout bounds the time to connect for a route; zero means the default.
+func connectTimeout(r *route.Route) time.Duration {
 	if r.Target <= 0 {
 		return 0
 	}
-	return max(leastConnect, time.Duration(connectShare*float64(r.Target)))
+	return max(minConnectTimeout, time.Duration(connectTimeoutShare*float64(r.Target)))
 }
 
-var errSilent = errors.New("silent for too long")
+var errAttemptTimeout = errors.New("silent for too long")
 
-// deliver gives the caller an answer.
-func (f *Forwarder) deliver(w http.ResponseWriter, out call.Outcome, j *call.Job, a attempt) call.Outcome {
+// writeResponse gives the caller an answer.
+func (f *Forwarder) writeResponse(w http.ResponseWriter, out call.Outcome, j *call.Job, a attempt) call.Outcome {
 	out.Server = a.server
 	if call.StatusMeansNotRun(a.reply.Status) {
 		// This server did not say that the request had not run.
@@ -239,8 +239,8 @@
 	return out
 }
 
-// fail ends a request with an error response.
-func (f *Forwarder) fail(ctx context.Context, w http.ResponseWriter, out call.Outcome, verdict fault.Verdict, e *fault.Error) call.Outcome {
+// writeError ends a request with an error response.
+func (f *Forwarder) writeError(ctx context.Context, w http.ResponseWriter, out call.Outcome, verdict fault.Verdict, e *fault.Error) call.Outcome {
 	final := *e
 	final.Verdict = verdict
 	if call.CallerGone(ctx) {
@@ -252,7 +252,7 @@
 		final.Code = fault.Deadline
 	}
 	if verdict == fault.NotRun && final.RetryAfter == 0 {
-		final.RetryAfter = comeBack
+		final.RetryAfter = refusalRetryAfter
 	}
 	out.Error = &final
 	out.Status = call.WriteError(w, f.Codec, &final)
