--- a/entry/state/assignment.go
+++ b/entry/state/assignment.go
@@ -10,15 +10,15 @@
 type Assignment struct {
 	ID         string
 	First, End int
-	// Until is when the order is forgotten, for want of an entry that shows it
-	// carried out.
+	// Until is when the assignment expires if the server's entry does not show it.
 	Until time.Time
-	// Done says that the server itself has reported it carried out. Its entry
-	// shows that up to a heartbeat later.
+	// Done says that the server has reported it carried out. Its entry shows that up
+	// to a heartbeat later.
 	Done bool
 }
 
-// adjusted applies what is known beyond a server's own entry, to a copy.
+// adjusted returns a copy of a server with its suspicion, slowdown and assignment
+// applied.
 func (s *Local) adjusted(id string, server fleet.Server, now time.Time) *fleet.Server {
 	if until, suspected := s.suspects[id]; suspected {
 		server.Suspected = now.Before(until)
@@ -28,20 +28,20 @@
 	}
 	server.SlowdownFactor = s.slow[id].Factor
 	server.MemoryLayers = server.LayerCount()
-	o, ordered := s.assignments[id]
+	a, assigned := s.assignments[id]
 	switch {
-	case !ordered:
-	case server.First == o.First && server.End == o.End || now.After(o.Until):
+	case !assigned:
+	case server.First == a.First && server.End == a.End || now.After(a.Until):
 		delete(s.assignments, id)
-	case o.Done:
-		server.First, server.End = o.First, o.End
+	case a.Done:
+		server.First, server.End = a.First, a.End
 		server.MemoryLayers = server.LayerCount()
 	default:
 		// Layers being given up accept no new requests, and layers being loaded take
 		// memory already.
-		server.MemoryLayers = max(server.MemoryLayers, o.End-o.First)
-		server.AwaitsReload = o.First < server.First || o.End > server.End
-		server.First, server.End = max(server.First, o.First), min(server.End, o.End)
+		server.MemoryLayers = max(server.MemoryLayers, a.End-a.First)
+		server.AwaitsReload = a.First < server.First || a.End > server.End
+		server.First, server.End = max(server.First, a.First), min(server.End, a.End)
 		if server.First >= server.End {
 			server.First, server.End = 0, 0
 		}
@@ -49,33 +49,34 @@
 	return &server
 }
 
-// Assign records an order, so that no request is sent for layers that the server
-// gives up. It reports whether the order was unknown.
-func (s *Local) Assign(o Assignment, now time.Time) bool {
+// Assign records an assignment, so that no request is sent for layers that the server
+// gives up. It reports whether the assignment was unknown.
+func (s *Local) Assign(a Assignment, now time.Time) bool {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	if s.assignments == nil {
 		s.assignments = map[string]Assignment{}
 	}
-	old, known := s.assignments[o.ID]
-	if known && !(o.Done && !old.Done) && (old.First == o.First && old.End == o.End || o.Until.Before(old.Until)) {
+	old, known := s.assignments[a.ID]
+	if known && !(a.Done && !old.Done) && (old.First == a.First && old.End == a.End || a.Until.Before(old.Until)) {
 		return false
 	}
-	if at, exists := s.decoded[o.ID]; exists && at.server.First == o.First && at.server.End == o.End {
+	if entry, exists := s.decoded[a.ID]; exists && entry.server.First == a.First && entry.server.End == a.End {
 		return false
 	}
-	s.assignments[o.ID] = o
-	s.update([]string{o.ID}, false, now)
+	s.assignments[a.ID] = a
+	s.update([]string{a.ID}, false, now)
 	return true
 }
 
-// Assignments returns the orders that are not shown as carried out yet.
+// Assignments returns the assignments that the entries of their servers do not show
+// yet.
 func (s *Local) Assignments() []Assignment {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	list := make([]Assignment, 0, len(s.assignments))
-	for _, o := range s.assignments {
-		list = append(list, o)
+	for _, a := range s.assignments {
+		list = append(list, a)
 	}
 	return list
 }
--- a/entry/state/state.go
+++ b/entry/state/state.go
@@ -1,10 +1,10 @@
-// Package belief joins what an entry host knows into what a request reads: the
-// configuration in force and the backend servers as they are believed to be.
+// Package state maintains the local state that requests read: the configuration in
+// force and the view of the backend servers.
 //
-// Both are immutable and stand behind atomic pointers. The configuration never
-// goes back to an older version. A backend server whose entry vanished right
-// after an outage of the object API is kept for a while: entries expire during the
-// outage, and living servers register again.
+// Both are immutable and published through atomic pointers. The configuration never
+// goes back to an older version. A backend server whose entry disappears right after
+// an outage of the object API is kept for a while: entries expire during the outage,
+// and live servers register again.
 package state
 
 import (
@@ -20,7 +20,7 @@
 	"fuchsiashelf.dev/parts/route"
 )
 
-// Decoder reads the objects of the object API.
+// Decoder decodes the objects of the object API.
 type Decoder interface {
 	Table(spec []byte) (*route.Table, error)
 	Server(id string, spec []byte) (fleet.Server, error)
@@ -28,27 +28,27 @@
 
 // Timeouts and intervals.
 const (
-	// expiredGrace is how long a server is kept whose entry expired in an outage: entries
-	// of living servers are back within two seconds of its end.
+	// expiredGrace is how long a server is kept after its entry expired in an outage.
+	// The entries of live servers are back within two seconds of its end.
 	expiredGrace = 1900 * time.Millisecond
 	// recoveryWindow is how long after the end of an outage a missing entry counts as
-	// expired, not as removed.
+	// expired rather than removed.
 	recoveryWindow = 1500 * time.Millisecond
-	// probeWindow is how long probing the servers with expired entries takes.
+	// probeWindow is how long it takes to probe the servers with expired entries.
 	probeWindow = 400 * time.Millisecond
-	// SuspectFor is how long a server is avoided after a failure. A crashed one
-	// returns under a new ID, one behind a partition answers a probe.
+	// SuspectFor is how long a server is suspected after a failure. A crashed server
+	// returns under a new ID; one behind a partition answers a probe.
 	SuspectFor = 2 * time.Second
 )
 
-// Local is the belief of one entry host. Set the exported fields before use.
+// Local is the state of one entry host. Set the exported fields before use.
 type Local struct {
 	Decoder Decoder
 	Log     *slog.Logger
-	// LocalDomain is the failure domain of the entry host.
+	// LocalDomain is the failure domain of this entry host.
 	LocalDomain domain.Name
-	// ProbeExpired is called with the address of each server whose entry expired, to check
-	// the server: some left for good during the outage.
+	// ProbeExpired is called with the address of each server whose entry expired.
+	// Servers that stopped during the outage do not answer the probe.
 	ProbeExpired func(address string)
 	// Config and Servers are the mirrors that the state is built from.
 	Config, Servers *mirror.Mirror
@@ -57,47 +57,50 @@
 	view  atomic.Pointer[fleet.View]
 
 	mu sync.Mutex
-	// decoded holds the servers by ID, with the revision they were read at.
+	// decoded holds the listed servers by ID.
 	decoded map[string]decodedServer
-	// cursor is the cursor of the mirror up to which entries are decoded.
+	// cursor is the position in the Servers mirror up to which entries are decoded.
 	cursor uint64
-	// expired holds servers that are gone from the mirror but kept until then.
+	// expired holds the servers whose entries expired and that are still kept.
 	expired map[string]expiredServer
-	// lastExpiry is when entries last lapsed.
+	// lastExpiry is when entries last expired.
 	lastExpiry time.Time
-	// suspects holds until when a server is avoided.
+	// suspects holds the end of the suspicion of each suspected server.
 	suspects map[string]time.Time
-	// slow holds the servers that say that they are slow.
+	// slow holds the slow servers by ID.
 	slow map[string]SlowServer
-	// assignments holds the assignments to servers whose entries do not show them yet.
+	// assignments holds the assignments that the entries of their servers do not show
+	// yet.
 	assignments map[string]Assignment
-	// partitions holds until when which failure domains do not reach which others.
+	// partitions holds until when a pair of failure domains counts as partitioned.
 	partitions map[[2]domain.Name]time.Time
-	// recoveredAt is when the object API answered again after an outage.
+	// recoveredAt is when the object API last answered again after an outage.
 	recoveredAt time.Time
-	// adjustedServers are the servers of the view before those of a failure domain
-	// that is cut off are suspected.
+	// adjustedServers are the servers of the view before suspectPartitioned is
+	// applied.
 	adjustedServers []*fleet.Server
 	// changed is closed and replaced when the view changes.
 	changed chan struct{}
 }
 
+// decodedServer is a server with the revision of its entry.
 type decodedServer struct {
 	revision uint64
 	server   fleet.Server
 }
 
+// expiredServer is a server whose entry expired, kept until the given time.
 type expiredServer struct {
 	server fleet.Server
 	until  time.Time
 }
 
-// Table returns the configuration in force, or nil before the first.
+// Table returns the configuration in force, or nil if there is none yet.
 func (s *Local) Table() *route.Table {
 	return s.table.Load()
 }
 
-// View returns the backend servers.
+// View returns the current view of the backend servers.
 func (s *Local) View() *fleet.View {
 	if v := s.view.Load(); v != nil {
 		return v
@@ -115,43 +118,44 @@
 	return s.changed
 }
 
-// StoreRecovered notes that the object API answers again after an outage.
+// StoreRecovered records that the object API answers again after an outage.
 func (s *Local) StoreRecovered(now time.Time) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	s.recoveredAt = now
 }
 
-// Probing reports whether servers whose entries lapsed are being asked whether
-// they live. Those that do not answer are suspected by its end.
+// Probing reports whether the servers with expired entries are being probed. Those
+// that do not answer are suspected by the end of the probe window.
 func (s *Local) Probing(now time.Time) bool {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	return now.Before(s.lastExpiry.Add(probeWindow))
 }
 
-// KeepsExpired reports whether servers are kept whose entries lapsed.
+// KeepsExpired reports whether any server with an expired entry is kept.
 func (s *Local) KeepsExpired() bool {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	return len(s.expired) > 0
 }
 
-// ReadConfig takes the configuration from its mirror.
+// ReadConfig applies the named configuration of the Config mirror.
 func (s *Local) ReadConfig(name string) {
-	for _, item := range s.Config.Items() {
-		if item.Name != name {
+	for _, object := range s.Config.Items() {
+		if object.Name != name {
 			continue
 		}
-		t, err := s.Decoder.Table(item.Spec)
+		t, err := s.Decoder.Table(object.Spec)
 		if err != nil {
-			s.Log.Error("config: an unreadable configuration was left out", "revision", item.Revision, "error", err)
+			s.Log.Error("config: unreadable configuration ignored", "revision", object.Revision, "error", err)
 			return
 		}
-		s.applyTable(t, item.Revision)
+		s.applyTable(t, object.Revision)
 	}
 }
 
+// applyTable puts a configuration in force if its version is newer.
 func (s *Local) applyTable(t *route.Table, revision uint64) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
@@ -164,111 +168,111 @@
 	s.Log.Info("config: taken", "version", t.Version, "revision", revision, "routes", len(t.Routes), "teams", len(t.Teams))
 }
 
-// ReadServers takes the changes of the servers from their mirror.
+// ReadServers applies the changes of the Servers mirror.
 func (s *Local) ReadServers(now time.Time) {
 	s.mu.Lock()
-	changes, whole := s.Servers.Since(s.cursor)
+	changes, complete := s.Servers.Since(s.cursor)
 	s.cursor = changes.Cursor
-	gone := s.decode(changes.Items)
-	if whole {
-		gone = s.notListed(changes.Items)
+	removed := s.decode(changes.Items)
+	if complete {
+		removed = s.notListed(changes.Items)
 	}
-	lapsed := s.remove(gone, now)
+	expired := s.remove(removed, now)
 	s.publishChanges(changes.Items, now)
 	s.mu.Unlock()
-	for _, address := range lapsed {
+	for _, address := range expired {
 		s.ProbeExpired(address)
 	}
 }
 
-// decode reads the entries that changed. It returns the IDs of those that are
-// gone.
-func (s *Local) decode(items []mirror.Object) (gone []string) {
+// decode decodes changed entries and returns the IDs of the removed servers.
+func (s *Local) decode(objects []mirror.Object) (removed []string) {
 	if s.decoded == nil {
 		s.decoded = map[string]decodedServer{}
 		s.expired = map[string]expiredServer{}
 	}
-	// A server that started again under its ID has a deletion and an entry among the
-	// changes; the revision of the deletion need not be the lower one.
+	// A server that restarted under its ID has both a deletion and an entry among the
+	// changes, and the deletion does not necessarily have the lower revision.
 	present := map[string]bool{}
-	for _, item := range items {
-		old, seen := s.decoded[item.Name]
-		if seen && old.revision == item.Revision {
+	for _, object := range objects {
+		old, known := s.decoded[object.Name]
+		if known && old.revision == object.Revision {
 			continue
 		}
-		if item.Deleted {
-			gone = append(gone, item.Name)
+		if object.Deleted {
+			removed = append(removed, object.Name)
 			continue
 		}
-		server, err := s.Decoder.Server(item.Name, item.Spec)
+		server, err := s.Decoder.Server(object.Name, object.Spec)
 		if err != nil {
-			// Another writer's entry names no server; the others hold.
-			s.Log.Warn("servers: an unreadable entry was left out", "server", item.Name, "revision", item.Revision, "error", err)
-			gone = append(gone, item.Name)
+			// One malformed entry must not hold up the others.
+			s.Log.Warn("servers: unreadable entry ignored", "server", object.Name, "revision", object.Revision, "error", err)
+			removed = append(removed, object.Name)
 			continue
 		}
-		if seen && server.StartedAt.After(old.server.StartedAt) {
-			// A new run under an old ID holds nothing, and nothing that was
-			// said of the old one holds for it.
-			delete(s.assignments, item.Name)
-			delete(s.suspects, item.Name)
-			s.Log.Info("servers: started anew", "server", server.ID, "address", server.Address, "revision", item.Revision)
+		if known && server.StartedAt.After(old.server.StartedAt) {
+			// The new run holds no layers, and what was known of the old run does not
+			// apply to it.
+			delete(s.assignments, object.Name)
+			delete(s.suspects, object.Name)
+			s.Log.Info("servers: restarted", "server", server.ID, "address", server.Address, "revision", object.Revision)
 		}
-		s.logChanges(old.server, server, seen, item.Revision)
-		s.decoded[item.Name] = decodedServer{revision: item.Revision, server: server}
-		delete(s.expired, item.Name)
-		present[item.Name] = true
+		s.logChanges(old.server, server, known, object.Revision)
+		s.decoded[object.Name] = decodedServer{revision: object.Revision, server: server}
+		delete(s.expired, object.Name)
+		present[object.Name] = true
 	}
-	return slices.DeleteFunc(gone, func(id string) bool { return present[id] })
+	return slices.DeleteFunc(removed, func(id string) bool { return present[id] })
 }
 
-// notListed returns the IDs of servers that a complete list does not show as they
-// were last decoded.
-func (s *Local) notListed(list []mirror.Object) (gone []string) {
-	listed := make(map[string]uint64, len(list))
-	for _, item := range list {
-		listed[item.Name] = item.Revision
+// notListed returns the IDs of decoded servers that a complete list does not contain
+// at the revision at which they were decoded.
+func (s *Local) notListed(objects []mirror.Object) (removed []string) {
+	listed := make(map[string]uint64, len(objects))
+	for _, object := range objects {
+		listed[object.Name] = object.Revision
 	}
-	for id, k := range s.decoded {
-		if listed[id] != k.revision {
-			gone = append(gone, id)
+	for id, server := range s.decoded {
+		if listed[id] != server.revision {
+			removed = append(removed, id)
 		}
 	}
-	return gone
+	return removed
 }
 
-// remove forgets servers whose entries are gone, and keeps lapsed ones. It returns
-// the addresses of those that have just lapsed.
-func (s *Local) remove(gone []string, now time.Time) (lapsed []string) {
-	gone = slices.DeleteFunc(gone, func(id string) bool {
-		_, seen := s.decoded[id]
-		return !seen
+// remove drops the given servers and keeps those whose entries expired in an outage.
+// It returns the addresses of the servers whose entries have just expired.
+func (s *Local) remove(removed []string, now time.Time) (expired []string) {
+	removed = slices.DeleteFunc(removed, func(id string) bool {
+		_, known := s.decoded[id]
+		return !known
 	})
-	// Many entries that vanish at once lapsed in an outage of the object API
-	// that this entry host need not have seen itself.
-	outage := now.Before(s.recoveredAt.Add(recoveryWindow)) || len(gone) > 2 && len(gone)*4 > len(s.decoded)
-	for _, id := range gone {
+	// Many entries that disappear at once expired in an outage of the object API,
+	// which this entry host need not have seen itself.
+	outage := now.Before(s.recoveredAt.Add(recoveryWindow)) || len(removed) > 2 && len(removed)*4 > len(s.decoded)
+	for _, id := range removed {
 		old := s.decoded[id].server
 		delete(s.decoded, id)
 		if outage && !old.Leaving {
 			s.expired[id] = expiredServer{server: old, until: now.Add(expiredGrace)}
 			s.lastExpiry = now
-			lapsed = append(lapsed, old.Address)
+			expired = append(expired, old.Address)
 		}
 		s.Log.Info("servers: gone", "server", id, "address", old.Address, "kept", outage)
 	}
-	return lapsed
+	return expired
 }
 
-func (s *Local) logChanges(old, now fleet.Server, seen bool, revision uint64) {
-	if !seen {
-		s.Log.Info("servers: new", "server", now.ID, "service", now.Service, "address", now.Address,
-			"domain", now.Domain, "card", now.Accelerator, "revision", revision)
+// logChanges logs how a server's entry differs from the previous one.
+func (s *Local) logChanges(old, server fleet.Server, known bool, revision uint64) {
+	if !known {
+		s.Log.Info("servers: new", "server", server.ID, "service", server.Service, "address", server.Address,
+			"domain", server.Domain, "card", server.Accelerator, "revision", revision)
 	}
-	if now.Leaving && !old.Leaving {
-		s.Log.Info("servers: leaving", "server", now.ID, "address", now.Address, "revision", revision)
+	if server.Leaving && !old.Leaving {
+		s.Log.Info("servers: leaving", "server", server.ID, "address", server.Address, "revision", revision)
 	}
-	if old.First != now.First || old.End != now.End {
-		s.Log.Info("servers: layers", "server", now.ID, "first", now.First, "end", now.End, "revision", revision)
+	if old.First != server.First || old.End != server.End {
+		s.Log.Info("servers: layers", "server", server.ID, "first", server.First, "end", server.End, "revision", revision)
 	}
 }
--- a/entry/state/suspicion.go
+++ b/entry/state/suspicion.go
@@ -9,17 +9,17 @@
 	"fuchsiashelf.dev/parts/fleet"
 )
 
-// suspectPartitioned suspects all servers of other failure domains of which several are
-// suspected. It returns the list, in which it replaces them.
+// suspectPartitioned suspects all servers of each remote failure domain in which many
+// servers are suspected. It replaces them in the list, which it returns.
 func (s *Local) suspectPartitioned(list []*fleet.Server) []*fleet.Server {
-	bad := map[domain.Name]int{}
+	suspects := map[domain.Name]int{}
 	for _, server := range list {
 		if server.Suspected && server.Domain != s.LocalDomain {
-			bad[server.Domain]++
+			suspects[server.Domain]++
 		}
 	}
-	for d, suspects := range bad {
-		if suspects >= partitionMinSuspects && float64(suspects) > partitionShare*float64(countInDomain(list, d)) {
+	for d, n := range suspects {
+		if n >= partitionMinSuspects && float64(n) > partitionShare*float64(countInDomain(list, d)) {
 			suspectDomain(list, d)
 		}
 	}
@@ -46,8 +46,8 @@
 	}
 }
 
-// Suspect avoids a server until the given time. It reports whether that is
-// news.
+// Suspect marks a server as suspected until the given time. It reports whether the
+// server was not suspected before.
 func (s *Local) Suspect(id string, until, now time.Time) bool {
 	s.mu.Lock()
 	defer s.mu.Unlock()
@@ -66,7 +66,7 @@
 	return false
 }
 
-// ClearSuspicion ends the suspicion against a server that has just served.
+// ClearSuspicion ends the suspicion of a server that has just served a request.
 func (s *Local) ClearSuspicion(id string, now time.Time) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
@@ -76,7 +76,7 @@
 	}
 }
 
-// Suspects returns until when which servers are avoided.
+// Suspects returns the end of the suspicion of each suspected server.
 func (s *Local) Suspects() map[string]time.Time {
 	s.mu.Lock()
 	defer s.mu.Unlock()
@@ -87,12 +87,12 @@
 	return list
 }
 
-// partitionTTL is how long two failure domains count as partitioned after a server of one
-// timed out on a healthy server of the other.
+// partitionTTL is how long two failure domains count as partitioned after a server of
+// one timed out on a healthy server of the other.
 const partitionTTL = 3 * time.Second
 
-// MarkUnreachable notes that servers of one failure domain do not reach those of
-// another.
+// MarkUnreachable records that servers of two failure domains do not reach each
+// other.
 func (s *Local) MarkUnreachable(from, to domain.Name, now time.Time) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
@@ -100,14 +100,13 @@
 		s.partitions = map[[2]domain.Name]time.Time{}
 	}
 	if _, known := s.partitions[[2]domain.Name{from, to}]; !known {
-		s.Log.Warn("servers: domains cut off from each other", "from", from, "to", to)
+		s.Log.Warn("servers: failure domains partitioned", "from", from, "to", to)
 	}
 	s.partitions[[2]domain.Name{from, to}] = now.Add(partitionTTL)
 	s.partitions[[2]domain.Name{to, from}] = now.Add(partitionTTL)
 }
 
-// Unreachable reports whether servers of one failure domain are taken not to reach
-// those of another.
+// Unreachable reports whether two failure domains count as partitioned.
 func (s *Local) Unreachable(from, to domain.Name) bool {
 	s.mu.Lock()
 	defer s.mu.Unlock()
@@ -120,64 +119,65 @@
 }
 
 const (
-	// slownessTTL is how long a server is taken to be as slow as it last said. It is
-	// asked again whenever a stream through it pauses.
+	// slownessTTL is how long a reported slowdown counts. The server is asked again
+	// whenever a stream through it pauses.
 	slownessTTL = 3 * time.Second
-	// minSlowdown is the slowness from which on it matters: below it a server still
-	// serves sooner than one in another failure domain.
+	// minSlowdown is the lowest slowdown factor that counts: below it a server still
+	// responds sooner than one in another failure domain.
 	minSlowdown = 1.3
-	// maxTransitTime is by how much a later expiry may be due to the transit time of a
-	// message. Added up, transit times would keep an old report alive.
+	// maxTransitTime is how much later a report of another entry host may expire
+	// because of its transit time alone. Without this limit, transit times would add
+	// up and keep an old report alive.
 	maxTransitTime = 300 * time.Millisecond
 )
 
 // SlowServer is a server whose work takes longer than usual.
 type SlowServer struct {
 	ID string
-	// Factor is how many times as long as usual its work takes.
+	// Factor is how many times longer than usual the work takes.
 	Factor float64
-	// Until is when that is forgotten.
+	// Until is when the report expires.
 	Until time.Time
 }
 
-// RecordSlowness notes how many times as long as usual a server's work takes, as it says
-// itself. It reports whether the server was not known to be that slow.
-func (s *Local) RecordSlowness(id string, times float64, now time.Time) (news bool) {
-	if times >= minSlowdown {
-		return s.MergeSlow(SlowServer{ID: id, Factor: times, Until: now.Add(slownessTTL)}, now)
+// RecordSlowness records the slowdown factor that a server reports. It reports
+// whether the server was not known to be that slow.
+func (s *Local) RecordSlowness(id string, factor float64, now time.Time) (changed bool) {
+	if factor >= minSlowdown {
+		return s.MergeSlow(SlowServer{ID: id, Factor: factor, Until: now.Add(slownessTTL)}, now)
 	}
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	if _, known := s.slow[id]; known {
 		delete(s.slow, id)
-		s.Log.Info("servers: as fast as usual", "server", id)
+		s.Log.Info("servers: no longer slow", "server", id)
 		s.update([]string{id}, false, now)
 	}
 	return false
 }
 
-// MergeSlow notes that a server is slow. It reports whether it was not known to be
-// that slow.
-func (s *Local) MergeSlow(slow SlowServer, now time.Time) (news bool) {
+// MergeSlow merges a report of a slow server. It reports whether the server was not
+// known to be that slow.
+func (s *Local) MergeSlow(report SlowServer, now time.Time) (changed bool) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
-	old, known := s.slow[slow.ID]
-	if known && slow.Until.Sub(old.Until) < maxTransitTime {
+	old, known := s.slow[report.ID]
+	if known && report.Until.Sub(old.Until) < maxTransitTime {
 		return false
 	}
 	if s.slow == nil {
 		s.slow = map[string]SlowServer{}
 	}
-	s.slow[slow.ID] = slow
-	if known && old.Factor == slow.Factor {
+	s.slow[report.ID] = report
+	if known && old.Factor == report.Factor {
 		return false
 	}
-	s.Log.Info("servers: slow", "server", slow.ID, "times", slow.Factor)
-	s.update([]string{slow.ID}, false, now)
+	s.Log.Info("servers: slow", "server", report.ID, "times", report.Factor)
+	s.update([]string{report.ID}, false, now)
 	return true
 }
 
-// SlowServers returns the servers that are slow.
+// SlowServers returns the slow servers.
 func (s *Local) SlowServers() []SlowServer {
 	s.mu.Lock()
 	defer s.mu.Unlock()
