--- a/entry/unary/stats.go
+++ b/entry/unary/stats.go
@@ -10,37 +10,40 @@
 	"fuchsiashelf.dev/parts/health"
 )
 
-// The weights of the choice among plain servers.
+// Weights of the choice among servers.
 const (
-	// smoothing is the part of a new time or outcome in the running mean: some ten
-	// requests tell of a change.
+	// smoothing is the weight of a new duration or outcome in the moving average:
+	// some ten requests show a change.
 	smoothing = 0.1
-	// initialTime stands for the time of a server that has not answered yet.
+	// initialTime is the assumed duration at a server that has not responded yet.
 	initialTime = 50 * time.Millisecond
-	// failurePenalty is what a failure costs, as time: the caller waits for a
-	// second answer, or gets none.
+	// failurePenalty is the cost of a failure, as time: the caller waits for a second
+	// response or gets none.
 	failurePenalty = 600 * time.Millisecond
-	// remotePenalty keeps requests in the failure domain of the entry host while its
-	// server is about as fast as others.
+	// remotePenalty keeps requests in the local domain while its servers are about as
+	// fast as others.
 	remotePenalty = 8 * time.Millisecond
-	// suspectPenalty puts suspected servers last.
+	// suspectPenalty ranks suspected servers last.
 	suspectPenalty = 10 * time.Second
-	// maxJitter spreads requests over servers that are alike.
+	// maxJitter spreads requests over equally good servers.
 	maxJitter = 10 * time.Millisecond
 )
 
-// Stats holds how plain servers did lately. The zero value is ready.
+// Stats holds recent durations and failures of plain servers. The zero value is ready
+// to use.
 type Stats struct {
 	mu      sync.Mutex
 	servers map[string]*serverStats
 }
 
+// serverStats holds the statistics of one server.
 type serverStats struct {
 	inFlight    int
 	meanTime    time.Duration
 	failureRate health.FailureRate
 }
 
+// get returns the statistics of a server. The mutex is held.
 func (s *Stats) get(id string) *serverStats {
 	if s.servers == nil {
 		s.servers = map[string]*serverStats{}
@@ -51,7 +54,8 @@
 	return s.servers[id]
 }
 
-// Begin notes that a request goes to a server, until done is called.
+// Begin records that a request is sent to a server. The caller calls done when the
+// request has ended.
 func (s *Stats) Begin(id string) (done func(took time.Duration, failed bool)) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
@@ -59,38 +63,41 @@
 	return func(took time.Duration, failed bool) {
 		s.mu.Lock()
 		defer s.mu.Unlock()
-		sc := s.get(id)
-		sc.inFlight--
-		sc.meanTime += time.Duration(smoothing * float64(took-sc.meanTime))
-		sc.failureRate.Record(failed, time.Now())
+		server := s.get(id)
+		server.inFlight--
+		server.meanTime += time.Duration(smoothing * float64(took-server.meanTime))
+		server.failureRate.Record(failed, time.Now())
 	}
 }
 
-// Pick returns the server that is expected to answer soonest, or nil.
-func (s *Stats) Pick(servers []*fleet.Server, home domain.Name, avoid map[string]bool) *fleet.Server {
+// Pick returns the server that is expected to respond soonest, or nil if there is
+// none.
+func (s *Stats) Pick(servers []*fleet.Server, localDomain domain.Name, avoid map[string]bool) *fleet.Server {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	now := time.Now()
 	var best *fleet.Server
-	var least time.Duration
+	var lowest time.Duration
 	for _, server := range servers {
 		if server.Leaving || avoid[server.Address] {
 			continue
 		}
-		cost := s.cost(server, home, now)
-		if best == nil || cost < least {
-			best, least = server, cost
+		cost := s.cost(server, localDomain, now)
+		if best == nil || cost < lowest {
+			best, lowest = server, cost
 		}
 	}
 	return best
 }
 
-func (s *Stats) cost(server *fleet.Server, home domain.Name, now time.Time) time.Duration {
-	sc := s.get(server.ID)
-	failed := sc.failureRate.At(now)
-	load := float64(sc.inFlight) / float64(max(server.Slots, 1))
-	cost := time.Duration(float64(sc.meanTime)*(1+load)) + time.Duration(failed*float64(failurePenalty))
-	if server.Domain != home {
+// cost returns the expected time until a server responds, with penalties. The mutex
+// is held.
+func (s *Stats) cost(server *fleet.Server, localDomain domain.Name, now time.Time) time.Duration {
+	stats := s.get(server.ID)
+	failureRate := stats.failureRate.At(now)
+	load := float64(stats.inFlight) / float64(max(server.Slots, 1))
+	cost := time.Duration(float64(stats.meanTime)*(1+load)) + time.Duration(failureRate*float64(failurePenalty))
+	if server.Domain != localDomain {
 		cost += remotePenalty
 	}
 	if server.Suspected {
--- a/entry/unary/unary.go
+++ b/entry/unary/unary.go
@@ -1,10 +1,11 @@
-// Package plain passes requests on to backend servers of plain services, each
-// of which gives a whole answer by itself.
+// Package unary forwards requests to backend servers of plain services, each of which
+// returns a whole response by itself.
 //
 // A request that is not idempotent is sent to one server once; if it is unknown
 // whether it ran, the response says so. An idempotent request that fails or times out
-// is retried on another server while the retry budget allows it. A response is read
-// to its end before any of it is passed on, so that a truncated one can be retried.
+// is retried on another server while the retry budget allows it. A response is
+// buffered, up to maxBufferedBody, before any of it is forwarded, so that a truncated
+// one can be retried.
 package unary
 
 import (
@@ -26,52 +27,54 @@
 )
 
 const (
-	// maxBufferedBody is how much of an answer is read before the caller gets it. Larger
-	// ones are passed on as they come.
+	// maxBufferedBody limits how much of a response body is buffered before the
+	// caller gets it. A larger response is streamed, or fails if the request is
+	// idempotent.
 	maxBufferedBody = 1 << 20
-	// maxIdleAtMostOnce is the maximum idle time of a connection that is reused for a request
-	// that is not idempotent: after a close by the server it is unknown whether the
-	// request ran.
+	// maxIdleAtMostOnce is the maximum idle time of a connection that is reused for a
+	// request that is not idempotent: if the server closes the connection, it is
+	// unknown whether the request ran.
 	maxIdleAtMostOnce = time.Second
-	// refusalRetryAfter is when a refused caller should come again: queues of a plain
-	// service empty within some tens of milliseconds.
+	// refusalRetryAfter is the default retryAfter of a refused request: queues of a
+	// plain service empty within some tens of milliseconds.
 	refusalRetryAfter = 200 * time.Millisecond
-	// attemptTimeoutShare is the timeout of an idempotent request at one server while another
-	// may be tried, as a fraction of the route's target. The rest is enough for a
-	// second response of average duration.
+	// attemptTimeoutShare is the timeout of an idempotent request at one server while
+	// another may be tried, as a fraction of the route's target. The rest is enough
+	// for a second response of average duration.
 	attemptTimeoutShare = 0.6
-	// connectTimeoutShare bounds the time to connect, as a fraction of the route's target.
+	// connectTimeoutShare is the connect timeout as a fraction of the route's target.
 	// Nothing has been sent by then, so any request may go to another server.
 	connectTimeoutShare = 0.4
-	// minConnectTimeout is the minimum of that bound: a few round trips.
+	// minConnectTimeout is the lowest connect timeout: a few round trips.
 	minConnectTimeout = 40 * time.Millisecond
 )
 
-// Forwarder passes requests on. Set the exported fields before use.
+// Forwarder forwards requests to plain services. Set the exported fields before use.
 type Forwarder struct {
 	Codec       call.Codec
 	Pool        *conns.Pool
 	State       *state.Local
 	Stats       *Stats
 	LocalDomain domain.Name
-	// Probe asks a server that failed under a request whether it lives.
-	Probe func(j *call.Job, address, why string)
-	// Budget returns the budget of repeats of a service.
+	// Probe probes a server that failed during a request.
+	Probe func(j *call.Job, address, reason string)
+	// Budget returns the retry budget of a service.
 	Budget func(service string) *retry.WindowBudget
 }
 
-// attempt is the outcome of one sending.
+// attempt is the outcome of sending a request to one server.
 type attempt struct {
 	server string
 	reply  call.Reply
 	header http.Header
 	body   []byte
-	// rest is set for an answer larger than what is held.
+	// rest is set if the response body is larger than maxBufferedBody; it reads the
+	// remainder.
 	rest *conns.Response
 	err  *fault.Error
 }
 
-// Serve passes a request on and answers the caller.
+// Serve forwards a request and writes the response to the caller.
 func (f *Forwarder) Serve(ctx context.Context, w http.ResponseWriter, j *call.Job) call.Outcome {
 	out := call.Outcome{}
 	budget := f.Budget(j.Service.Name)
@@ -80,9 +83,9 @@
 	defer cancel()
 	avoid := map[string]bool{}
 	verdict := fault.NotRun
-	// failure is the answer of a server that ran the request and failed. If no
-	// other server does better it is what the caller gets: a refusal would say
-	// that the request had not run.
+	// failure is the error response of a server that ran the request. The caller gets
+	// it if no other server does better: a refusal would say that the request had not
+	// run.
 	var failure *attempt
 	fail := func(e *fault.Error) call.Outcome {
 		if failure != nil && !call.CallerGone(ctx) {
@@ -97,8 +100,8 @@
 		}
 		avoid[server.Address] = true
 		out.Server = server.ID
-		more := out.Sends+1 < j.Route.Attempts
-		a := f.send(ctx, j, server, more)
+		mayRetry := out.Sends+1 < j.Route.Attempts
+		a := f.send(ctx, j, server, mayRetry)
 		if a.err == nil || a.err.Verdict != fault.NotRun || a.reply.Status != 0 {
 			out.Sends++
 		}
@@ -106,7 +109,7 @@
 			verdict = verdict.Weaken(a.err.Verdict)
 		}
 		if a.err == nil {
-			if !f.retryResponse(j, a, more, budget) {
+			if !f.retryResponse(j, a, mayRetry, budget) {
 				return f.writeResponse(w, out, j, a)
 			}
 			failure = &a
@@ -118,19 +121,19 @@
 	}
 }
 
-// retryResponse reports whether a failure response is retried on a second server.
-func (f *Forwarder) retryResponse(j *call.Job, a attempt, more bool, budget *retry.WindowBudget) bool {
+// retryResponse reports whether a request is retried after an error response.
+func (f *Forwarder) retryResponse(j *call.Job, a attempt, mayRetry bool, budget *retry.WindowBudget) bool {
 	failed := a.reply.Status >= http.StatusInternalServerError
-	return failed && more && a.rest == nil && j.Route.Repeatable() && budget.Withdraw(time.Now())
+	return failed && mayRetry && a.rest == nil && j.Route.Repeatable() && budget.Withdraw(time.Now())
 }
 
-// retryError reports whether a failed sending is followed by another.
+// retryError reports whether a request is retried after a failed attempt.
 func (f *Forwarder) retryError(ctx context.Context, j *call.Job, a attempt, sends int, budget *retry.WindowBudget) bool {
 	if ctx.Err() != nil {
 		return false
 	}
-	neverLeft := a.err.Verdict == fault.NotRun && a.reply.Status == 0
-	if neverLeft {
+	notSent := a.err.Verdict == fault.NotRun && a.reply.Status == 0
+	if notSent {
 		return true
 	}
 	if sends >= j.Route.Attempts {
@@ -142,11 +145,12 @@
 	return budget.Withdraw(time.Now())
 }
 
-// send passes the request to one server and reads its answer.
-func (f *Forwarder) send(ctx context.Context, j *call.Job, server *fleet.Server, more bool) attempt {
+// send makes one attempt and records its duration and outcome. A server that did not
+// respond is probed.
+func (f *Forwarder) send(ctx context.Context, j *call.Job, server *fleet.Server, mayRetry bool) attempt {
 	done := f.Stats.Begin(server.ID)
 	start := time.Now()
-	a := f.exchange(ctx, j, server, more)
+	a := f.exchange(ctx, j, server, mayRetry)
 	a.server = server.ID
 	failed := a.err != nil && !call.CallerGone(ctx) || a.err == nil && a.reply.Status >= http.StatusInternalServerError
 	done(time.Since(start), failed)
@@ -157,12 +161,13 @@
 	return a
 }
 
-func (f *Forwarder) exchange(ctx context.Context, j *call.Job, server *fleet.Server, more bool) attempt {
-	sctx, cancel := context.WithCancel(ctx)
-	if more && j.Route.Repeatable() && j.Route.Target > 0 {
+// exchange sends a request to one server and reads the response.
+func (f *Forwarder) exchange(ctx context.Context, j *call.Job, server *fleet.Server, mayRetry bool) attempt {
+	attemptCtx, cancel := context.WithCancel(ctx)
+	if mayRetry && j.Route.Repeatable() && j.Route.Target > 0 {
 		cancel()
-		wait := time.Duration(float64(j.Route.Target) * attemptTimeoutShare)
-		sctx, cancel = context.WithTimeoutCause(ctx, wait, errAttemptTimeout)
+		timeout := time.Duration(float64(j.Route.Target) * attemptTimeoutShare)
+		attemptCtx, cancel = context.WithTimeoutCause(ctx, timeout, errAttemptTimeout)
 	}
 	defer cancel()
 	var reply call.Reply
@@ -174,33 +179,33 @@
 		o.MaxIdle = maxIdleAtMostOnce
 	}
 	req := f.Codec.NewRequest(j.Request, call.SendOptions{Server: server, Timeout: j.Remaining(), Team: j.Team, Priority: j.Priority})
-	answer, err := f.Pool.Do(sctx, server.Address, req, o)
+	resp, err := f.Pool.Do(attemptCtx, server.Address, req, o)
 	if err != nil {
 		return attempt{err: fault.As(err)}
 	}
-	a := attempt{reply: reply, header: answer.Header}
-	a.body, err = io.ReadAll(io.LimitReader(answer, maxBufferedBody))
+	a := attempt{reply: reply, header: resp.Header}
+	a.body, err = io.ReadAll(io.LimitReader(resp, maxBufferedBody))
 	if err != nil {
-		answer.Close()
+		resp.Close()
 		a.err = &fault.Error{Code: fault.BrokenAnswer, Verdict: fault.MayHaveRun, Message: "the answer broke off", Server: server.ID, Cause: err}
 		return a
 	}
 	if len(a.body) == maxBufferedBody && j.Route.Kind != route.Idempotent {
-		a.rest = answer
+		a.rest = resp
 	} else if len(a.body) == maxBufferedBody {
-		a.err = &fault.Error{Code: fault.BrokenAnswer, Verdict: fault.MayHaveRun, Message: "the answer is too large", Server: server.ID}
-		answer.Close()
+		a.err = &fault.Error{Code: fault.BrokenAnswer, Verdict: fault.MayHaveRun, Message: "response body too large to buffer", Server: server.ID}
+		resp.Close()
 		return a
 	} else {
-		answer.Close()
+		resp.Close()
 	}
 	if reply.NotRun {
-		a.err = &fault.Error{Code: fault.ServerRefused, Verdict: fault.NotRun, Message: "the backend server refused", Server: server.ID, RetryAfter: refusalRetryAfter}
+		a.err = &fault.Error{Code: fault.ServerRefused, Verdict: fault.NotRun, Message: "backend server refused the request", Server: server.ID, RetryAfter: refusalRetryAfter}
 	}
 	return a
 }
 
-// connectTimeout bounds the time to connect for a route; zero means the default.
+// connectTimeout returns the connect timeout for a route; zero means the default.
 func connectTimeout(r *route.Route) time.Duration {
 	if r.Target <= 0 {
 		return 0
@@ -208,14 +213,15 @@
 	return max(minConnectTimeout, time.Duration(connectTimeoutShare*float64(r.Target)))
 }
 
-var errAttemptTimeout = errors.New("silent for too long")
+var errAttemptTimeout = errors.New("no response within the attempt timeout")
 
-// writeResponse gives the caller an answer.
+// writeResponse writes a backend server's response to the caller.
 func (f *Forwarder) writeResponse(w http.ResponseWriter, out call.Outcome, j *call.Job, a attempt) call.Outcome {
 	out.Server = a.server
 	if call.StatusMeansNotRun(a.reply.Status) {
-		// This server did not say that the request had not run.
-		e := &fault.Error{Code: fault.ServerFailed, Verdict: fault.MayHaveRun, Message: "the backend server failed", Server: out.Server}
+		// The status would promise that the request did not run, which the server did
+		// not confirm.
+		e := &fault.Error{Code: fault.ServerFailed, Verdict: fault.MayHaveRun, Message: "backend server failed", Server: out.Server}
 		out.Error = e
 		out.Status = call.WriteError(w, f.Codec, e)
 		return out
