--- a/entry/conns/conns.go
+++ b/entry/conns/conns.go
@@ -1,13 +1,13 @@
-// Package line sends requests to backend servers over kept connections.
+// Package conns keeps a pool of connections to backend servers.
 //
-// It is built on net/http's reading and writing of messages, not on its
-// client: that one sends some requests again by itself when a kept connection
-// turns out closed, and a request that may run once would run twice. Here a
-// request is written once, and an error says whether any of it was written.
+// It builds on net/http's reading and writing of messages but not on its client,
+// which resends some requests when a reused connection turns out to be closed, so
+// that an at-most-once request could run twice. Here a request is written once, and
+// an error says whether any of it was written.
 //
-// A backend server may send a second answer late, where the next one is
-// expected on the same connection. An answer that belongs to another request
-// is read past, and a connection with bytes beyond an answer is not kept.
+// A backend server may send a second, late response where the next one is expected on
+// the same connection. A response to another request is skipped, and a connection
+// with bytes after a response is not reused.
 package conns
 
 import (
@@ -25,31 +25,33 @@
 	"fuchsiashelf.dev/parts/fault"
 )
 
-// The times of connections.
+// Timeouts and limits.
 const (
-	// dialTimeout bounds the making of a connection. It takes a millisecond; a
-	// lost opening packet is sent again after a second, by when another server
-	// serves sooner.
+	// dialTimeout limits the time to connect, which usually takes a millisecond. A
+	// lost SYN is retransmitted after a second; by then another server can respond.
 	dialTimeout = 600 * time.Millisecond
-	// userTimeout is how long sent bytes may stay unconfirmed before the kernel
-	// gives the connection up. A network partition sends no reset.
+	// userTimeout is how long sent bytes may stay unacknowledged before the kernel
+	// closes the connection. A network partition sends no reset.
 	userTimeout = 1500 * time.Millisecond
-	// defaultIdleTimeout is how long a connection is kept unused if the backend server
-	// does not say.
+	// defaultIdleTimeout is the idle timeout of a backend server that does not
+	// announce one.
 	defaultIdleTimeout = 4 * time.Second
-	// idleTimeoutShare is the part of the told time for which one is reused, so that
-	// a request does not cross the backend server's close.
+	// idleTimeoutShare is the part of the server's idle timeout for which a
+	// connection is reused, so that a request is not sent while the server closes it.
 	idleTimeoutShare = 0.7
-	// maxSkipped bounds the answers to other requests that are read past.
-	maxSkipped = 3
+	// maxResponses limits the responses that are read for one request: interim
+	// responses and those to other requests are skipped.
+	maxResponses = 3
 )
 
-// Pool keeps connections to backend servers. The zero value is ready.
+// Pool keeps idle connections to backend servers. The zero value is ready to use.
 type Pool struct {
 	mu   sync.Mutex
 	idle map[string][]*conn
 }
 
+// conn is a connection to a backend server. expires and idleSince are set when it
+// becomes idle.
 type conn struct {
 	net.Conn
 	br        *bufio.Reader
@@ -57,17 +59,17 @@
 	idleSince time.Time
 }
 
-// ResponseInfo is what a caller of the pool reads of an answer's header.
+// ResponseInfo is what the caller of a Pool reads from a response header.
 type ResponseInfo struct {
-	// OtherRequest says that the answer belongs to another request.
+	// OtherRequest says that the response belongs to another request.
 	OtherRequest bool
-	// Close says that the connection must not be used again, Idle for how long
-	// it may be kept.
-	Close       bool
+	// Close says that the connection must not be reused.
+	Close bool
+	// IdleTimeout is how long the server keeps an idle connection; zero if unknown.
 	IdleTimeout time.Duration
 }
 
-// Response is an answer whose header has been read.
+// Response is a response whose header has been read.
 type Response struct {
 	*http.Response
 	pool    *Pool
@@ -79,30 +81,30 @@
 	once    sync.Once
 }
 
-// Options of one request.
+// Options holds the options of one request.
 type Options struct {
-	// MaxIdle is how long ago a kept connection must have been used at most.
-	// Zero permits any. One that has been closed meanwhile leaves open whether
-	// the request ran.
+	// MaxIdle limits how long a reused connection has been idle; zero means no limit.
+	// If the server has closed a reused connection, it is unknown whether the request
+	// ran.
 	MaxIdle time.Duration
-	// NewConn asks for a new connection.
+	// NewConn forces a new connection.
 	NewConn bool
-	// DialTimeout bounds the time to connect; zero means dialTime.
+	// DialTimeout limits the time to connect; zero means dialTimeout.
 	DialTimeout time.Duration
-	// Inspect reads an answer's header.
+	// Inspect reads a response header.
 	Inspect func(*http.Response) ResponseInfo
 }
 
-// Do writes a request and reads the header of its answer. The context ends the
-// answer too: its connection is closed then. An error is a *fault.Error:
-// NotRun if nothing was written.
+// Do writes a request and reads the header of the response. The end of the context
+// also ends the response by closing its connection. An error is a *fault.Error, whose
+// verdict is NotRun if nothing was written.
 func (p *Pool) Do(ctx context.Context, address string, req *http.Request, o Options) (*Response, error) {
 	c, err := p.get(ctx, address, o)
 	if err != nil {
 		return nil, &fault.Error{Code: fault.ServerFailed, Verdict: fault.NotRun, Message: "no connection", Server: address, Cause: err}
 	}
 	stop := context.AfterFunc(ctx, func() { c.Close() })
-	a, err := p.exchange(c, req, o)
+	resp, err := p.exchange(c, req, o)
 	if err != nil {
 		stop()
 		c.Close()
@@ -111,12 +113,13 @@
 		}
 		return nil, &fault.Error{Code: fault.ServerFailed, Verdict: fault.MayHaveRun, Message: "no answer", Server: address, Cause: err}
 	}
-	a.pool, a.address, a.stop = p, address, stop
-	return a, nil
+	resp.pool, resp.address, resp.stop = p, address, stop
+	return resp, nil
 }
 
+// exchange writes a request and reads up to the header of its response.
 func (p *Pool) exchange(c *conn, req *http.Request, o Options) (*Response, error) {
-	// One write for header and body: two would be two packets.
+	// Header and body are written at once, to be sent in one packet if they fit.
 	bw := bufio.NewWriterSize(c.Conn, 2048+int(min(req.ContentLength, 32<<10)))
 	if err := req.Write(bw); err != nil {
 		return nil, err
@@ -124,7 +127,7 @@
 	if err := bw.Flush(); err != nil {
 		return nil, err
 	}
-	for range maxSkipped {
+	for range maxResponses {
 		resp, err := http.ReadResponse(c.br, req)
 		if err != nil {
 			return nil, err
@@ -132,9 +135,9 @@
 		if resp.StatusCode < http.StatusOK {
 			continue
 		}
-		head := o.Inspect(resp)
-		if !head.OtherRequest {
-			return &Response{Response: resp, conn: c, info: head}, nil
+		info := o.Inspect(resp)
+		if !info.OtherRequest {
+			return &Response{Response: resp, conn: c, info: info}, nil
 		}
 		if _, err := io.Copy(io.Discard, resp.Body); err != nil {
 			return nil, err
@@ -143,38 +146,39 @@
 			return nil, io.ErrUnexpectedEOF
 		}
 	}
-	return nil, errors.New("only answers to other requests")
+	return nil, errors.New("received only responses to other requests")
 }
 
-// Read reads the body. It notes the end, after which the connection may be
-// kept.
-func (a *Response) Read(b []byte) (int, error) {
-	n, err := a.Body.Read(b)
+// Read reads the body. It notes the end, after which the connection may be reused.
+func (r *Response) Read(b []byte) (int, error) {
+	n, err := r.Body.Read(b)
 	if err == io.EOF {
-		a.eof = true
+		r.eof = true
 	}
 	return n, err
 }
 
-// Close gives the connection back if the answer was read to its end, and
-// closes it otherwise, which tells the backend server to stop.
-func (a *Response) Close() {
-	a.once.Do(func() {
-		alive := a.stop()
-		keep := alive && a.eof && !a.Response.Close && !a.info.Close && a.conn.br.Buffered() == 0
-		if !keep {
-			a.conn.Close()
+// Close returns the connection to the pool if the body was read to its end. Otherwise
+// it closes the connection, which tells the backend server to stop.
+func (r *Response) Close() {
+	r.once.Do(func() {
+		open := r.stop()
+		reuse := open && r.eof && !r.Response.Close && !r.info.Close && r.conn.br.Buffered() == 0
+		if !reuse {
+			r.conn.Close()
 			return
 		}
-		a.pool.put(a.address, a.conn, a.info.IdleTimeout)
+		r.pool.put(r.address, r.conn, r.info.IdleTimeout)
 	})
 }
 
-// Reset closes the connection while another goroutine may be reading from it.
-func (a *Response) Reset() {
-	a.conn.Close()
+// Reset closes the connection. It may be called while another goroutine is reading
+// from it.
+func (r *Response) Reset() {
+	r.conn.Close()
 }
 
+// get returns a reusable idle connection or dials a new one.
 func (p *Pool) get(ctx context.Context, address string, o Options) (*conn, error) {
 	now := time.Now()
 	for !o.NewConn {
@@ -191,6 +195,7 @@
 	return dial(ctx, address, cmp.Or(o.DialTimeout, dialTimeout))
 }
 
+// pop removes the most recently used idle connection to an address and returns it.
 func (p *Pool) pop(address string) *conn {
 	p.mu.Lock()
 	defer p.mu.Unlock()
@@ -203,6 +208,7 @@
 	return c
 }
 
+// put adds an idle connection.
 func (p *Pool) put(address string, c *conn, idle time.Duration) {
 	if idle <= 0 {
 		idle = defaultIdleTimeout
@@ -217,8 +223,8 @@
 	p.idle[address] = append(p.idle[address], c)
 }
 
-// CloseIdle closes the kept connections to an address, for example because the
-// server there fell silent.
+// CloseIdle closes the idle connections to an address, for example because the server
+// there does not respond.
 func (p *Pool) CloseIdle(address string) {
 	p.mu.Lock()
 	list := p.idle[address]
@@ -229,15 +235,15 @@
 	}
 }
 
-// CloseExpired closes the connections that are kept beyond their time.
+// CloseExpired closes the connections that have been idle for too long.
 func (p *Pool) CloseExpired(now time.Time) {
-	var old []*conn
+	var expired []*conn
 	p.mu.Lock()
 	for address, list := range p.idle {
 		var kept []*conn
 		for _, c := range list {
 			if now.After(c.expires) {
-				old = append(old, c)
+				expired = append(expired, c)
 				continue
 			}
 			kept = append(kept, c)
@@ -248,13 +254,13 @@
 		}
 	}
 	p.mu.Unlock()
-	for _, c := range old {
+	for _, c := range expired {
 		c.Close()
 	}
 }
 
-func dial(ctx context.Context, address string, bound time.Duration) (*conn, error) {
-	d := net.Dialer{Timeout: bound, KeepAlive: -1, Control: SetUserTimeout}
+func dial(ctx context.Context, address string, timeout time.Duration) (*conn, error) {
+	d := net.Dialer{Timeout: timeout, KeepAlive: -1, Control: SetUserTimeout}
 	c, err := d.DialContext(ctx, "tcp", address)
 	if err != nil {
 		return nil, err
@@ -262,21 +268,21 @@
 	return &conn{Conn: c, br: bufio.NewReader(c)}, nil
 }
 
-// tcpUserTimeout is TCP_USER_TIMEOUT, which the standard library does not name
-// on all systems.
+// tcpUserTimeout is TCP_USER_TIMEOUT, which the standard library does not define on
+// all systems.
 const tcpUserTimeout = 0x12
 
-// SetUserTimeout makes the kernel give up a connection whose sent bytes stay
-// unconfirmed, for [net.Dialer.Control].
+// SetUserTimeout makes the kernel close a connection whose sent bytes stay
+// unacknowledged for userTimeout. It is meant for [net.Dialer.Control].
 func SetUserTimeout(_, _ string, raw syscall.RawConn) error {
-	var failed error
+	var optErr error
 	err := raw.Control(func(fd uintptr) {
-		failed = syscall.SetsockoptInt(int(fd), syscall.IPPROTO_TCP, tcpUserTimeout, int(userTimeout.Milliseconds()))
+		optErr = syscall.SetsockoptInt(int(fd), syscall.IPPROTO_TCP, tcpUserTimeout, int(userTimeout.Milliseconds()))
 	})
-	return errors.Join(err, failed)
+	return errors.Join(err, optErr)
 }
 
-// reusable reports whether a kept connection is open and holds no unread bytes.
+// reusable reports whether an idle connection is open and has no unread bytes.
 func reusable(c net.Conn) bool {
 	sc, ok := c.(syscall.Conn)
 	if !ok {
--- a/entry/conns/dial_test.go
+++ b/entry/conns/dial_test.go
@@ -15,9 +15,9 @@
 	"fuchsiashelf.dev/parts/fault"
 )
 
-// deaf returns an address that takes no more connections and refuses none, as one
-// behind a partition.
-func deaf(t *testing.T) string {
+// unresponsiveAddress returns an address that neither accepts nor refuses
+// connections, like one behind a partition.
+func unresponsiveAddress(t *testing.T) string {
 	fd, err := syscall.Socket(syscall.AF_INET, syscall.SOCK_STREAM, 0)
 	qt.Assert(t, err, qt.IsNil)
 	t.Cleanup(func() { qt.Check(t, syscall.Close(fd), qt.IsNil) })
@@ -32,15 +32,15 @@
 	return address
 }
 
-// Guards against a short call that waits for most of its time for a server which
-// does not accept connections, while another one would.
-func TestConnectionIsWaitedForAsLongAsAsked(t *testing.T) {
-	address := deaf(t)
+// Guards against a short call that spends most of its time on connecting to an
+// unresponsive server while another would respond.
+func TestDialTimeout(t *testing.T) {
+	addr := unresponsiveAddress(t)
 	ctx, cancel := context.WithTimeout(t.Context(), 550*time.Millisecond)
 	defer cancel()
-	req, err := http.NewRequest(http.MethodGet, "http://"+address+"/", nil)
+	req, err := http.NewRequest(http.MethodGet, "http://"+addr+"/", nil)
 	qt.Assert(t, err, qt.IsNil)
-	_, err = (&conns.Pool{}).Do(ctx, address, req, conns.Options{DialTimeout: 20 * time.Millisecond})
+	_, err = (&conns.Pool{}).Do(ctx, addr, req, conns.Options{DialTimeout: 20 * time.Millisecond})
 	qt.Assert(t, fault.As(err).Verdict, qt.Equals, fault.NotRun)
 	qt.Assert(t, ctx.Err(), qt.IsNil)
 }
