--- a/entry/front/front.go
+++ b/entry/front/front.go
@@ -1,10 +1,9 @@
-// Package front serves callers over HTTP: it finds out where a request
-// belongs, refuses what may not pass, and hands the rest to a flow.
+// Package front serves callers over HTTP: it finds the route of a request, rejects
+// requests that may not be served, and passes the others to a forwarder.
 //
-// It runs on net/http, not on hertz: a caller that leaves while its answer is
-// awaited must be noticed at once, so that backend servers stop working for
-// nobody, and hertz does so only on its own transport, which polls descriptors
-// in ways that small hosts do not allow.
+// It runs on net/http rather than hertz: backend servers must stop working as soon as
+// the caller disconnects. Hertz notices that only on its own transport, which polls
+// descriptors in ways that small hosts do not allow.
 package front
 
 import (
@@ -24,12 +23,12 @@
 	"fuchsiashelf.dev/parts/route"
 )
 
-// Forwarder passes a request on and answers the caller.
+// Forwarder forwards a request and writes the response to the caller.
 type Forwarder interface {
 	Serve(ctx context.Context, w http.ResponseWriter, j *call.Job) call.Outcome
 }
 
-// Handler answers callers. Set the exported fields before use.
+// Handler serves callers. Set the exported fields before use.
 type Handler struct {
 	Codec call.Codec
 	State *state.Local
@@ -37,27 +36,28 @@
 	Streams, Plain Forwarder
 	Log            *slog.Logger
 	Meter          *Meter
-	// Tally holds the requests under which servers died.
+	// Tally counts the crashes of servers per request.
 	Tally *poison.Counter
-	// CloseConns says that the process is about to end: connections are closed
-	// after their answers.
+	// CloseConns is set when the process is about to stop: connections are closed
+	// after their responses.
 	CloseConns atomic.Bool
-	// RefuseStreams says that the process ends before a stream that comes now would:
-	// it is refused, so that its caller goes elsewhere at once instead of being
-	// cut off in the midst of its answer. RefuseAll says the same of all requests.
+	// RefuseStreams is set when a new stream would not end before the process stops:
+	// it is refused, so that its caller goes to another entry host at once instead of
+	// being cut off in the middle of the response. RefuseAll does the same for all
+	// requests.
 	RefuseStreams, RefuseAll atomic.Bool
-	// RetryAfter returns when a caller that was refused for that reason should
-	// come again: when another entry host is likely to take it.
+	// RetryAfter returns the retryAfter of such a refusal: when another entry host is
+	// likely to accept the caller.
 	RetryAfter func() time.Duration
 
 	active atomic.Int64
 }
 
-// maxRequestTime bounds requests of which neither caller nor route says how long
-// they may take.
+// maxRequestTime limits requests for which neither the caller nor the route sets a
+// timeout.
 const maxRequestTime = 10 * time.Minute
 
-// Active returns the number of requests under way.
+// Active returns the number of requests in progress.
 func (h *Handler) Active() int64 {
 	return h.active.Load()
 }
@@ -77,22 +77,23 @@
 		h.record(j, r, out, start)
 		return
 	}
-	flow := h.Plain
+	forwarder := h.Plain
 	if j.Service.Engine != nil {
-		flow = h.Streams
+		forwarder = h.Streams
 	}
-	out := flow.Serve(r.Context(), w, j)
+	out := forwarder.Serve(r.Context(), w, j)
 	if out.Error == nil && !out.Truncated {
 		h.Tally.RecordSuccess(j.Fingerprint, time.Now())
 	}
 	h.record(j, r, out, start)
 	if out.Truncated {
-		// The connection is closed, so that a half answer looks like one.
+		// The connection is closed, so that the caller notices the truncated
+		// response.
 		panic(http.ErrAbortHandler)
 	}
 }
 
-// newJob reads a request and finds out where it belongs.
+// newJob reads a request and finds its route, team and service.
 func (h *Handler) newJob(w http.ResponseWriter, r *http.Request, start time.Time) (*call.Job, error) {
 	if h.RefuseAll.Load() {
 		return nil, h.draining()
@@ -101,17 +102,17 @@
 	if table == nil {
 		return nil, &fault.Error{Code: fault.NoServer, Verdict: fault.NotRun, Message: "no configuration is known yet", RetryAfter: time.Second}
 	}
-	ask, err := h.Codec.ParseRequest(r)
+	req, err := h.Codec.ParseRequest(r)
 	if err != nil {
 		return nil, err
 	}
-	matched := table.Match(ask.Host, ask.Path)
+	matched := table.Match(req.Host, req.Path)
 	if matched == nil {
 		return nil, &fault.Error{Code: fault.NoRoute, Verdict: fault.NotRun, Message: "no route"}
 	}
-	j := &call.Job{Request: ask, Route: matched, Version: table.Version, Priority: matched.Priority}
+	j := &call.Job{Request: req, Route: matched, Version: table.Version, Priority: matched.Priority}
 	if table.NeedsKey(matched) {
-		team := table.Team(ask.Key)
+		team := table.Team(req.Key)
 		if team == nil {
 			return nil, &fault.Error{Code: fault.Unauthorized, Verdict: fault.NotRun, Message: "unknown key"}
 		}
@@ -119,72 +120,73 @@
 	}
 	service, known := table.Services[matched.ServiceFor(rand.Float64())]
 	if !known {
-		return nil, &fault.Error{Code: fault.NoServer, Verdict: fault.NotRun, Message: "the route's service is unknown", RetryAfter: time.Second}
+		return nil, &fault.Error{Code: fault.NoServer, Verdict: fault.NotRun, Message: "service of the route does not exist", RetryAfter: time.Second}
 	}
 	j.Service = &service
 	if service.Engine != nil && h.RefuseStreams.Load() {
 		return j, h.draining()
 	}
-	j.Deadline = start.Add(requestTimeout(ask, matched))
-	ask.Body, err = readBody(w, r, table.Limits, j.Deadline)
-	ask.Arrived = start
+	j.Deadline = start.Add(requestTimeout(req, matched))
+	req.Body, err = readBody(w, r, table.Limits, j.Deadline)
+	req.Arrived = start
 	if err != nil {
 		return j, err
 	}
-	j.Fingerprint = poison.NewFingerprint(j.Team, ask.Method, ask.Host, ask.Target, string(ask.Body))
+	j.Fingerprint = poison.NewFingerprint(j.Team, req.Method, req.Host, req.Target, string(req.Body))
 	if h.Tally.Blocked(j.Fingerprint, start) {
-		return j, &fault.Error{Code: fault.ServerFailed, Verdict: fault.MayHaveRun, Message: "each server that ran the request died"}
+		return j, &fault.Error{Code: fault.ServerFailed, Verdict: fault.MayHaveRun, Message: "every backend server that ran the request crashed"}
 	}
 	return j, nil
 }
 
-// draining refuses a request that this process would not live to answer.
+// draining returns the refusal of a request that could not end before this process
+// stops.
 func (h *Handler) draining() *fault.Error {
 	return &fault.Error{Code: fault.Draining, Verdict: fault.NotRun, Message: "this entry host ends", RetryAfter: h.RetryAfter()}
 }
 
-func requestTimeout(a *call.Request, r *route.Route) time.Duration {
-	wait := maxRequestTime
-	if a.Timeout > 0 {
-		wait = min(wait, a.Timeout)
+// requestTimeout returns the timeout of a request.
+func requestTimeout(req *call.Request, r *route.Route) time.Duration {
+	timeout := maxRequestTime
+	if req.Timeout > 0 {
+		timeout = min(timeout, req.Timeout)
 	}
 	if r.Timeout > 0 {
-		wait = min(wait, r.Timeout)
+		timeout = min(timeout, r.Timeout)
 	}
-	return wait
+	return timeout
 }
 
-// readBody reads a request's readBody, which a caller may send slowly, but not beyond
-// the request's time.
-func readBody(w http.ResponseWriter, r *http.Request, limits route.Limits, until time.Time) ([]byte, error) {
+// readBody reads a request body. A caller may send it slowly, but not beyond the
+// deadline of the request.
+func readBody(w http.ResponseWriter, r *http.Request, limits route.Limits, deadline time.Time) ([]byte, error) {
 	if r.ContentLength == 0 {
 		return nil, nil
 	}
 	control := http.NewResponseController(w)
-	if err := control.SetReadDeadline(until); err != nil {
+	if err := control.SetReadDeadline(deadline); err != nil {
 		return nil, &fault.Error{Code: fault.Internal, Verdict: fault.NotRun, Cause: err}
 	}
-	from := io.Reader(r.Body)
+	src := io.Reader(r.Body)
 	if limits.BodyBytes > 0 {
-		from = http.MaxBytesReader(w, r.Body, int64(limits.BodyBytes))
+		src = http.MaxBytesReader(w, r.Body, int64(limits.BodyBytes))
 	}
-	read, err := io.ReadAll(from)
-	var large *http.MaxBytesError
-	if errors.As(err, &large) {
-		return nil, &fault.Error{Code: fault.TooLarge, Verdict: fault.NotRun, Message: "the body is too large"}
+	data, err := io.ReadAll(src)
+	var tooLarge *http.MaxBytesError
+	if errors.As(err, &tooLarge) {
+		return nil, &fault.Error{Code: fault.TooLarge, Verdict: fault.NotRun, Message: "request body too large"}
 	}
 	if err != nil {
-		return nil, &fault.Error{Code: fault.BadRequest, Verdict: fault.NotRun, Message: "the body could not be read", Cause: err}
+		return nil, &fault.Error{Code: fault.BadRequest, Verdict: fault.NotRun, Message: "reading request body failed", Cause: err}
 	}
 	if err := control.SetReadDeadline(time.Time{}); err != nil {
 		return nil, &fault.Error{Code: fault.Internal, Verdict: fault.NotRun, Cause: err}
 	}
-	return read, nil
+	return data, nil
 }
 
-// record counts a request and logs how it ended. Plain successes have a line of
-// their own kind, so that the bound on the lines of a kind never hides a
-// failure behind them.
+// record counts a request and logs its outcome. Ordinary successes have a message of
+// their own, so that the limit on log lines per message never suppresses a failure.
 func (h *Handler) record(j *call.Job, r *http.Request, out call.Outcome, start time.Time) {
 	took := time.Since(start)
 	h.Meter.record(j, out, took)
@@ -209,14 +211,14 @@
 	h.Log.Info("request: ended", attrs...)
 }
 
-// What may be late of an answer, as logs name it.
+// Values of the log attribute "late".
 const (
 	onTime    = "no"
 	lateFirst = "first"
 	lateGap   = "pause"
 )
 
-// lateness says what of an answer was later than its route's objectives.
+// lateness returns which objective of its route a response missed.
 func lateness(j *call.Job, out call.Outcome) string {
 	switch {
 	case j == nil:
@@ -229,8 +231,7 @@
 	return onTime
 }
 
-// exceeds reports whether a time is beyond what counts as on time, if anything
-// does.
+// exceeds reports whether a duration exceeds its target; zero means no target.
 func exceeds(took, target time.Duration) bool {
 	return target > 0 && took > target
 }
--- a/entry/front/meter.go
+++ b/entry/front/meter.go
@@ -10,15 +10,16 @@
 	"fuchsiashelf.dev/entry/call"
 )
 
-// Meter counts requests by outcome, and keeps their times by route kind.
+// Meter counts requests by outcome and records their durations by route kind.
 type Meter struct {
 	// Registry holds the counters and histograms.
 	Registry metrics.Registry
 }
 
-// sampleSize is how many times of each histogram are kept.
+// sampleSize is the number of durations kept per histogram.
 const sampleSize = 512
 
+// record counts a request and records its durations.
 func (m *Meter) record(j *call.Job, out call.Outcome, took time.Duration) {
 	m.Count("requests." + outcome(out))
 	if j == nil {
@@ -35,7 +36,7 @@
 	}
 }
 
-// Count adds one to a counter.
+// Count increments a counter.
 func (m *Meter) Count(name string) {
 	metrics.GetOrRegisterCounter(name, m.Registry).Inc(1)
 }
@@ -45,6 +46,7 @@
 	metrics.GetOrRegisterGauge(name, m.Registry).Update(value)
 }
 
+// observe adds a duration to a histogram.
 func (m *Meter) observe(name string, d time.Duration) {
 	h := m.Registry.GetOrRegister(name, func() metrics.Histogram {
 		return metrics.NewHistogram(metrics.NewUniformSample(sampleSize))
@@ -54,6 +56,7 @@
 	}
 }
 
+// outcome returns the name of an outcome in the metrics.
 func outcome(out call.Outcome) string {
 	switch {
 	case out.Truncated:
@@ -66,7 +69,7 @@
 	return fmt.Sprintf("status-%d", out.Status)
 }
 
-// Write prints all counters and histograms as text, a line each.
+// Write writes all metrics as text, one per line.
 func (m *Meter) Write(w io.Writer) {
 	m.Registry.Each(func(name string, item any) {
 		switch item := item.(type) {
--- a/entry/front/server.go
+++ b/entry/front/server.go
@@ -13,17 +13,16 @@
 	"fuchsiashelf.dev/parts/route"
 )
 
-// idleGrace is how much longer than the configuration says an unused
-// connection is kept: a caller that reuses one in time must not find it closed.
+// idleGrace is how much longer than configured an idle connection is kept, so that a
+// caller that reuses it in time does not find it closed.
 const idleGrace = 2 * time.Second
 
-// defaultLimits hold until the first configuration is known.
+// defaultLimits apply until the first configuration is known.
 var defaultLimits = route.Limits{HeaderBytes: 16 << 10, HeaderTime: 3 * time.Second, Idle: 15 * time.Second}
 
-// Server accepts callers' connections. Limits on headers can change while it
-// runs: each change begins a new http.Server for the connections to come, and
-// connections that are open keep the limits that they began with, but for the
-// time that they may stay unused.
+// Server accepts callers' connections. The limits can change while it runs: each
+// change of a header limit starts a new http.Server for new connections. Open
+// connections keep their header limits, but the new idle timeout applies to them too.
 type Server struct {
 	Listener net.Listener
 	Handler  http.Handler
@@ -32,12 +31,12 @@
 	mu       sync.Mutex
 	limits   route.Limits
 	servers  []*http.Server
-	listener *chanListener
+	accepted *chanListener
 	idle     map[net.Conn]time.Time
 	stopped  bool
 }
 
-// Run accepts connections until Stop.
+// Run accepts connections until Stop is called.
 func (s *Server) Run() {
 	s.SetLimits(defaultLimits)
 	for {
@@ -46,50 +45,52 @@
 			return
 		}
 		if err != nil {
-			s.Log.Error("front: a connection was not accepted", "error", err)
+			s.Log.Error("front: accepting a connection failed", "error", err)
 			time.Sleep(acceptBackoff)
 			continue
 		}
 		s.mu.Lock()
-		q := s.listener
+		l := s.accepted
 		s.mu.Unlock()
-		q.conns <- c
+		l.conns <- c
 	}
 }
 
-// acceptBackoff follows a failed accept, for want of descriptors for example.
+// acceptBackoff is the pause after a failed accept, for example for lack of file
+// descriptors.
 const acceptBackoff = 20 * time.Millisecond
 
-// SetLimits puts limits in force.
+// SetLimits applies new limits.
 func (s *Server) SetLimits(l route.Limits) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
-	same := s.listener != nil && l.HeaderBytes == s.limits.HeaderBytes && l.HeaderTime == s.limits.HeaderTime
+	unchanged := s.accepted != nil && l.HeaderBytes == s.limits.HeaderBytes && l.HeaderTime == s.limits.HeaderTime
 	s.limits = l
-	if same || s.stopped {
+	if unchanged || s.stopped {
 		return
 	}
-	s.listener = &chanListener{conns: make(chan net.Conn), address: s.Listener.Addr()}
+	s.accepted = &chanListener{conns: make(chan net.Conn), address: s.Listener.Addr()}
 	server := &http.Server{
 		Handler: s.Handler, ReadHeaderTimeout: l.HeaderTime, MaxHeaderBytes: l.HeaderBytes,
 		ConnState: s.trackIdle, ErrorLog: log.New(discard{}, "", 0),
 	}
 	s.servers = append(s.servers, server)
-	go s.serve(server, s.listener)
+	go s.serve(server, s.accepted)
 }
 
-func (s *Server) serve(server *http.Server, q *chanListener) {
-	if err := server.Serve(q); !errors.Is(err, http.ErrServerClosed) {
-		s.Log.Error("front: a server ended", "error", err)
+func (s *Server) serve(server *http.Server, l *chanListener) {
+	if err := server.Serve(l); !errors.Is(err, http.ErrServerClosed) {
+		s.Log.Error("front: HTTP server stopped", "error", err)
 	}
 }
 
-// discard takes net/http's own log: it tells of callers' broken connections,
-// which the request log covers.
+// discard drops net/http's own log, which reports callers' broken connections: the
+// request log covers them.
 type discard struct{}
 
 func (discard) Write(b []byte) (int, error) { return len(b), nil }
 
+// trackIdle records since when a connection has been idle.
 func (s *Server) trackIdle(c net.Conn, state http.ConnState) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
@@ -103,8 +104,7 @@
 	delete(s.idle, c)
 }
 
-// Sweep closes connections that have been unused for longer than the limits
-// in force allow.
+// Sweep closes connections that have been idle for longer than the limits allow.
 func (s *Server) Sweep(now time.Time) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
@@ -118,24 +118,23 @@
 	}
 }
 
-// Stop closes the listener and waits for the requests under way until the
-// context ends.
+// Stop closes the listener and waits for requests in progress until the context ends.
 func (s *Server) Stop(ctx context.Context) {
 	s.mu.Lock()
 	s.stopped = true
 	servers := s.servers
 	s.mu.Unlock()
 	if err := s.Listener.Close(); err != nil {
-		s.Log.Error("front: the listener did not close", "error", err)
+		s.Log.Error("front: closing the listener failed", "error", err)
 	}
 	for _, server := range servers {
 		if err := server.Shutdown(ctx); err != nil {
-			s.Log.Warn("front: requests were cut off", "error", err)
+			s.Log.Warn("front: shutdown interrupted requests", "error", err)
 		}
 	}
 }
 
-// chanListener is a listener that hands on accepted connections.
+// chanListener is a net.Listener that returns connections from a channel.
 type chanListener struct {
 	conns   chan net.Conn
 	address net.Addr
@@ -144,30 +143,30 @@
 	mu      sync.Mutex
 }
 
-func (q *chanListener) done() chan struct{} {
-	q.mu.Lock()
-	defer q.mu.Unlock()
-	if q.closed == nil {
-		q.closed = make(chan struct{})
+func (l *chanListener) done() chan struct{} {
+	l.mu.Lock()
+	defer l.mu.Unlock()
+	if l.closed == nil {
+		l.closed = make(chan struct{})
 	}
-	return q.closed
+	return l.closed
 }
 
 // Accept implements net.Listener.
-func (q *chanListener) Accept() (net.Conn, error) {
+func (l *chanListener) Accept() (net.Conn, error) {
 	select {
-	case c := <-q.conns:
+	case c := <-l.conns:
 		return c, nil
-	case <-q.done():
+	case <-l.done():
 		return nil, net.ErrClosed
 	}
 }
 
 // Close implements net.Listener.
-func (q *chanListener) Close() error {
-	q.once.Do(func() { close(q.done()) })
+func (l *chanListener) Close() error {
+	l.once.Do(func() { close(l.done()) })
 	return nil
 }
 
 // Addr implements net.Listener.
-func (q *chanListener) Addr() net.Addr { return q.address }
+func (l *chanListener) Addr() net.Addr { return l.address }
