--- a/entry/source/source.go
+++ b/entry/source/source.go
@@ -1,11 +1,10 @@
-// Package source follows the objects of the platform's object API into
-// mirrors.
+// Package source watches objects of the platform's object API and keeps mirrors of
+// them up to date.
 //
-// One watch waits for changes of each kind. A periodic stale read, which costs a
-// tenth of a call, detects a watch that has stopped delivering without an end of
-// its connection. When the read fails, the object API counts as away; when it
-// succeeds again, or shows a change that the watch missed, the watch is
-// restarted.
+// One watch per kind waits for changes. A periodic stale read, which costs a tenth of
+// a call, detects a watch that has stopped delivering although its connection is
+// open. When the read fails, the object API counts as unavailable. When it succeeds
+// again, or shows a change that the watch missed, the watch is restarted.
 package source
 
 import (
@@ -19,215 +18,220 @@
 	"fuchsiashelf.dev/parts/mirror"
 )
 
-// ErrCompacted says that the changes after a revision are no longer known.
-var ErrCompacted = errors.New("source: history is gone")
+// ErrCompacted says that the changes after a revision have been compacted and are no
+// longer available.
+var ErrCompacted = errors.New("source: changes after the revision are compacted")
 
-// Store is the part of the object API that is followed.
+// Store is the part of the object API that is watched.
 type Store interface {
 	// List returns all objects of a kind, and the revision of the list.
 	List(ctx context.Context, kind string) ([]mirror.Object, uint64, error)
-	// Watch returns the changes after a revision as soon as there are any, or
-	// none when the wait ends. It fails with ErrHistory if they are forgotten.
+	// Watch returns the changes after a revision as soon as there are any, or none
+	// when the wait ends. It fails with ErrCompacted if they are no longer available.
 	Watch(ctx context.Context, kind string, after uint64, wait time.Duration) (mirror.Batch, error)
-	// StaleRevision returns the revision of one object, perhaps seconds old.
+	// StaleRevision returns the revision of one object, which may be seconds old.
 	StaleRevision(ctx context.Context, kind, name string) (uint64, error)
 }
 
 // Timeouts and intervals.
 const (
-	// watchSlack is how much longer an answer may take.
+	// watchSlack is how much longer than its wait a watch may take to answer.
 	watchSlack = 500 * time.Millisecond
-	// listTimeout bounds a list: megabytes, for hundreds of entry hosts that start
+	// listTimeout limits a list: megabytes, for hundreds of entry hosts that start
 	// together, over one link.
 	listTimeout = 20 * time.Second
-	// fillCheckInterval is how often a list is checked for being superseded by the
-	// state of other entry hosts.
+	// fillCheckInterval is how often a pending list is checked for being superseded
+	// by the state of other entry hosts.
 	fillCheckInterval = 50 * time.Millisecond
-	// readTimeout bounds a stale read.
+	// readTimeout limits a stale read.
 	readTimeout = 500 * time.Millisecond
-	// readInterval is the interval of the stale reads, and bounds how long a silent
-	// object API goes unnoticed.
+	// readInterval is the interval of the stale reads, and limits how long it goes
+	// unnoticed that the object API does not answer.
 	readInterval = time.Second
-	// passiveReadInterval is the interval while others follow for this entry host: only
-	// followers need to know at once that the object API does not answer.
+	// passiveReadInterval is the interval of a passive entry host: only hosts that
+	// watch need to know at once that the object API does not answer.
 	passiveReadInterval = 4 * time.Second
-	// watchPauseShare of Wait is the pause after a watch that returned changes, so that
-	// a burst of changes costs one call. A backup adds up to backupShare at random:
-	// it usually receives the next change from the main follower.
+	// After a watch that returned changes comes a pause of watchPauseShare of
+	// WatchTimeout, so that a burst of changes costs one call. A backup adds up to
+	// backupJitterShare at random: it usually receives the next change from the
+	// primary.
 	watchPauseShare   = 0.15
 	backupJitterShare = 0.5
-	// backupTimeoutFactor multiplies the wait of a backup's watch. Changes still arrive at
-	// once; only a watch that has stopped delivering is noticed later.
+	// backupTimeoutFactor multiplies the watch timeout of a backup. Changes still
+	// arrive at once; only a watch that has stopped delivering is detected later.
 	backupTimeoutFactor = 3
-	// roleCheckInterval is how often a relying entry host checks its role.
+	// roleCheckInterval is how often a passive entry host checks its role.
 	roleCheckInterval = 200 * time.Millisecond
-	// minBackoff and longestPause bound the exponential backoff after a failed
-	// call.
+	// minBackoff and maxBackoff limit the exponential backoff after a failed call.
 	minBackoff = 100 * time.Millisecond
 	maxBackoff = time.Second
 )
 
-// Role is the part of an entry host in following objects for its failure domain.
+// Role is the part of an entry host in watching objects for its failure domain.
 type Role uint8
 
 // The roles.
 const (
 	// Primary watches and distributes the changes.
 	Primary Role = iota
-	// Backup watches with longer pauses.
+	// Backup watches with longer timeouts and pauses.
 	Backup
-	// Passive makes no calls of its own while others watch.
+	// Passive relies on the changes that others distribute and does not watch.
 	Passive
 )
 
-// Watcher keeps the mirror of one kind up to date. Set the exported fields
-// before Run.
+// Watcher keeps the mirror of one kind up to date. Set the exported fields before
+// Run.
 type Watcher struct {
 	Store  Store
 	Mirror *mirror.Mirror
 	Log    *slog.Logger
 	// OnChange is called after the mirror changed.
 	OnChange func()
-	// WatchTimeout is how long a watch waits. A watch may miss a change that is made while
-	// the object API drops its history, so this bounds how late it is noticed.
+	// WatchTimeout is how long a watch waits for changes. A watch may miss a change
+	// that is made while the object API drops its history, so this limits how late
+	// the change is noticed.
 	WatchTimeout time.Duration
-	// Role returns what this entry host does for its failure domain; nil means
-	// Main.
+	// Role returns the role of this entry host in its failure domain; nil means
+	// Primary.
 	Role func() Role
 
-	mu     sync.Mutex
+	mu sync.Mutex
+	// cancel ends the current watch.
 	cancel context.CancelFunc
 }
 
-// Run follows until the context ends.
-func (f *Watcher) Run(ctx context.Context) {
-	pause := minBackoff
-	again := f.Mirror.Cursor() == 0
+// Run keeps the mirror up to date until the context ends.
+func (w *Watcher) Run(ctx context.Context) {
+	backoff := minBackoff
+	relist := w.Mirror.Cursor() == 0
 	for ctx.Err() == nil {
-		if f.Mirror.Cursor() > 0 && f.role() == Passive {
+		if w.Mirror.Cursor() > 0 && w.role() == Passive {
 			sleep(ctx, roleCheckInterval)
 			continue
 		}
-		err := f.poll(ctx, again)
-		again = errors.Is(err, ErrCompacted) || f.Mirror.Cursor() == 0
+		err := w.poll(ctx, relist)
+		relist = errors.Is(err, ErrCompacted) || w.Mirror.Cursor() == 0
 		if err == nil || errors.Is(err, ErrCompacted) {
-			pause = minBackoff
+			backoff = minBackoff
 			continue
 		}
 		if ctx.Err() != nil {
 			return
 		}
-		f.Log.Warn("store: no answer", "kind", f.Mirror.Kind, "error", err, "pause", pause)
-		sleep(ctx, pause/2+rand.N(pause))
-		pause = min(2*pause, maxBackoff)
+		w.Log.Warn("store: no answer", "kind", w.Mirror.Kind, "error", err, "pause", backoff)
+		sleep(ctx, backoff/2+rand.N(backoff))
+		backoff = min(2*backoff, maxBackoff)
 	}
 }
 
-// Restart cancels the current watch and starts a new one.
-func (f *Watcher) Restart() {
-	f.mu.Lock()
-	defer f.mu.Unlock()
-	if f.cancel != nil {
-		f.cancel()
+// Restart cancels the current watch, so that a new one starts.
+func (w *Watcher) Restart() {
+	w.mu.Lock()
+	defer w.mu.Unlock()
+	if w.cancel != nil {
+		w.cancel()
 	}
 }
 
-func (f *Watcher) poll(ctx context.Context, whole bool) error {
-	if whole {
-		return f.list(ctx)
+// poll lists the objects if relist is set, and watches for changes otherwise.
+func (w *Watcher) poll(ctx context.Context, relist bool) error {
+	if relist {
+		return w.list(ctx)
 	}
-	wait := f.timeout()
-	ctx, cancel := context.WithTimeout(ctx, wait+watchSlack)
+	timeout := w.timeout()
+	ctx, cancel := context.WithTimeout(ctx, timeout+watchSlack)
 	defer cancel()
-	f.mu.Lock()
-	f.cancel = cancel
-	f.mu.Unlock()
-	after := f.Mirror.Cursor()
-	b, err := f.Store.Watch(ctx, f.Mirror.Kind, after, wait)
+	w.mu.Lock()
+	w.cancel = cancel
+	w.mu.Unlock()
+	after := w.Mirror.Cursor()
+	batch, err := w.Store.Watch(ctx, w.Mirror.Kind, after, timeout)
 	if err != nil {
 		if ctx.Err() == context.Canceled {
 			return nil
 		}
 		return err
 	}
-	if f.Mirror.Merge(b) {
-		f.OnChange()
+	if w.Mirror.Merge(batch) {
+		w.OnChange()
 	}
-	if len(b.Items) > 0 {
-		sleep(ctx, f.pause())
+	if len(batch.Items) > 0 {
+		sleep(ctx, w.pause())
 	}
 	return nil
 }
 
 // timeout returns how long a watch waits for changes.
-func (f *Watcher) timeout() time.Duration {
-	if f.role() == Backup {
-		return backupTimeoutFactor * f.WatchTimeout
+func (w *Watcher) timeout() time.Duration {
+	if w.role() == Backup {
+		return backupTimeoutFactor * w.WatchTimeout
 	}
-	return f.WatchTimeout
+	return w.WatchTimeout
 }
 
 // pause returns how long to wait after a watch that returned changes.
-func (f *Watcher) pause() time.Duration {
-	pause := time.Duration(watchPauseShare * float64(f.WatchTimeout))
-	if f.role() == Primary {
+func (w *Watcher) pause() time.Duration {
+	pause := time.Duration(watchPauseShare * float64(w.WatchTimeout))
+	if w.role() == Primary {
 		return pause
 	}
-	return pause + rand.N(time.Duration(backupJitterShare*float64(f.WatchTimeout)))
+	return pause + rand.N(time.Duration(backupJitterShare*float64(w.WatchTimeout)))
 }
 
-func (f *Watcher) role() Role {
-	if f.Role == nil {
+func (w *Watcher) role() Role {
+	if w.Role == nil {
 		return Primary
 	}
-	return f.Role()
+	return w.Role()
 }
 
-func (f *Watcher) list(ctx context.Context) error {
+// list replaces the mirror's objects with a complete list.
+func (w *Watcher) list(ctx context.Context) error {
 	ctx, cancel := context.WithTimeout(ctx, listTimeout)
 	defer cancel()
-	if f.Mirror.Cursor() == 0 {
-		go f.cancelWhenFilled(ctx, cancel)
+	if w.Mirror.Cursor() == 0 {
+		go w.cancelWhenFilled(ctx, cancel)
 	}
-	items, cursor, err := f.Store.List(ctx, f.Mirror.Kind)
-	if err != nil && f.Mirror.Cursor() > 0 && ctx.Err() == context.Canceled {
+	items, cursor, err := w.Store.List(ctx, w.Mirror.Kind)
+	if err != nil && w.Mirror.Cursor() > 0 && ctx.Err() == context.Canceled {
 		return nil
 	}
 	if err != nil {
 		return err
 	}
-	dropped, newer := f.Mirror.Replace(items, cursor)
-	f.Log.Info("store: listed", "kind", f.Mirror.Kind, "objects", len(items), "revision", cursor, "dropped", len(dropped))
+	dropped, newer := w.Mirror.Replace(items, cursor)
+	w.Log.Info("store: listed", "kind", w.Mirror.Kind, "objects", len(items), "revision", cursor, "dropped", len(dropped))
 	if newer {
-		f.OnChange()
+		w.OnChange()
 	}
 	return nil
 }
 
 // cancelWhenFilled cancels a list once other entry hosts have sent the objects.
-func (f *Watcher) cancelWhenFilled(ctx context.Context, end context.CancelFunc) {
+func (w *Watcher) cancelWhenFilled(ctx context.Context, cancel context.CancelFunc) {
 	for ctx.Err() == nil {
-		if f.Mirror.Cursor() > 0 {
-			end()
+		if w.Mirror.Cursor() > 0 {
+			cancel()
 			return
 		}
 		sleep(ctx, fillCheckInterval)
 	}
 }
 
-// Monitor tells whether the object API answers. Set the exported fields before
-// Run.
+// Monitor checks whether the object API answers. Set the exported fields before Run.
 type Monitor struct {
 	Store Store
-	// Kind and Name are the object that is read; Mirror is that of its kind.
+	// Kind and Name identify the object that is read; Mirror is the mirror of its
+	// kind.
 	Kind, Name string
 	Mirror     *mirror.Mirror
 	Watchers   []*Watcher
 	Log        *slog.Logger
 	// OnRecovery is called when the object API answers again.
 	OnRecovery func()
-	// Role returns what this entry host does for its failure domain; nil means
-	// Main.
+	// Role returns the role of this entry host in its failure domain; nil means
+	// Primary.
 	Role func() Role
 
 	mu         sync.Mutex
@@ -235,68 +239,69 @@
 	lastAnswer time.Time
 }
 
-// Alive reports whether the last read was answered, and when the last answer
-// came.
-func (p *Monitor) Alive() (bool, time.Time) {
-	p.mu.Lock()
-	defer p.mu.Unlock()
-	return p.alive, p.lastAnswer
+// Alive reports whether the last read was answered, and when the last answer came.
+func (m *Monitor) Alive() (bool, time.Time) {
+	m.mu.Lock()
+	defer m.mu.Unlock()
+	return m.alive, m.lastAnswer
 }
 
-// Run reads until the context ends.
-func (p *Monitor) Run(ctx context.Context) {
-	p.setAlive(true)
+// Run checks the object API until the context ends.
+func (m *Monitor) Run(ctx context.Context) {
+	m.setAlive(true)
 	var last time.Time
 	for ctx.Err() == nil {
 		sleep(ctx, readInterval)
-		if p.passive() && time.Since(last) < passiveReadInterval {
+		if m.passive() && time.Since(last) < passiveReadInterval {
 			continue
 		}
 		last = time.Now()
-		p.check(ctx)
+		m.check(ctx)
 	}
 }
 
-// passive reports whether others follow for this entry host and the object API
-// answered the last read. In an outage every entry host checks for its end.
-func (p *Monitor) passive() bool {
-	alive, _ := p.Alive()
-	return alive && p.Role != nil && p.Role() == Passive
+// passive reports whether this entry host is passive and the object API answered the
+// last read. In an outage every entry host checks for its end.
+func (m *Monitor) passive() bool {
+	alive, _ := m.Alive()
+	return alive && m.Role != nil && m.Role() == Passive
 }
 
-func (p *Monitor) check(ctx context.Context) {
+// check reads the object and restarts the watches if necessary.
+func (m *Monitor) check(ctx context.Context) {
 	ctx, cancel := context.WithTimeout(ctx, readTimeout)
 	defer cancel()
-	revision, err := p.Store.StaleRevision(ctx, p.Kind, p.Name)
-	was := p.setAlive(err == nil)
+	revision, err := m.Store.StaleRevision(ctx, m.Kind, m.Name)
+	wasAlive := m.setAlive(err == nil)
 	switch {
-	case err != nil && was:
-		p.Log.Warn("store: lost", "error", err)
-	case err == nil && !was:
-		p.Log.Info("store: regained")
-		p.OnRecovery()
-		p.restartWatches()
-	case err == nil && revision > p.Mirror.Cursor():
-		p.Log.Warn("store: a watch missed a change", "revision", revision, "cursor", p.Mirror.Cursor())
-		p.restartWatches()
+	case err != nil && wasAlive:
+		m.Log.Warn("store: lost", "error", err)
+	case err == nil && !wasAlive:
+		m.Log.Info("store: regained")
+		m.OnRecovery()
+		m.restartWatches()
+	case err == nil && revision > m.Mirror.Cursor():
+		m.Log.Warn("store: watch missed a change", "revision", revision, "cursor", m.Mirror.Cursor())
+		m.restartWatches()
 	}
 }
 
-func (p *Monitor) restartWatches() {
-	for _, f := range p.Watchers {
-		f.Restart()
+func (m *Monitor) restartWatches() {
+	for _, w := range m.Watchers {
+		w.Restart()
 	}
 }
 
-func (p *Monitor) setAlive(alive bool) (was bool) {
-	p.mu.Lock()
-	defer p.mu.Unlock()
-	was = p.alive
-	p.alive = alive
+// setAlive records whether a read was answered and returns the previous state.
+func (m *Monitor) setAlive(alive bool) (wasAlive bool) {
+	m.mu.Lock()
+	defer m.mu.Unlock()
+	wasAlive = m.alive
+	m.alive = alive
 	if alive {
-		p.lastAnswer = time.Now()
+		m.lastAnswer = time.Now()
 	}
-	return was
+	return wasAlive
 }
 
 func sleep(ctx context.Context, d time.Duration) {
--- a/entry/source/source_test.go
+++ b/entry/source/source_test.go
@@ -15,12 +15,12 @@
 	"fuchsiashelf.dev/parts/mirror"
 )
 
-// store answers by functions.
+// store implements source.Store with functions.
 type store struct {
 	mu    sync.Mutex
 	list  func() ([]mirror.Object, uint64, error)
 	watch func(ctx context.Context, after uint64) (mirror.Batch, error)
-	peek  func() (uint64, error)
+	read  func() (uint64, error)
 }
 
 func (s *store) List(context.Context, string) ([]mirror.Object, uint64, error) {
@@ -34,31 +34,33 @@
 }
 
 func (s *store) StaleRevision(context.Context, string, string) (uint64, error) {
-	return s.peek()
+	return s.read()
 }
 
-func follow(t *testing.T, s source.Store) (*source.Watcher, chan struct{}) {
+// startWatcher runs a watcher of the store until the test ends. Changes of its mirror
+// are sent on the channel.
+func startWatcher(t *testing.T, s source.Store) (*source.Watcher, chan struct{}) {
 	changed := make(chan struct{}, 100)
-	f := &source.Watcher{
+	w := &source.Watcher{
 		Store: s, Mirror: &mirror.Mirror{Kind: "k"}, Log: slog.New(slog.DiscardHandler),
 		OnChange: func() { changed <- struct{}{} }, WatchTimeout: 10 * time.Second,
 	}
-	ctx, end := context.WithCancel(context.Background())
+	ctx, cancel := context.WithCancel(context.Background())
 	done := make(chan struct{})
 	go func() {
 		defer close(done)
-		f.Run(ctx)
+		w.Run(ctx)
 	}()
 	t.Cleanup(func() {
-		end()
+		cancel()
 		<-done
 	})
-	return f, changed
+	return w, changed
 }
 
-// The object API has forgotten the changes since the last one that was seen. A
-// watch alone would never learn of them.
-func TestForgottenHistoryIsListedAnew(t *testing.T) {
+// Guards against never learning of changes that the object API has compacted: a watch
+// alone does not return them.
+func TestCompactedHistoryIsRelisted(t *testing.T) {
 	revision := uint64(5)
 	s := &store{}
 	s.list = func() ([]mirror.Object, uint64, error) {
@@ -74,16 +76,17 @@
 		<-ctx.Done()
 		return mirror.Batch{}, ctx.Err()
 	}
-	f, changed := follow(t, s)
+	w, changed := startWatcher(t, s)
 	<-changed
 	<-changed
-	qt.Assert(t, f.Mirror.Cursor(), qt.Equals, uint64(15))
+	qt.Assert(t, w.Mirror.Cursor(), qt.Equals, uint64(15))
 }
 
-// A watch falls silent for good, without an end of its connection. Nobody would
-// notice for as long as it may wait; a peek that shows something newer does.
-func TestSilentWatchIsBegunAnew(t *testing.T) {
-	s := &store{list: func() ([]mirror.Object, uint64, error) { return nil, 5, nil }, peek: func() (uint64, error) { return 9, nil }}
+// Guards against a watch that stops delivering while its connection stays open:
+// without the stale read that shows a newer revision, it would go unnoticed for the
+// whole watch timeout.
+func TestStalledWatchIsRestarted(t *testing.T) {
+	s := &store{list: func() ([]mirror.Object, uint64, error) { return nil, 5, nil }, read: func() (uint64, error) { return 9, nil }}
 	watches := make(chan struct{}, 100)
 	s.watch = func(ctx context.Context, after uint64) (mirror.Batch, error) {
 		watches <- struct{}{}
@@ -93,24 +96,24 @@
 		}
 		return mirror.Batch{Kind: "k", After: after, Cursor: 9, Items: []mirror.Object{{Name: "a", Revision: 9}}}, nil
 	}
-	f, changed := follow(t, s)
+	w, changed := startWatcher(t, s)
 	<-changed
 	p := &source.Monitor{
-		Store: s, Kind: "k", Name: "a", Mirror: f.Mirror, Watchers: []*source.Watcher{f}, Log: slog.New(slog.DiscardHandler), OnRecovery: func() {},
+		Store: s, Kind: "k", Name: "a", Mirror: w.Mirror, Watchers: []*source.Watcher{w}, Log: slog.New(slog.DiscardHandler), OnRecovery: func() {},
 	}
-	ctx, end := context.WithCancel(context.Background())
-	defer end()
+	ctx, cancel := context.WithCancel(context.Background())
+	defer cancel()
 	go p.Run(ctx)
 	<-changed
-	qt.Assert(t, f.Mirror.Cursor(), qt.Equals, uint64(9))
+	qt.Assert(t, w.Mirror.Cursor(), qt.Equals, uint64(9))
 }
 
-// The object API answers again after an outage. What lapsed meanwhile must not
-// be taken for gone.
-func TestReturnIsTold(t *testing.T) {
+// Guards against taking entries that expired in an outage for removed ones: the
+// recovery of the object API must be reported.
+func TestRecoveryIsReported(t *testing.T) {
 	returned := make(chan struct{}, 1)
 	calls := 0
-	s := &store{peek: func() (uint64, error) {
+	s := &store{read: func() (uint64, error) {
 		calls++
 		if calls == 1 {
 			return 0, errors.New("away")
@@ -121,41 +124,40 @@
 		Store: s, Mirror: &mirror.Mirror{}, Log: slog.New(slog.DiscardHandler),
 		OnRecovery: func() { returned <- struct{}{} },
 	}
-	ctx, end := context.WithCancel(context.Background())
-	defer end()
+	ctx, cancel := context.WithCancel(context.Background())
+	defer cancel()
 	go p.Run(ctx)
 	<-returned
 	alive, _ := p.Alive()
 	qt.Assert(t, alive, qt.IsTrue)
 }
 
-// hung is a store whose lists never end.
-type hung struct{ store }
+// hangingLists is a store whose lists never return.
+type hangingLists struct{ store }
 
-func (h *hung) List(ctx context.Context, _ string) ([]mirror.Object, uint64, error) {
+func (h *hangingLists) List(ctx context.Context, _ string) ([]mirror.Object, uint64, error) {
 	<-ctx.Done()
 	return nil, 0, ctx.Err()
 }
 
-// An entry host starts while the object API is silent for it alone, and hears
-// everything from others. It would wait for its own list before it follows the
-// changes.
-func TestListEndsWhenOthersToldEverything(t *testing.T) {
+// Guards against an entry host that waits for its own list although others have sent
+// it all objects, when the object API does not answer this host at its start.
+func TestListEndsWhenMirrorIsFilled(t *testing.T) {
 	watched := make(chan uint64, 10)
-	s := &hung{store{watch: func(ctx context.Context, after uint64) (mirror.Batch, error) {
+	s := &hangingLists{store{watch: func(ctx context.Context, after uint64) (mirror.Batch, error) {
 		watched <- after
 		<-ctx.Done()
 		return mirror.Batch{}, ctx.Err()
 	}}}
-	f, _ := follow(t, s)
-	f.Mirror.Replace([]mirror.Object{{Name: "a", Revision: 7}}, 7)
+	w, _ := startWatcher(t, s)
+	w.Mirror.Replace([]mirror.Object{{Name: "a", Revision: 7}}, 7)
 	qt.Assert(t, <-watched, qt.Equals, uint64(7))
 }
 
-// A change is made while the object API drops its history. The watch that waits
-// hears nothing of it and is not ended, and old keys and routes would be served
-// for as long as it waits.
-func TestDeafWatchIsBegunAnewSoon(t *testing.T) {
+// Guards against serving old keys and routes after a change that is made while the
+// object API drops its history: a pending watch misses it and stays open, so it must
+// end soon by itself.
+func TestWatchTimeoutLimitsMissedChanges(t *testing.T) {
 	watched := make(chan uint64, 10)
 	s := &store{
 		list: func() ([]mirror.Object, uint64, error) { return nil, 5, nil },
@@ -165,71 +167,71 @@
 			return mirror.Batch{}, ctx.Err()
 		},
 	}
-	f := &source.Watcher{
+	w := &source.Watcher{
 		Store: s, Mirror: &mirror.Mirror{Kind: "k"}, Log: slog.New(slog.DiscardHandler), OnChange: func() {},
 		WatchTimeout: time.Millisecond,
 	}
-	ctx, end := context.WithCancel(t.Context())
+	ctx, cancel := context.WithCancel(t.Context())
 	done := make(chan struct{})
 	go func() {
 		defer close(done)
-		f.Run(ctx)
+		w.Run(ctx)
 	}()
 	for range 3 {
 		qt.Assert(t, <-watched, qt.Equals, uint64(5))
 	}
-	end()
+	cancel()
 	<-done
 }
 
-// Guards against calls to the object API that grow with the number of entry
-// hosts: each change, and each second at rest, would cost as many as there are.
-func TestCallsAtRest(t *testing.T) {
+// Guards against a number of calls to the object API, at rest and per change, that
+// grows with the number of entry hosts.
+func TestCallsWithoutChanges(t *testing.T) {
 	for _, role := range []source.Role{source.Primary, source.Passive} {
 		synctest.Test(t, func(t *testing.T) {
-			peeks := 0
+			reads := 0
 			p := &source.Monitor{
-				Store: &store{peek: func() (uint64, error) { peeks++; return 0, nil }}, Mirror: &mirror.Mirror{},
+				Store: &store{read: func() (uint64, error) { reads++; return 0, nil }}, Mirror: &mirror.Mirror{},
 				Log: slog.New(slog.DiscardHandler), OnRecovery: func() {}, Role: func() source.Role { return role },
 			}
-			ctx, end := context.WithCancel(t.Context())
+			ctx, cancel := context.WithCancel(t.Context())
 			go p.Run(ctx)
 			time.Sleep(time.Minute)
-			end()
+			cancel()
 			synctest.Wait()
 			if role == source.Passive {
-				qt.Check(t, peeks <= 15, qt.IsTrue, qt.Commentf("%d peeks a minute", peeks))
+				qt.Check(t, reads <= 15, qt.IsTrue, qt.Commentf("%d reads a minute", reads))
 				return
 			}
-			qt.Check(t, peeks >= 58, qt.IsTrue, qt.Commentf("%d peeks a minute", peeks))
+			qt.Check(t, reads >= 58, qt.IsTrue, qt.Commentf("%d reads a minute", reads))
 		})
 	}
 }
 
-// Guards against a backup that asks for each of some changes in a row, which the
-// main watcher has handed to it.
-func TestBackupAsksForFewChanges(t *testing.T) {
+// Guards against a backup that makes a call for each of several changes in a row,
+// although the primary sends them to it.
+func TestBackupMakesFewCalls(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
-		const followers, changes, gap = 2, 40, 250 * time.Millisecond
-		c := &changing{changed: make(chan struct{})}
-		ctx, end := context.WithCancel(t.Context())
-		var list []*source.Watcher
-		for i := range followers {
-			f := &source.Watcher{Store: c, Mirror: &mirror.Mirror{Kind: "k"}, Log: slog.New(slog.DiscardHandler), WatchTimeout: 2 * time.Second}
-			f.Role = func() source.Role { return source.Role(i) }
-			// What one hears is handed to the others at once.
-			f.OnChange = func() {
-				for _, other := range list {
-					if b, _ := f.Mirror.Since(other.Mirror.Cursor()); other != f && b.Cursor > other.Mirror.Cursor() {
-						other.Mirror.Merge(b)
+		const watcherCount, changes, gap = 2, 40, 250 * time.Millisecond
+		c := &changingStore{changed: make(chan struct{})}
+		ctx, cancel := context.WithCancel(t.Context())
+		var watchers []*source.Watcher
+		for i := range watcherCount {
+			w := &source.Watcher{Store: c, Mirror: &mirror.Mirror{Kind: "k"}, Log: slog.New(slog.DiscardHandler), WatchTimeout: 2 * time.Second}
+			w.Role = func() source.Role { return source.Role(i) }
+			// Each watcher sends its changes to the others at once.
+			w.OnChange = func() {
+				for _, other := range watchers {
+					if batch, _ := w.Mirror.Since(other.Mirror.Cursor()); other != w && batch.Cursor > other.Mirror.Cursor() {
+						other.Mirror.Merge(batch)
 					}
 				}
 			}
-			list = append(list, f)
+			watchers = append(watchers, w)
 		}
 		c.change()
-		for _, f := range list {
-			go f.Run(ctx)
+		for _, w := range watchers {
+			go w.Run(ctx)
 		}
 		for range changes {
 			time.Sleep(gap)
@@ -237,24 +239,24 @@
 		}
 		calls := c.watches()
 		time.Sleep(time.Second)
-		for _, f := range list {
-			qt.Check(t, f.Mirror.Cursor(), qt.Equals, c.revision)
+		for _, w := range watchers {
+			qt.Check(t, w.Mirror.Cursor(), qt.Equals, c.revision)
 		}
 		qt.Check(t, calls <= changes*3/2, qt.IsTrue, qt.Commentf("%d watches for %d changes", calls, changes))
-		end()
+		cancel()
 		synctest.Wait()
 	})
 }
 
-// changing is a store with an object that changes now and then.
-type changing struct {
+// changingStore is a store with one object that the test changes.
+type changingStore struct {
 	mu       sync.Mutex
 	revision uint64
 	changed  chan struct{}
 	calls    int
 }
 
-func (c *changing) change() {
+func (c *changingStore) change() {
 	c.mu.Lock()
 	defer c.mu.Unlock()
 	c.revision++
@@ -262,20 +264,20 @@
 	c.changed = make(chan struct{})
 }
 
-// watches returns how many calls there were.
-func (c *changing) watches() int {
+// watches returns the number of Watch calls.
+func (c *changingStore) watches() int {
 	c.mu.Lock()
 	defer c.mu.Unlock()
 	return c.calls
 }
 
-func (c *changing) List(context.Context, string) ([]mirror.Object, uint64, error) {
+func (c *changingStore) List(context.Context, string) ([]mirror.Object, uint64, error) {
 	c.mu.Lock()
 	defer c.mu.Unlock()
 	return []mirror.Object{{Name: "a", Revision: c.revision}}, c.revision, nil
 }
 
-func (c *changing) Watch(ctx context.Context, _ string, after uint64, wait time.Duration) (mirror.Batch, error) {
+func (c *changingStore) Watch(ctx context.Context, _ string, after uint64, wait time.Duration) (mirror.Batch, error) {
 	c.mu.Lock()
 	c.calls++
 	revision, changed := c.revision, c.changed
@@ -293,36 +295,36 @@
 	return mirror.Batch{Kind: "k", After: after, Cursor: c.revision, Items: []mirror.Object{{Name: "a", Revision: c.revision}}}, nil
 }
 
-func (c *changing) StaleRevision(context.Context, string, string) (uint64, error) {
+func (c *changingStore) StaleRevision(context.Context, string, string) (uint64, error) {
 	return 0, nil
 }
 
-// waiting is a store that notes how long watches wait.
-type waiting struct {
+// waitingStore is a store that records the timeouts of watches.
+type waitingStore struct {
 	store
 	waits chan time.Duration
 }
 
-func (w *waiting) Watch(ctx context.Context, _ string, after uint64, wait time.Duration) (mirror.Batch, error) {
+func (w *waitingStore) Watch(ctx context.Context, _ string, after uint64, wait time.Duration) (mirror.Batch, error) {
 	w.waits <- wait
 	<-ctx.Done()
 	return mirror.Batch{}, ctx.Err()
 }
 
-// Guards against calls of backups that only ask whether there is nothing new, and
-// against a main follower whose deaf watch is noticed late.
+// Guards against frequent calls of backups that return no changes, and against a
+// primary that notices late that its watch has stopped delivering.
 func TestBackupWaitsLonger(t *testing.T) {
 	for role, want := range map[source.Role]time.Duration{source.Primary: time.Second, source.Backup: 3 * time.Second} {
-		s := &waiting{waits: make(chan time.Duration, 1)}
+		s := &waitingStore{waits: make(chan time.Duration, 1)}
 		m := &mirror.Mirror{Kind: "k"}
 		m.Replace(nil, 5)
-		f := &source.Watcher{
+		w := &source.Watcher{
 			Store: s, Mirror: m, Log: slog.New(slog.DiscardHandler), OnChange: func() {}, WatchTimeout: time.Second,
 			Role: func() source.Role { return role },
 		}
-		ctx, end := context.WithCancel(t.Context())
-		go f.Run(ctx)
+		ctx, cancel := context.WithCancel(t.Context())
+		go w.Run(ctx)
 		qt.Check(t, <-s.waits, qt.Equals, want)
-		end()
+		cancel()
 	}
 }
