--- a/entry/gossip/codec.go
+++ b/entry/gossip/codec.go
@@ -12,16 +12,18 @@
 	"storj.io/drpc"
 )
 
+// Sizes in bytes.
 const (
-	// minDeflateSize is the size from which a message is deflated: a configuration
+	// minDeflateSize is the smallest message size that is compressed: a configuration
 	// with thousands of routes, sent to a dozen entry hosts at once, would occupy a
-	// slow link for longer than an exchange may take.
+	// slow link for longer than the timeout of an exchange.
 	minDeflateSize = 2 << 10
-	// maxMessageSize bounds a message, so that a small one cannot fill the memory.
+	// maxMessageSize limits a decompressed message, so that a small one cannot
+	// exhaust the memory.
 	maxMessageSize = 32 << 20
 )
 
-// The first byte of a message says how the rest is written.
+// Formats of a message, given by its first byte.
 const (
 	formatPlain byte = iota
 	formatDeflate
@@ -32,7 +34,7 @@
 	errTooLarge = errors.New("gossip: message too large")
 )
 
-// deflaters reuses writers, whose tables are large.
+// deflaters reuses writers because of their large tables.
 var deflaters = sync.Pool{New: func() any {
 	w, err := flate.NewWriter(io.Discard, flate.BestSpeed)
 	if err != nil {
@@ -41,7 +43,7 @@
 	return w
 }}
 
-// codec writes messages as CBOR, and deflates large ones.
+// codec encodes messages as CBOR and compresses large ones.
 type codec struct{}
 
 // Marshal implements drpc.Encoding.
@@ -72,7 +74,7 @@
 	if len(b) == 0 {
 		return errEmpty
 	}
-	switch form, body := b[0], b[1:]; form {
+	switch format, body := b[0], b[1:]; format {
 	case formatPlain:
 		return cbor.Unmarshal(body, m)
 	case formatDeflate:
@@ -82,10 +84,11 @@
 		}
 		return cbor.Unmarshal(plain, m)
 	default:
-		return fmt.Errorf("gossip: unknown form %d of a message", form)
+		return fmt.Errorf("gossip: unknown message format %d", format)
 	}
 }
 
+// inflate decompresses a message body.
 func inflate(body []byte) ([]byte, error) {
 	r := flate.NewReader(bytes.NewReader(body))
 	plain, err := io.ReadAll(io.LimitReader(r, maxMessageSize+1))
--- a/entry/gossip/codec_test.go
+++ b/entry/gossip/codec_test.go
@@ -12,8 +12,8 @@
 	"fuchsiashelf.dev/parts/mirror"
 )
 
-// bulk is a message with a configuration of many routes.
-func bulk(routes int) *Message {
+// configMessage returns a message with a configuration of many routes.
+func configMessage(routes int) *Message {
 	var spec strings.Builder
 	for i := range routes {
 		fmt.Fprintf(&spec, `{"name":"route-%d","host":"fide%d.example","prefix":"/ce%dmbz/","kind":"idempotent","timeout_ms":2000},`, i, i%40, i)
@@ -21,11 +21,11 @@
 	return &Message{Changes: []mirror.Batch{{Kind: "config", Cursor: 7, Items: []mirror.Object{{Name: "main", Revision: 7, Spec: []byte(spec.String())}}}}}
 }
 
-// Guards against a large configuration that fills the links of entry hosts when
+// Guards against a large configuration that saturates the links of entry hosts when
 // all of them fetch it at once.
-func TestLargeMessagesAreDeflated(t *testing.T) {
+func TestLargeMessagesAreCompressed(t *testing.T) {
 	for _, routes := range []int{0, 10, 2000} {
-		sent, received := bulk(routes), &Message{}
+		sent, received := configMessage(routes), &Message{}
 		b, err := codec{}.Marshal(sent)
 		qt.Assert(t, err, qt.IsNil)
 		qt.Assert(t, codec{}.Unmarshal(b, received), qt.IsNil)
@@ -36,8 +36,9 @@
 	}
 }
 
-// Guards against messages that are no messages, or would fill the memory.
-func TestBadMessagesAreRefused(t *testing.T) {
+// Guards against malformed messages and against small ones that exhaust the memory
+// when decompressed.
+func TestInvalidMessagesAreRejected(t *testing.T) {
 	var bomb bytes.Buffer
 	bomb.WriteByte(formatDeflate)
 	w, err := flate.NewWriter(&bomb, flate.BestSpeed)
@@ -56,7 +57,7 @@
 
 func FuzzMessage(f *testing.F) {
 	for _, routes := range []int{0, 200} {
-		b, err := codec{}.Marshal(bulk(routes))
+		b, err := codec{}.Marshal(configMessage(routes))
 		qt.Assert(f, err, qt.IsNil)
 		f.Add(b)
 	}
--- a/entry/gossip/drpc.go
+++ b/entry/gossip/drpc.go
@@ -12,7 +12,7 @@
 	"storj.io/drpc/drpcserver"
 )
 
-// exchangeCall is the name of the only call.
+// exchangeCall is the name of the only RPC.
 const exchangeCall = "/fuchsiashelf.Gossip/Exchange"
 
 // HandleRPC implements drpc.Handler.
@@ -20,24 +20,24 @@
 	if rpc != exchangeCall {
 		return fmt.Errorf("gossip: unknown call %q", rpc)
 	}
-	asked := &Message{}
-	if err := stream.MsgRecv(asked, codec{}); err != nil {
+	received := &Message{}
+	if err := stream.MsgRecv(received, codec{}); err != nil {
 		return err
 	}
-	return errors.Join(stream.MsgSend(p.Respond(asked), codec{}), stream.CloseSend())
+	return errors.Join(stream.MsgSend(p.Respond(received), codec{}), stream.CloseSend())
 }
 
 func (p *Peer) serve(ctx context.Context, l net.Listener) {
 	err := drpcserver.New(p).Serve(ctx, l)
 	if err != nil && ctx.Err() == nil {
-		p.Log.Error("peers: the server ended", "error", err)
+		p.Log.Error("peers: server stopped", "error", err)
 	}
 }
 
-// client is a connection to another entry host. It serves one exchange at a
-// time.
+// client is a connection to another entry host. It makes one exchange at a time.
 type client struct {
 	address string
+	// failing says that the last call failed.
 	failing bool
 
 	mu   sync.Mutex
@@ -45,7 +45,7 @@
 	conn *drpcconn.Conn
 }
 
-// acquire reserves the client, and reports whether it was free.
+// acquire reserves the client and reports whether it was free.
 func (c *client) acquire() bool {
 	c.mu.Lock()
 	defer c.mu.Unlock()
@@ -56,12 +56,14 @@
 	return true
 }
 
+// release frees the client.
 func (c *client) release() {
 	c.mu.Lock()
 	defer c.mu.Unlock()
 	c.busy = false
 }
 
+// call makes an exchange. It dials if there is no connection.
 func (c *client) call(ctx context.Context, sent, received *Message) error {
 	if c.conn == nil {
 		var d net.Dialer
@@ -73,14 +75,15 @@
 	}
 	err := c.conn.Invoke(ctx, exchangeCall, codec{}, sent, received)
 	if err != nil {
-		// The connection may have fallen silent for good.
+		// The connection may never deliver anything again; the next call dials a new
+		// one.
 		err = errors.Join(err, c.conn.Close())
 		c.conn = nil
 	}
 	return err
 }
 
-// close ends the connection once no exchange is under way.
+// close closes the connection unless an exchange is in progress.
 func (c *client) close() {
 	if !c.acquire() {
 		return
--- a/entry/gossip/gossip.go
+++ b/entry/gossip/gossip.go
@@ -1,10 +1,10 @@
-// Package gossip exchanges state between entry hosts: objects of the object API
-// that others lack, suspected servers, the load that each puts on the servers,
-// and which entry hosts there are.
+// Package gossip exchanges state between entry hosts: objects of the object API that
+// other hosts lack, suspected and slow servers, assignments, the load that each host
+// puts on the servers, and the list of entry hosts.
 //
-// Each entry host exchanges with a few others several times a second, and at
-// once when something changes. There is no agreement: every fact carries a
-// revision or an age by which the newer one wins.
+// Each entry host exchanges with a few others several times a second, and at once
+// when something changes. There is no consensus: every fact carries a revision or an
+// age by which the newer one wins.
 package gossip
 
 import (
@@ -24,38 +24,40 @@
 
 // Timeouts, intervals and fan-out.
 const (
-	// localInterval is how often an entry host exchanges with one of its own
-	// failure domain, and acrossEvery how often with one of another. Traffic
+	// An entry host exchanges with one host of its own failure domain every
+	// localInterval, and with one of another domain every remoteInterval: traffic
 	// between domains is expensive.
 	localInterval  = 400 * time.Millisecond
 	remoteInterval = 1200 * time.Millisecond
-	// broadcastLocal and pushAcross are how many others of the own and of other
-	// domains a change is sent to at once.
+	// A broadcast goes to broadcastLocal hosts of the own failure domain and to
+	// broadcastRemote of others.
 	broadcastLocal  = 12
 	broadcastRemote = 2
-	// minBroadcastInterval is the least time between two such rounds. After a start thousands
-	// of servers get their orders, one by one.
+	// minBroadcastInterval is the minimum time between two broadcasts. After a start
+	// thousands of servers get their assignments, one by one.
 	minBroadcastInterval = 50 * time.Millisecond
-	// startupLocal and listenAcross are the same for a new entry host.
+	// startupLocal and startupRemote are the number of hosts per round while this
+	// host is not settled.
 	startupLocal  = 2
 	startupRemote = 1
-	// minSeedChance is the least chance in that time of an exchange with a seed.
+	// minSeedChance is the minimum probability that a round includes a seed during
+	// settleTime.
 	minSeedChance = 0.5
-	// pullDelay delays fetching changes from another entry host: most arrive from
-	// the object API meanwhile.
+	// pullDelay delays a pull of changes from another entry host: most arrive from
+	// the object API in the meantime.
 	pullDelay = 150 * time.Millisecond
-	// exchangeTimeout bounds one exchange.
+	// exchangeTimeout limits one exchange.
 	exchangeTimeout = 500 * time.Millisecond
-	// aliveFor is how long an entry host counts as alive after the last message.
+	// aliveFor is how long an entry host counts as alive after its last message.
 	aliveFor = 2 * time.Second
-	// removeAfter is when a silent one is removed.
+	// removeAfter is when an entry host without messages is removed.
 	removeAfter = 15 * time.Second
 )
 
-// Peer is the exchange of one entry host. Set the exported fields before Run.
+// Peer is this entry host's part in the gossip. Set the exported fields before Run.
 type Peer struct {
 	Self Member
-	// Seeds are addresses to begin with; they may be out of date.
+	// Seeds are the addresses of the first exchanges; they may be out of date.
 	Seeds   []string
 	Mirrors []*mirror.Mirror
 	Ledger  *router.LoadTracker
@@ -63,45 +65,48 @@
 	Starts *router.StartLatency
 	Tally  *poison.Counter
 	Log    *slog.Logger
-	// Suspects returns the local suspicions, Suspected handles those of others.
+	// Suspects returns the suspected servers; OnSuspect handles those of other hosts.
 	Suspects  func() []Suspect
 	OnSuspect func(Suspect)
-	// SlowServers returns the known slow servers, Slowed handles those of others.
+	// SlowServers returns the slow servers; OnSlow handles those of other hosts.
 	SlowServers func() []SlowServer
 	OnSlow      func(SlowServer)
-	// Assignments returns the known orders to servers, Ordered handles those of others.
+	// Assignments returns the known assignments; OnAssignment handles those of other
+	// hosts.
 	Assignments  func() []Assignment
 	OnAssignment func(Assignment)
-	// OnChange is called when a mirror changed.
+	// OnChange is called after a mirror changed.
 	OnChange func(kind string)
 	// StoreUp reports whether the object API answers this entry host.
 	StoreUp func() bool
-	// Leaving reports whether this entry host is about to end.
+	// Leaving reports whether this entry host is about to stop.
 	Leaving func() bool
-	// ExpectsFromStore reports whether changes of a kind are expected from the object API
-	// as well; if not, they are asked for at once.
+	// ExpectsFromStore reports whether changes of a kind also arrive from the object
+	// API. If not, they are pulled from other hosts at once.
 	ExpectsFromStore func(kind string) bool
-	// Random returns a number below n; nil means a random one.
+	// Random returns a number in [0, n); nil means math/rand.
 	Random func(n int) int
 
-	// messages is the number of messages so far.
+	// messages counts the messages sent.
 	messages atomic.Uint64
 
 	mu sync.Mutex
-	// started is when this entry host began to listen; settled says that a settled
-	// member has sent it the list of members.
+	// started is when this entry host began to listen. settled says that a settled
+	// member has sent it a list of members.
 	started time.Time
 	settled bool
 	members map[string]*memberState
 	clients map[string]*client
-	// pulls holds the kinds of which changes are being pulled.
+	// pulls holds the kinds whose changes are being pulled.
 	pulls map[string]bool
-	// lastRemote is when this entry host last exchanged with another domain.
+	// lastRemote is when this entry host last exchanged with another failure domain.
 	lastRemote time.Time
-	broadcast  chan struct{}
-	once       sync.Once
+	// broadcast wakes Run to broadcast.
+	broadcast chan struct{}
+	once      sync.Once
 }
 
+// init initializes the unexported fields once.
 func (p *Peer) init() {
 	p.once.Do(func() {
 		p.started = time.Now()
@@ -112,7 +117,7 @@
 	})
 }
 
-// Broadcast exchanges with others at once.
+// Broadcast sends the local state to other entry hosts at once.
 func (p *Peer) Broadcast() {
 	p.init()
 	select {
@@ -121,35 +126,35 @@
 	}
 }
 
-// Run exchanges with others until the context ends.
+// Run serves exchanges and starts gossip rounds until the context ends.
 func (p *Peer) Run(ctx context.Context, l net.Listener) {
 	p.init()
 	go p.serve(ctx, l)
 	tick := time.NewTicker(localInterval)
 	defer tick.Stop()
 	p.round(ctx, broadcastLocal, broadcastRemote)
-	push := p.broadcast
-	var rested <-chan time.Time
+	broadcast := p.broadcast
+	var intervalOver <-chan time.Time
 	for {
 		select {
 		case <-ctx.Done():
 			return
-		case <-push:
+		case <-broadcast:
 			p.round(ctx, broadcastLocal, broadcastRemote)
-			push, rested = nil, time.After(minBroadcastInterval)
-		case <-rested:
-			push, rested = p.broadcast, nil
+			broadcast, intervalOver = nil, time.After(minBroadcastInterval)
+		case <-intervalOver:
+			broadcast, intervalOver = p.broadcast, nil
 		case now := <-tick.C:
-			own, others := p.fanout(now)
-			p.round(ctx, own, others)
+			local, remote := p.fanout(now)
+			p.round(ctx, local, remote)
 		}
 	}
 }
 
-// fanout returns with how many entry hosts of the own domain and of others to
-// exchange now. A new one exchanges with more, so that all know each other before
-// one of them may lead.
-func (p *Peer) fanout(now time.Time) (own, others int) {
+// fanout returns the numbers of entry hosts of the own failure domain and of others
+// for the next round. A new host exchanges with more, so that all know each other
+// before one of them may become leader.
+func (p *Peer) fanout(now time.Time) (local, remote int) {
 	if !p.Settled() {
 		return startupLocal, startupRemote
 	}
@@ -160,14 +165,14 @@
 	return 1, 1
 }
 
-// round starts exchanges with some entry hosts of the own domain and of others.
-func (p *Peer) round(ctx context.Context, own, others int) {
-	for _, address := range p.partners(own, others) {
+// round starts exchanges with entry hosts of the own failure domain and of others.
+func (p *Peer) round(ctx context.Context, local, remote int) {
+	for _, address := range p.partners(local, remote) {
 		p.startExchange(ctx, address)
 	}
 }
 
-// startExchange starts an exchange unless one with that address is under way.
+// startExchange starts an exchange unless one with the same address is in progress.
 func (p *Peer) startExchange(ctx context.Context, address string) {
 	c := p.client(address)
 	if !c.acquire() {
@@ -179,30 +184,31 @@
 	}()
 }
 
-// partners draws entry hosts to exchange with, and sometimes a seed: groups that
-// started from different seeds would otherwise stay partitioned, each with a
-// leader of its own.
-func (p *Peer) partners(own, others int) []string {
+// partners picks entry hosts for a round, and sometimes a seed: groups that started
+// from different seeds would otherwise stay partitioned, each with a leader of its
+// own.
+func (p *Peer) partners(local, remote int) []string {
 	p.mu.Lock()
 	defer p.mu.Unlock()
 	now := time.Now()
-	var near, far []string
+	var localHosts, remoteHosts []string
 	for name, m := range p.members {
 		switch {
 		case now.Sub(m.lastHeard) > removeAfter:
 			p.remove(name, m.Address)
 		case m.Domain == p.Self.Domain:
-			near = append(near, m.Address)
+			localHosts = append(localHosts, m.Address)
 		default:
-			far = append(far, m.Address)
+			remoteHosts = append(remoteHosts, m.Address)
 		}
 	}
-	if len(near) == 0 {
-		// Alone in its domain: exchange as often with others.
-		others = max(others, own)
+	if len(localHosts) == 0 {
+		// A host that is alone in its failure domain exchanges with remote hosts as
+		// often.
+		remote = max(remote, local)
 	}
-	list := append(p.pick(near, own), p.pick(far, others)...)
-	if len(p.Seeds) == 0 || p.random(seedChanceScale) >= int(p.seedChance(len(near)+len(far), now)*seedChanceScale) {
+	list := append(p.pick(localHosts, local), p.pick(remoteHosts, remote)...)
+	if len(p.Seeds) == 0 || p.random(seedChanceScale) >= int(p.seedChance(len(localHosts)+len(remoteHosts), now)*seedChanceScale) {
 		return list
 	}
 	seed := p.Seeds[p.random(len(p.Seeds))]
@@ -212,12 +218,12 @@
 	return list
 }
 
-// seedChanceScale is how finely the chance of an exchange with a seed is drawn.
+// seedChanceScale is the resolution of the random choice of a seed.
 const seedChanceScale = 1 << 16
 
-// seedChance is the chance that an exchange goes to a seed as well. In calm all
-// entry hosts together ask the seeds as often as one host asks others, however
-// many they are.
+// seedChance returns the probability that a round includes a seed. Once settled, all
+// entry hosts together contact the seeds as often as one host contacts others,
+// regardless of their number.
 func (p *Peer) seedChance(known int, now time.Time) float64 {
 	chance := float64(len(p.Seeds)) / float64(max(known, 1))
 	if now.Sub(p.started) < settleTime {
@@ -226,19 +232,21 @@
 	return chance
 }
 
-// pick returns at most so many addresses, drawn at random.
-func (p *Peer) pick(from []string, most int) []string {
-	slices.Sort(from)
-	p.shuffle(len(from), func(i, j int) { from[i], from[j] = from[j], from[i] })
-	return from[:min(most, len(from))]
+// pick returns at most n random addresses.
+func (p *Peer) pick(addresses []string, n int) []string {
+	slices.Sort(addresses)
+	p.shuffle(len(addresses), func(i, j int) { addresses[i], addresses[j] = addresses[j], addresses[i] })
+	return addresses[:min(n, len(addresses))]
 }
 
+// shuffle is rand.Shuffle with the numbers of p.random.
 func (p *Peer) shuffle(n int, swap func(i, j int)) {
 	for i := n - 1; i > 0; i-- {
 		swap(i, p.random(i+1))
 	}
 }
 
+// random returns a number in [0, n).
 func (p *Peer) random(n int) int {
 	if p.Random == nil {
 		return rand.IntN(n)
@@ -246,6 +254,7 @@
 	return p.Random(n)
 }
 
+// client returns the client for an address.
 func (p *Peer) client(address string) *client {
 	p.mu.Lock()
 	defer p.mu.Unlock()
@@ -257,7 +266,7 @@
 	return c
 }
 
-// exchange sends the local state to one entry host and merges its answer, which
+// exchange sends the local state to one entry host and merges the response, which
 // contains no changes if brief is set.
 func (p *Peer) exchange(ctx context.Context, c *client, brief bool) {
 	ctx, cancel := context.WithTimeout(ctx, exchangeTimeout)
@@ -276,6 +285,7 @@
 	p.Merge(received)
 }
 
+// self returns the current state of this entry host for the next message.
 func (p *Peer) self() Member {
 	self := p.Self
 	self.Seq = p.messages.Add(1)
--- a/entry/gossip/gossip_test.go
+++ b/entry/gossip/gossip_test.go
@@ -16,7 +16,7 @@
 	"fuchsiashelf.dev/parts/router"
 )
 
-func peer(n int, mirrors ...*mirror.Mirror) *gossip.Peer {
+func newPeer(n int, mirrors ...*mirror.Mirror) *gossip.Peer {
 	name := fmt.Sprintf("entry-%03d", n)
 	return &gossip.Peer{
 		Self: gossip.Member{Name: name, Address: name + ":1", Domain: domain.Name(fmt.Sprint(n % 5)), Boot: 1}, Mirrors: mirrors,
@@ -29,16 +29,16 @@
 	}
 }
 
-// With hundreds of entry hosts, one message cannot tell of all. Each must still
-// know the first of each failure domain soon, or several would lead at once,
-// and in the end everybody.
-func TestFirstAreKnownSoon(t *testing.T) {
+// Guards against several leaders at once and against members that are never known:
+// with hundreds of entry hosts a message lists only some members, yet each host must
+// soon know the first of each failure domain, and finally nearly all.
+func TestFirstMembersAreKnownSoon(t *testing.T) {
 	random := rand.New(rand.NewPCG(1, 1))
 	const n = 200
 	peers := make([]*gossip.Peer, n)
 	for i := range peers {
-		peers[i] = peer(i)
-		peers[i].Merge(&gossip.Message{From: peer(0).Self})
+		peers[i] = newPeer(i)
+		peers[i].Merge(&gossip.Message{From: newPeer(0).Self})
 	}
 	round := func() {
 		for i, p := range peers {
@@ -68,31 +68,31 @@
 	}
 }
 
-// The object API answers one entry host only. What it sees reaches another,
-// also when that one has nothing yet.
-func TestChangesAreHandedOn(t *testing.T) {
+// Guards against changes that do not reach a host which the object API does not
+// answer, also if that host has no state yet.
+func TestChangesArePropagated(t *testing.T) {
 	a, b := &mirror.Mirror{Kind: "config"}, &mirror.Mirror{Kind: "config"}
 	a.Replace([]mirror.Object{{Name: "main", Revision: 7, Spec: []byte("x")}}, 9)
-	one, other := peer(1, a), peer(2, b)
-	ask := func() {
+	one, other := newPeer(1, a), newPeer(2, b)
+	exchange := func() {
 		other.Merge(one.Respond(&gossip.Message{From: other.Self, Cursors: map[string]uint64{"config": b.Cursor()}}))
 	}
-	ask()
+	exchange()
 	qt.Assert(t, b.Items(), qt.DeepEquals, a.Items())
 	a.Merge(mirror.Batch{After: 9, Cursor: 12, Items: []mirror.Object{{Name: "main", Revision: 12, Spec: []byte("y")}}})
-	ask()
+	exchange()
 	qt.Assert(t, b.Items(), qt.DeepEquals, a.Items())
 	qt.Assert(t, b.Cursor(), qt.Equals, uint64(12))
 }
 
-// Guards against every entry host finding out by its own late answers which
-// servers are slow.
-func TestSlowServersAreToldOn(t *testing.T) {
-	one, other := peer(1), peer(2)
+// Guards against entry hosts that each learn which servers are slow only from their
+// own late responses.
+func TestSlowServersArePropagated(t *testing.T) {
+	one, other := newPeer(1), newPeer(2)
 	slow := gossip.SlowServer{ID: "s", Times: 12, Left: time.Second}
 	one.SlowServers = func() []gossip.SlowServer { return []gossip.SlowServer{slow} }
-	var told []gossip.SlowServer
-	other.OnSlow = func(s gossip.SlowServer) { told = append(told, s) }
+	var received []gossip.SlowServer
+	other.OnSlow = func(s gossip.SlowServer) { received = append(received, s) }
 	other.Merge(one.Respond(&gossip.Message{From: other.Self}))
-	qt.Assert(t, told, qt.DeepEquals, []gossip.SlowServer{slow})
+	qt.Assert(t, received, qt.DeepEquals, []gossip.SlowServer{slow})
 }
--- a/entry/gossip/leader.go
+++ b/entry/gossip/leader.go
@@ -2,13 +2,13 @@
 
 import "time"
 
-// settleTime is how long a new entry host listens before it concludes from
-// silence that others are absent: as long as a living one may go unheard.
+// settleTime is how long a new entry host listens before it takes hosts without
+// messages for absent. A live host may send none for that long.
 const settleTime = aliveFor
 
-// Settled reports whether this entry host has listened long enough to conclude that
-// a member is absent. Until then it takes no exclusive role: after a power failure
-// all would take it at once.
+// Settled reports whether this entry host has listened long enough to know which
+// members are absent. Until then it takes no exclusive role: after a power failure
+// all hosts would take it at once.
 func (p *Peer) Settled() bool {
 	p.init()
 	p.mu.Lock()
@@ -16,38 +16,39 @@
 	return p.settled || time.Since(p.started) >= settleTime
 }
 
-// IsLeader reports whether this entry host places layers: the first by name of
-// those that the object API answers, or of all if it answers none.
+// IsLeader reports whether this entry host places layers. The leader is the first by
+// name of the hosts that the object API answers, or of all hosts if it answers none.
 func (p *Peer) IsLeader() bool {
 	if p.Leaving() || !p.Settled() {
 		return false
 	}
-	mine := p.StoreUp()
+	storeUp := p.StoreUp()
 	for _, m := range p.Alive() {
-		if m.Store && !mine {
+		if m.Store && !storeUp {
 			return false
 		}
-		if m.Store == mine && m.Name < p.Self.Name {
+		if m.Store == storeUp && m.Name < p.Self.Name {
 			return false
 		}
 	}
 	return true
 }
 
-// maxWatcherAge is the age of the last message above which a watcher is not relied on.
+// maxWatcherAge is the age of the last message from which a host is no longer relied
+// on as a watcher of the object API.
 const maxWatcherAge = 1200 * time.Millisecond
 
-// WatcherRank returns how many entry hosts of the failure domain come before this one
-// in the order in which they watch the object API. Those that it does not answer
-// count only while it does not answer this one either: then the first of them
-// try again for all, and the others put no load on it.
+// WatcherRank returns how many entry hosts of the failure domain precede this one in
+// the order in which they watch the object API. Hosts that the object API does not
+// answer count only while it does not answer this one either: then the first hosts
+// retry for all, and the others put no load on it.
 func (p *Peer) WatcherRank() int {
-	mine := p.StoreUp()
-	ahead := 0
+	storeUp := p.StoreUp()
+	rank := 0
 	for _, m := range p.Alive() {
-		if m.Domain == p.Self.Domain && (m.Store || !mine) && m.Age < maxWatcherAge && m.Name < p.Self.Name {
-			ahead++
+		if m.Domain == p.Self.Domain && (m.Store || !storeUp) && m.Age < maxWatcherAge && m.Name < p.Self.Name {
+			rank++
 		}
 	}
-	return ahead
+	return rank
 }
--- a/entry/gossip/leader_test.go
+++ b/entry/gossip/leader_test.go
@@ -15,6 +15,7 @@
 	"fuchsiashelf.dev/parts/router"
 )
 
+// newPeer returns the n-th entry host, which belongs to one of five failure domains.
 func newPeer(n int) *Peer {
 	name := fmt.Sprintf("entry-%03d", n)
 	return &Peer{
@@ -28,42 +29,44 @@
 	}
 }
 
-// town exchanges messages between entry hosts without a network.
-type town map[string]*Peer
+// cluster exchanges messages between entry hosts without a network.
+type cluster map[string]*Peer
 
-func (tn town) at(n int) *Peer {
-	return tn[fmt.Sprintf("entry-%03d", n)]
+// at returns the n-th entry host.
+func (c cluster) at(n int) *Peer {
+	return c[fmt.Sprintf("entry-%03d", n)]
 }
 
 // round lets each entry host exchange with its partners.
-func (tn town) round() {
-	for n := range len(tn) {
-		p := tn.at(n)
+func (c cluster) round() {
+	for n := range len(c) {
+		p := c.at(n)
 		for _, address := range p.partners(p.fanout(time.Now())) {
-			if other := tn[address]; other != nil && other != p {
+			if other := c[address]; other != nil && other != p {
 				p.Merge(other.Respond(p.message(nil)))
 			}
 		}
 	}
 }
 
-// startTown starts so many entry hosts at once.
-func startTown(n int, seed uint64) town {
+// startCluster starts n entry hosts at once.
+func startCluster(n int, seed uint64) cluster {
 	random := rand.New(rand.NewPCG(seed, 1))
-	tn := town{}
+	c := cluster{}
 	for i := range n {
 		p := newPeer(i)
 		p.Seeds = []string{"entry-007", "entry-033", "entry-061"}
 		p.Random = random.IntN
 		p.init()
-		tn[p.Self.Name] = p
+		c[p.Self.Name] = p
 	}
-	return tn
+	return c
 }
 
-func (tn town) leaders() []string {
+// leaders returns the hosts that consider themselves leader.
+func (c cluster) leaders() []string {
 	var list []string
-	for name, p := range tn {
+	for name, p := range c {
 		if p.IsLeader() {
 			list = append(list, name)
 		}
@@ -71,48 +74,48 @@
 	return list
 }
 
-// Guards against several entry hosts that place layers at once after all of
-// them were restarted together.
-func TestOneLeaderAfterARestartOfAll(t *testing.T) {
+// Guards against several leaders placing layers at once after all entry hosts were
+// restarted together.
+func TestOneLeaderAfterFullRestart(t *testing.T) {
 	for seed := range uint64(3) {
 		synctest.Test(t, func(t *testing.T) {
-			tn := startTown(80, seed)
+			c := startCluster(80, seed)
 			for range 20 {
-				tn.round()
-				leaders := tn.leaders()
+				c.round()
+				leaders := c.leaders()
 				qt.Assert(t, len(leaders) <= 1, qt.IsTrue, qt.Commentf("%v lead", leaders))
 				time.Sleep(localInterval)
 			}
-			qt.Assert(t, tn.leaders(), qt.DeepEquals, []string{"entry-000"})
+			qt.Assert(t, c.leaders(), qt.DeepEquals, []string{"entry-000"})
 		})
 	}
 }
 
-// Guards against groups of entry hosts that began with different seeds and never
-// hear of each other.
-func TestGroupsOfDifferentSeedsMerge(t *testing.T) {
+// Guards against groups of entry hosts that started with different seeds and never
+// learn of each other.
+func TestPartitionsOfDifferentSeedsMerge(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
-		tn := startTown(80, 1)
-		// Each knows its own half of them.
+		c := startCluster(80, 1)
+		// Each host knows only its own half.
 		for i := range 80 {
 			for j := range 80 {
 				if i != j && i < 40 == (j < 40) {
-					tn.at(i).Merge(tn.at(j).message(nil))
+					c.at(i).Merge(c.at(j).message(nil))
 				}
 			}
 		}
 		time.Sleep(settleTime)
 		for range 20 {
-			tn.round()
+			c.round()
 			time.Sleep(localInterval)
 		}
-		qt.Assert(t, tn.leaders(), qt.DeepEquals, []string{"entry-000"})
+		qt.Assert(t, c.leaders(), qt.DeepEquals, []string{"entry-000"})
 	})
 }
 
-// Guards against a restarted entry host that places layers before it has heard
-// of the others, or waits longer than it must.
-func TestNewHostIsSettledByAnother(t *testing.T) {
+// Guards against a restarted entry host that places layers before it knows the
+// others, or waits longer than necessary.
+func TestNewHostIsSettledByMember(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		old, other, fresh := newPeer(1), newPeer(2), newPeer(0)
 		old.init()
@@ -125,9 +128,9 @@
 	})
 }
 
-// Guards against all entry hosts calling an object API that is down, each for
-// itself, and against none that does when it is down for the first of them only.
-func TestFewWatchAnObjectAPIThatIsDown(t *testing.T) {
+// Guards against all entry hosts calling an object API that is down, and against none
+// calling it when it is down for the first hosts only.
+func TestFewHostsWatchDuringOutage(t *testing.T) {
 	const hosts = 20
 	up := map[string]bool{}
 	peers := make([]*Peer, hosts)
@@ -138,7 +141,7 @@
 		p.init()
 		peers[i] = p
 	}
-	main := func() (list []int) {
+	watchers := func() (list []int) {
 		for i, p := range peers {
 			for _, other := range peers {
 				if other != p {
@@ -151,30 +154,31 @@
 		}
 		return list
 	}
-	qt.Check(t, main(), qt.DeepEquals, []int{0, 1})
+	qt.Check(t, watchers(), qt.DeepEquals, []int{0, 1})
 	up["entry-007"], up["entry-012"], up["entry-013"] = true, true, true
-	qt.Check(t, main(), qt.DeepEquals, []int{0, 1, 7, 12})
+	qt.Check(t, watchers(), qt.DeepEquals, []int{0, 1, 7, 12})
 	for i := range peers {
 		up[peers[i].Self.Name] = true
 	}
-	qt.Check(t, main(), qt.DeepEquals, []int{0, 1})
+	qt.Check(t, watchers(), qt.DeepEquals, []int{0, 1})
 }
 
-// Guards against an entry host that counts as out of the object API's reach, since
-// a third one's message of before was on its way for longer than its own.
-func TestLaterStateCounts(t *testing.T) {
+// Guards against an entry host that counts as unreachable for the object API because
+// an older message, forwarded by a third host, was in transit for longer than its own
+// newer one.
+func TestNewerStateWins(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		up := false
-		one, third, p := newPeer(1), newPeer(2), newPeer(3)
-		one.StoreUp = func() bool { return up }
-		third.Merge(one.message(nil))
-		late := third.message(nil)
+		first, third, p := newPeer(1), newPeer(2), newPeer(3)
+		first.StoreUp = func() bool { return up }
+		third.Merge(first.message(nil))
+		old := third.message(nil)
 		up = true
-		p.Merge(one.message(nil))
+		p.Merge(first.message(nil))
 		time.Sleep(time.Second)
-		p.Merge(late)
+		p.Merge(old)
 		for _, m := range p.Members() {
-			if m.Name == one.Self.Name {
+			if m.Name == first.Self.Name {
 				qt.Check(t, m.Store, qt.IsTrue)
 			}
 		}
--- a/entry/gossip/message.go
+++ b/entry/gossip/message.go
@@ -9,18 +9,19 @@
 	"fuchsiashelf.dev/parts/router"
 )
 
-// Suspect is a server that is avoided for a while.
+// Suspect is a suspected server.
 type Suspect struct {
-	ID   string
+	ID string
+	// Left is the remaining time of the suspicion.
 	Left time.Duration
 }
 
 // SlowServer is a server whose work takes longer than usual.
 type SlowServer struct {
 	ID string
-	// Times is how many times as long as usual its work takes.
+	// Times is how many times longer than usual the work takes.
 	Times float64
-	// Left is how long that is remembered.
+	// Left is the time until the report expires.
 	Left time.Duration
 }
 
@@ -28,13 +29,14 @@
 type Assignment struct {
 	ID         string
 	First, End int
-	// Left is how long the order is remembered.
+	// Left is the time until the assignment expires.
 	Left time.Duration
-	// Done says that the server has reported it done.
+	// Done says that the server has reported it carried out.
 	Done bool
 }
 
-// Message is the state that one entry host sends to another.
+// Message is the state that one entry host sends to another. The names of its fields,
+// and of those of the structs in it, are part of the encoding.
 type Message struct {
 	From    Member
 	Cursors map[string]uint64
@@ -42,7 +44,7 @@
 	Load    map[string]router.Usage
 	// Waits is how long requests wait for their first event, by server.
 	Waits map[string]time.Duration
-	// Full is how much longer servers that refused requests count as full.
+	// Full is how much longer servers that refused requests count as saturated.
 	Full     map[string]time.Duration
 	Suspects []Suspect
 	Slows    []SlowServer
@@ -51,45 +53,45 @@
 	Changes  []mirror.Batch
 	// Whole holds the kinds whose batch is a complete list.
 	Whole map[string]bool
-	// Brief asks for an answer without changes.
+	// Brief asks for a response without changes.
 	Brief bool
 }
 
-// message returns the local state, with the changes after the given cursors of
-// another entry host. Nil cursors mean no changes.
-func (p *Peer) message(theirs map[string]uint64) *Message {
+// message returns the local state with the changes after the given cursors of another
+// entry host. Nil cursors mean no changes.
+func (p *Peer) message(cursors map[string]uint64) *Message {
 	m := &Message{
 		From: p.self(), Cursors: map[string]uint64{}, Members: p.sample(),
 		Load: p.Ledger.Local(), Waits: p.Starts.Waits(time.Now()), Full: p.Ledger.Saturated(time.Now()),
 		Suspects: p.Suspects(), Slows: p.SlowServers(), Orders: p.Assignments(), Marks: p.Tally.Suspects(time.Now()),
 	}
-	for _, mine := range p.Mirrors {
-		m.Cursors[mine.Kind] = mine.Cursor()
-		if theirs == nil {
+	for _, local := range p.Mirrors {
+		m.Cursors[local.Kind] = local.Cursor()
+		if cursors == nil {
 			continue
 		}
-		b, whole := mine.Since(theirs[mine.Kind])
-		if b.Cursor <= theirs[mine.Kind] {
+		batch, complete := local.Since(cursors[local.Kind])
+		if batch.Cursor <= cursors[local.Kind] {
 			continue
 		}
-		m.Changes = append(m.Changes, b)
-		if whole {
+		m.Changes = append(m.Changes, batch)
+		if complete {
 			if m.Whole == nil {
 				m.Whole = map[string]bool{}
 			}
-			m.Whole[mine.Kind] = true
+			m.Whole[local.Kind] = true
 		}
 	}
 	return m
 }
 
-// Respond merges a message and returns the answer, with the changes that the
-// sender lacks. Changes that are missing here are pulled from the sender.
+// Respond merges a message and returns the response with the changes that the sender
+// lacks. Changes that are missing here are pulled from the sender.
 func (p *Peer) Respond(m *Message) *Message {
 	p.Merge(m)
-	for _, mine := range p.Mirrors {
-		if m.Cursors[mine.Kind] > mine.Cursor() {
-			p.pull(m.From.Address, mine, m.Cursors[mine.Kind])
+	for _, local := range p.Mirrors {
+		if m.Cursors[local.Kind] > local.Cursor() {
+			p.pull(m.From.Address, local, m.Cursors[local.Kind])
 		}
 	}
 	if m.Brief {
@@ -98,28 +100,29 @@
 	return p.message(m.Cursors)
 }
 
-// pull fetches missing changes of a kind, from one entry host at a time: dozens
-// announce the same change, and a large one fetched from all of them at once
-// would take longer than an exchange may.
-func (p *Peer) pull(address string, mine *mirror.Mirror, cursor uint64) {
-	if !p.beginPull(mine.Kind) {
+// pull fetches missing changes of a kind from one entry host at a time: dozens
+// announce the same change, and fetching a large one from all of them at once would
+// exceed the timeout of an exchange.
+func (p *Peer) pull(address string, local *mirror.Mirror, cursor uint64) {
+	if !p.beginPull(local.Kind) {
 		return
 	}
-	wait := time.Duration(0)
-	if mine.Cursor() > 0 && p.ExpectsFromStore(mine.Kind) {
-		wait = pullDelay
+	delay := time.Duration(0)
+	if local.Cursor() > 0 && p.ExpectsFromStore(local.Kind) {
+		delay = pullDelay
 	}
-	time.AfterFunc(wait, func() {
-		defer p.endPull(mine.Kind)
+	time.AfterFunc(delay, func() {
+		defer p.endPull(local.Kind)
 		c := p.client(address)
-		if mine.Cursor() < cursor && c.acquire() {
+		if local.Cursor() < cursor && c.acquire() {
 			p.exchange(context.Background(), c, false)
 			c.release()
 		}
 	})
 }
 
-// beginPull reports whether the caller is to pull the changes of a kind.
+// beginPull reports whether the caller may pull changes of a kind: no other pull of
+// the kind is in progress.
 func (p *Peer) beginPull(kind string) bool {
 	p.mu.Lock()
 	defer p.mu.Unlock()
@@ -130,20 +133,21 @@
 	return true
 }
 
+// endPull ends a pull.
 func (p *Peer) endPull(kind string) {
 	p.mu.Lock()
 	defer p.mu.Unlock()
 	delete(p.pulls, kind)
 }
 
-// pulling reports whether changes are being pulled.
+// pulling reports whether any pull is in progress.
 func (p *Peer) pulling() bool {
 	p.mu.Lock()
 	defer p.mu.Unlock()
 	return len(p.pulls) > 0
 }
 
-// Merge merges a message.
+// Merge merges a message into the local state.
 func (p *Peer) Merge(m *Message) {
 	p.init()
 	p.mergeMembers(m)
@@ -160,31 +164,32 @@
 	for _, slow := range m.Slows {
 		p.OnSlow(slow)
 	}
-	for _, o := range m.Orders {
-		p.OnAssignment(o)
+	for _, a := range m.Orders {
+		p.OnAssignment(a)
 	}
-	for _, mark := range m.Marks {
-		p.Tally.Merge(mark, time.Now())
+	for _, suspect := range m.Marks {
+		p.Tally.Merge(suspect, time.Now())
 	}
-	for _, b := range m.Changes {
-		p.mergeChanges(b, m.Whole[b.Kind], m.From.Name)
+	for _, batch := range m.Changes {
+		p.mergeChanges(batch, m.Whole[batch.Kind], m.From.Name)
 	}
 }
 
-func (p *Peer) mergeChanges(b mirror.Batch, whole bool, from string) {
-	for _, mine := range p.Mirrors {
-		if mine.Kind != b.Kind {
+// mergeChanges merges the changes of a kind into its mirror.
+func (p *Peer) mergeChanges(batch mirror.Batch, complete bool, from string) {
+	for _, local := range p.Mirrors {
+		if local.Kind != batch.Kind {
 			continue
 		}
 		changed := false
-		if whole {
-			_, changed = mine.Replace(b.Items, b.Cursor)
+		if complete {
+			_, changed = local.Replace(batch.Items, batch.Cursor)
 		} else {
-			changed = mine.Merge(b)
+			changed = local.Merge(batch)
 		}
 		if changed {
-			p.Log.Info("peers: changes taken over", "kind", b.Kind, "from", from, "revision", b.Cursor, "objects", len(b.Items))
-			p.OnChange(b.Kind)
+			p.Log.Info("peers: changes merged", "kind", batch.Kind, "from", from, "revision", batch.Cursor, "objects", len(batch.Items))
+			p.OnChange(batch.Kind)
 		}
 	}
 }
--- a/entry/gossip/pull_test.go
+++ b/entry/gossip/pull_test.go
@@ -8,9 +8,9 @@
 	"fuchsiashelf.dev/parts/mirror"
 )
 
-// Guards against a large configuration that an entry host fetches from all who
-// have it at once, over a link that carries it once in the time of an exchange.
-func TestChangesArePulledFromOneAtATime(t *testing.T) {
+// Guards against pulling a large configuration from several entry hosts at once over
+// a link that can carry it only once within the timeout of an exchange.
+func TestOnePullPerKind(t *testing.T) {
 	p := newPeer(1)
 	p.Mirrors = []*mirror.Mirror{{Kind: "config"}, {Kind: "servers"}}
 	p.init()
@@ -26,18 +26,17 @@
 	qt.Check(t, p.beginPull("config"), qt.IsTrue)
 }
 
-// Guards against regular exchanges that carry the same changes as the pull that
-// is under way.
-func TestBriefAnswersHaveNoChanges(t *testing.T) {
+// Guards against regular exchanges that carry the same changes as a pull in progress.
+func TestBriefResponsesHaveNoChanges(t *testing.T) {
 	p := newPeer(1)
 	config := &mirror.Mirror{Kind: "config"}
 	config.Replace([]mirror.Object{{Name: "main", Revision: 7}}, 7)
 	p.Mirrors = []*mirror.Mirror{config}
 	other := newPeer(2)
-	asked := &Message{From: other.Self, Cursors: map[string]uint64{"config": 3}}
-	qt.Check(t, p.Respond(asked).Changes, qt.HasLen, 1)
-	asked.Brief = true
-	answer := p.Respond(asked)
-	qt.Check(t, answer.Changes, qt.HasLen, 0)
-	qt.Check(t, answer.Cursors["config"], qt.Equals, uint64(7))
+	request := &Message{From: other.Self, Cursors: map[string]uint64{"config": 3}}
+	qt.Check(t, p.Respond(request).Changes, qt.HasLen, 1)
+	request.Brief = true
+	response := p.Respond(request)
+	qt.Check(t, response.Changes, qt.HasLen, 0)
+	qt.Check(t, response.Cursors["config"], qt.Equals, uint64(7))
 }
