--- a/entry/conns/conns.go
+++ b/entry/conns/conns.go
@@ -146,7 +146,7 @@
 			return nil, io.ErrUnexpectedEOF
 		}
 	}
-	return nil, errors.New("received only responses to other requests")
+	return nil, errors.New("only answers to other requests")
 }
 
 // Read reads the body. It notes the end, after which the connection may be reused.
--- a/entry/front/front.go
+++ b/entry/front/front.go
@@ -120,7 +120,7 @@
 	}
 	service, known := table.Services[matched.ServiceFor(rand.Float64())]
 	if !known {
-		return nil, &fault.Error{Code: fault.NoServer, Verdict: fault.NotRun, Message: "service of the route does not exist", RetryAfter: time.Second}
+		return nil, &fault.Error{Code: fault.NoServer, Verdict: fault.NotRun, Message: "the route's service is unknown", RetryAfter: time.Second}
 	}
 	j.Service = &service
 	if service.Engine != nil && h.RefuseStreams.Load() {
@@ -134,7 +134,7 @@
 	}
 	j.Fingerprint = poison.NewFingerprint(j.Team, req.Method, req.Host, req.Target, string(req.Body))
 	if h.Tally.Blocked(j.Fingerprint, start) {
-		return j, &fault.Error{Code: fault.ServerFailed, Verdict: fault.MayHaveRun, Message: "every backend server that ran the request crashed"}
+		return j, &fault.Error{Code: fault.ServerFailed, Verdict: fault.MayHaveRun, Message: "each server that ran the request died"}
 	}
 	return j, nil
 }
@@ -174,10 +174,10 @@
 	data, err := io.ReadAll(src)
 	var tooLarge *http.MaxBytesError
 	if errors.As(err, &tooLarge) {
-		return nil, &fault.Error{Code: fault.TooLarge, Verdict: fault.NotRun, Message: "request body too large"}
+		return nil, &fault.Error{Code: fault.TooLarge, Verdict: fault.NotRun, Message: "the body is too large"}
 	}
 	if err != nil {
-		return nil, &fault.Error{Code: fault.BadRequest, Verdict: fault.NotRun, Message: "reading request body failed", Cause: err}
+		return nil, &fault.Error{Code: fault.BadRequest, Verdict: fault.NotRun, Message: "the body could not be read", Cause: err}
 	}
 	if err := control.SetReadDeadline(time.Time{}); err != nil {
 		return nil, &fault.Error{Code: fault.Internal, Verdict: fault.NotRun, Cause: err}
--- a/entry/unary/unary.go
+++ b/entry/unary/unary.go
@@ -193,14 +193,14 @@
 	if len(a.body) == maxBufferedBody && j.Route.Kind != route.Idempotent {
 		a.rest = resp
 	} else if len(a.body) == maxBufferedBody {
-		a.err = &fault.Error{Code: fault.BrokenAnswer, Verdict: fault.MayHaveRun, Message: "response body too large to buffer", Server: server.ID}
+		a.err = &fault.Error{Code: fault.BrokenAnswer, Verdict: fault.MayHaveRun, Message: "the answer is too large", Server: server.ID}
 		resp.Close()
 		return a
 	} else {
 		resp.Close()
 	}
 	if reply.NotRun {
-		a.err = &fault.Error{Code: fault.ServerRefused, Verdict: fault.NotRun, Message: "backend server refused the request", Server: server.ID, RetryAfter: refusalRetryAfter}
+		a.err = &fault.Error{Code: fault.ServerRefused, Verdict: fault.NotRun, Message: "the backend server refused", Server: server.ID, RetryAfter: refusalRetryAfter}
 	}
 	return a
 }
@@ -213,7 +213,7 @@
 	return max(minConnectTimeout, time.Duration(connectTimeoutShare*float64(r.Target)))
 }
 
-var errAttemptTimeout = errors.New("no response within the attempt timeout")
+var errAttemptTimeout = errors.New("silent for too long")
 
 // writeResponse writes a backend server's response to the caller.
 func (f *Forwarder) writeResponse(w http.ResponseWriter, out call.Outcome, j *call.Job, a attempt) call.Outcome {
@@ -221,7 +221,7 @@
 	if call.StatusMeansNotRun(a.reply.Status) {
 		// The status would promise that the request did not run, which the server did
 		// not confirm.
-		e := &fault.Error{Code: fault.ServerFailed, Verdict: fault.MayHaveRun, Message: "backend server failed", Server: out.Server}
+		e := &fault.Error{Code: fault.ServerFailed, Verdict: fault.MayHaveRun, Message: "the backend server failed", Server: out.Server}
 		out.Error = e
 		out.Status = call.WriteError(w, f.Codec, e)
 		return out
