--- /dev/null
+++ b/entry/conns/conns.go
@@ -0,0 +1,303 @@
+// Package conns keeps a pool of connections to backend servers.
+//
+// It builds on net/http's reading and writing of messages but not on its client,
+// which resends some requests when a reused connection turns out to be closed, so
+// that an at-most-once request could run twice. Here a request is written once, and
+// an error says whether any of it was written.
+//
+// A backend server may send a second, late response where the next one is expected on
+// the same connection. A response to another request is skipped, and a connection
+// with bytes after a response is not reused.
+package conns
+
+import (
+	"bufio"
+	"cmp"
+	"context"
+	"errors"
+	"io"
+	"net"
+	"net/http"
+	"sync"
+	"syscall"
+	"time"
+
+	"fuchsiashelf.dev/parts/fault"
+)
+
+// Timeouts and limits.
+const (
+	// dialTimeout limits the time to connect, which usually takes a millisecond. A
+	// lost SYN is retransmitted after a second; by then another server can respond.
+	dialTimeout = 600 * time.Millisecond
+	// userTimeout is how long sent bytes may stay unacknowledged before the kernel
+	// closes the connection. A network partition sends no reset.
+	userTimeout = 1500 * time.Millisecond
+	// defaultIdleTimeout is the idle timeout of a backend server that does not
+	// announce one.
+	defaultIdleTimeout = 4 * time.Second
+	// idleTimeoutShare is the part of the server's idle timeout for which a
+	// connection is reused, so that a request is not sent while the server closes it.
+	idleTimeoutShare = 0.7
+	// maxResponses limits the responses that are read for one request: interim
+	// responses and those to other requests are skipped.
+	maxResponses = 3
+)
+
+// Pool keeps idle connections to backend servers. The zero value is ready to use.
+type Pool struct {
+	mu   sync.Mutex
+	idle map[string][]*conn
+}
+
+// conn is a connection to a backend server. expires and idleSince are set when it
+// becomes idle.
+type conn struct {
+	net.Conn
+	br        *bufio.Reader
+	expires   time.Time
+	idleSince time.Time
+}
+
+// ResponseInfo is what the caller of a Pool reads from a response header.
+type ResponseInfo struct {
+	// OtherRequest says that the response belongs to another request.
+	OtherRequest bool
+	// Close says that the connection must not be reused.
+	Close bool
+	// IdleTimeout is how long the server keeps an idle connection; zero if unknown.
+	IdleTimeout time.Duration
+}
+
+// Response is a response whose header has been read.
+type Response struct {
+	*http.Response
+	pool    *Pool
+	address string
+	conn    *conn
+	info    ResponseInfo
+	stop    func() bool
+	eof     bool
+	once    sync.Once
+}
+
+// Options holds the options of one request.
+type Options struct {
+	// MaxIdle limits how long a reused connection has been idle; zero means no limit.
+	// If the server has closed a reused connection, it is unknown whether the request
+	// ran.
+	MaxIdle time.Duration
+	// NewConn forces a new connection.
+	NewConn bool
+	// DialTimeout limits the time to connect; zero means dialTimeout.
+	DialTimeout time.Duration
+	// Inspect reads a response header.
+	Inspect func(*http.Response) ResponseInfo
+}
+
+// Do writes a request and reads the header of the response. The end of the context
+// also ends the response by closing its connection. An error is a *fault.Error, whose
+// verdict is NotRun if nothing was written.
+func (p *Pool) Do(ctx context.Context, address string, req *http.Request, o Options) (*Response, error) {
+	c, err := p.get(ctx, address, o)
+	if err != nil {
+		return nil, &fault.Error{Code: fault.ServerFailed, Verdict: fault.NotRun, Message: "no connection", Server: address, Cause: err}
+	}
+	stop := context.AfterFunc(ctx, func() { c.Close() })
+	resp, err := p.exchange(c, req, o)
+	if err != nil {
+		stop()
+		c.Close()
+		if ctx.Err() != nil {
+			err = errors.Join(context.Cause(ctx), err)
+		}
+		return nil, &fault.Error{Code: fault.ServerFailed, Verdict: fault.MayHaveRun, Message: "no answer", Server: address, Cause: err}
+	}
+	resp.pool, resp.address, resp.stop = p, address, stop
+	return resp, nil
+}
+
+// exchange writes a request and reads up to the header of its response.
+func (p *Pool) exchange(c *conn, req *http.Request, o Options) (*Response, error) {
+	// Header and body are written at once, to be sent in one packet if they fit.
+	bw := bufio.NewWriterSize(c.Conn, 2048+int(min(req.ContentLength, 32<<10)))
+	if err := req.Write(bw); err != nil {
+		return nil, err
+	}
+	if err := bw.Flush(); err != nil {
+		return nil, err
+	}
+	for range maxResponses {
+		resp, err := http.ReadResponse(c.br, req)
+		if err != nil {
+			return nil, err
+		}
+		if resp.StatusCode < http.StatusOK {
+			continue
+		}
+		info := o.Inspect(resp)
+		if !info.OtherRequest {
+			return &Response{Response: resp, conn: c, info: info}, nil
+		}
+		if _, err := io.Copy(io.Discard, resp.Body); err != nil {
+			return nil, err
+		}
+		if resp.Close {
+			return nil, io.ErrUnexpectedEOF
+		}
+	}
+	return nil, errors.New("only answers to other requests")
+}
+
+// Read reads the body. It notes the end, after which the connection may be reused.
+func (r *Response) Read(b []byte) (int, error) {
+	n, err := r.Body.Read(b)
+	if err == io.EOF {
+		r.eof = true
+	}
+	return n, err
+}
+
+// Close returns the connection to the pool if the body was read to its end. Otherwise
+// it closes the connection, which tells the backend server to stop.
+func (r *Response) Close() {
+	r.once.Do(func() {
+		open := r.stop()
+		reuse := open && r.eof && !r.Response.Close && !r.info.Close && r.conn.br.Buffered() == 0
+		if !reuse {
+			r.conn.Close()
+			return
+		}
+		r.pool.put(r.address, r.conn, r.info.IdleTimeout)
+	})
+}
+
+// Reset closes the connection. It may be called while another goroutine is reading
+// from it.
+func (r *Response) Reset() {
+	r.conn.Close()
+}
+
+// get returns a reusable idle connection or dials a new one.
+func (p *Pool) get(ctx context.Context, address string, o Options) (*conn, error) {
+	now := time.Now()
+	for !o.NewConn {
+		c := p.pop(address)
+		if c == nil {
+			break
+		}
+		stale := now.After(c.expires) || o.MaxIdle > 0 && now.Sub(c.idleSince) > o.MaxIdle
+		if !stale && reusable(c.Conn) {
+			return c, nil
+		}
+		c.Close()
+	}
+	return dial(ctx, address, cmp.Or(o.DialTimeout, dialTimeout))
+}
+
+// pop removes the most recently used idle connection to an address and returns it.
+func (p *Pool) pop(address string) *conn {
+	p.mu.Lock()
+	defer p.mu.Unlock()
+	list := p.idle[address]
+	if len(list) == 0 {
+		return nil
+	}
+	c := list[len(list)-1]
+	p.idle[address] = list[:len(list)-1]
+	return c
+}
+
+// put adds an idle connection.
+func (p *Pool) put(address string, c *conn, idle time.Duration) {
+	if idle <= 0 {
+		idle = defaultIdleTimeout
+	}
+	c.idleSince = time.Now()
+	c.expires = c.idleSince.Add(time.Duration(float64(idle) * idleTimeoutShare))
+	p.mu.Lock()
+	defer p.mu.Unlock()
+	if p.idle == nil {
+		p.idle = map[string][]*conn{}
+	}
+	p.idle[address] = append(p.idle[address], c)
+}
+
+// CloseIdle closes the idle connections to an address, for example because the server
+// there does not respond.
+func (p *Pool) CloseIdle(address string) {
+	p.mu.Lock()
+	list := p.idle[address]
+	delete(p.idle, address)
+	p.mu.Unlock()
+	for _, c := range list {
+		c.Close()
+	}
+}
+
+// CloseExpired closes the connections that have been idle for too long.
+func (p *Pool) CloseExpired(now time.Time) {
+	var expired []*conn
+	p.mu.Lock()
+	for address, list := range p.idle {
+		var kept []*conn
+		for _, c := range list {
+			if now.After(c.expires) {
+				expired = append(expired, c)
+				continue
+			}
+			kept = append(kept, c)
+		}
+		p.idle[address] = kept
+		if len(kept) == 0 {
+			delete(p.idle, address)
+		}
+	}
+	p.mu.Unlock()
+	for _, c := range expired {
+		c.Close()
+	}
+}
+
+func dial(ctx context.Context, address string, timeout time.Duration) (*conn, error) {
+	d := net.Dialer{Timeout: timeout, KeepAlive: -1, Control: SetUserTimeout}
+	c, err := d.DialContext(ctx, "tcp", address)
+	if err != nil {
+		return nil, err
+	}
+	return &conn{Conn: c, br: bufio.NewReader(c)}, nil
+}
+
+// tcpUserTimeout is TCP_USER_TIMEOUT, which the standard library does not define on
+// all systems.
+const tcpUserTimeout = 0x12
+
+// SetUserTimeout makes the kernel close a connection whose sent bytes stay
+// unacknowledged for userTimeout. It is meant for [net.Dialer.Control].
+func SetUserTimeout(_, _ string, raw syscall.RawConn) error {
+	var optErr error
+	err := raw.Control(func(fd uintptr) {
+		optErr = syscall.SetsockoptInt(int(fd), syscall.IPPROTO_TCP, tcpUserTimeout, int(userTimeout.Milliseconds()))
+	})
+	return errors.Join(err, optErr)
+}
+
+// reusable reports whether an idle connection is open and has no unread bytes.
+func reusable(c net.Conn) bool {
+	sc, ok := c.(syscall.Conn)
+	if !ok {
+		return true
+	}
+	raw, err := sc.SyscallConn()
+	if err != nil {
+		return false
+	}
+	clean := false
+	err = raw.Read(func(fd uintptr) bool {
+		var b [1]byte
+		_, _, err := syscall.Recvfrom(int(fd), b[:], syscall.MSG_PEEK|syscall.MSG_DONTWAIT)
+		clean = errors.Is(err, syscall.EAGAIN)
+		return true
+	})
+	return err == nil && clean
+}
--- a/entry/front/front.go
+++ b/entry/front/front.go
@@ -1,10 +1,9 @@
-// Package front serves callers over HTTP: it finds out where a request
-// belongs, refuses what may not pass, and hands the rest to a flow.
+// Package front serves callers over HTTP: it finds the route of a request, rejects
+// requests that may not be served, and passes the others to a forwarder.
 //
-// It runs on net/http, not on hertz: a caller that leaves while its answer is
-// awaited must be noticed at once, so that backend servers stop working for
-// nobody, and hertz does so only on its own transport, which polls descriptors
-// in ways that small hosts do not allow.
+// It runs on net/http rather than hertz: backend servers must stop working as soon as
+// the caller disconnects. Hertz notices that only on its own transport, which polls
+// descriptors in ways that small hosts do not allow.
 package front
 
 import (
@@ -24,12 +23,12 @@
 	"fuchsiashelf.dev/parts/route"
 )
 
-// Forwarder passes a request on and answers the caller.
+// Forwarder forwards a request and writes the response to the caller.
 type Forwarder interface {
 	Serve(ctx context.Context, w http.ResponseWriter, j *call.Job) call.Outcome
 }
 
-// Handler answers callers. Set the exported fields before use.
+// Handler serves callers. Set the exported fields before use.
 type Handler struct {
 	Codec call.Codec
 	State *state.Local
@@ -37,27 +36,28 @@
 	Streams, Plain Forwarder
 	Log            *slog.Logger
 	Meter          *Meter
-	// Tally holds the requests under which servers died.
+	// Tally counts the crashes of servers per request.
 	Tally *poison.Counter
-	// CloseConns says that the process is about to end: connections are closed
-	// after their answers.
+	// CloseConns is set when the process is about to stop: connections are closed
+	// after their responses.
 	CloseConns atomic.Bool
-	// RefuseStreams says that the process ends before a stream that comes now would:
-	// it is refused, so that its caller goes elsewhere at once instead of being
-	// cut off in the midst of its answer. RefuseAll says the same of all requests.
+	// RefuseStreams is set when a new stream would not end before the process stops:
+	// it is refused, so that its caller goes to another entry host at once instead of
+	// being cut off in the middle of the response. RefuseAll does the same for all
+	// requests.
 	RefuseStreams, RefuseAll atomic.Bool
-	// RetryAfter returns when a caller that was refused for that reason should
-	// come again: when another entry host is likely to take it.
+	// RetryAfter returns the retryAfter of such a refusal: when another entry host is
+	// likely to accept the caller.
 	RetryAfter func() time.Duration
 
 	active atomic.Int64
 }
 
-// longest bounds requests of which neither caller nor route says how long
-// they may take.
-const longest = 10 * time.Minute
+// maxRequestTime limits requests for which neither the caller nor the route sets a
+// timeout.
+const maxRequestTime = 10 * time.Minute
 
-// Active returns the number of requests under way.
+// Active returns the number of requests in progress.
 func (h *Handler) Active() int64 {
 	return h.active.Load()
 }
@@ -70,48 +70,49 @@
 		w.Header().Set("Connection", "close")
 	}
 	start := time.Now()
-	j, err := h.job(w, r, start)
+	j, err := h.newJob(w, r, start)
 	if err != nil {
 		e := fault.As(err)
 		out := call.Outcome{Error: e, Status: call.WriteError(w, h.Codec, e)}
-		h.note(j, r, out, start)
+		h.record(j, r, out, start)
 		return
 	}
-	flow := h.Plain
+	forwarder := h.Plain
 	if j.Service.Engine != nil {
-		flow = h.Streams
+		forwarder = h.Streams
 	}
-	out := flow.Serve(r.Context(), w, j)
+	out := forwarder.Serve(r.Context(), w, j)
 	if out.Error == nil && !out.Truncated {
 		h.Tally.RecordSuccess(j.Fingerprint, time.Now())
 	}
-	h.note(j, r, out, start)
+	h.record(j, r, out, start)
 	if out.Truncated {
-		// The connection is closed, so that a half answer looks like one.
+		// The connection is closed, so that the caller notices the truncated
+		// response.
 		panic(http.ErrAbortHandler)
 	}
 }
 
-// job reads a request and finds out where it belongs.
-func (h *Handler) job(w http.ResponseWriter, r *http.Request, start time.Time) (*call.Job, error) {
+// newJob reads a request and finds its route, team and service.
+func (h *Handler) newJob(w http.ResponseWriter, r *http.Request, start time.Time) (*call.Job, error) {
 	if h.RefuseAll.Load() {
-		return nil, h.ends()
+		return nil, h.draining()
 	}
 	table := h.State.Table()
 	if table == nil {
 		return nil, &fault.Error{Code: fault.NoServer, Verdict: fault.NotRun, Message: "no configuration is known yet", RetryAfter: time.Second}
 	}
-	ask, err := h.Codec.ParseRequest(r)
+	req, err := h.Codec.ParseRequest(r)
 	if err != nil {
 		return nil, err
 	}
-	matched := table.Match(ask.Host, ask.Path)
+	matched := table.Match(req.Host, req.Path)
 	if matched == nil {
 		return nil, &fault.Error{Code: fault.NoRoute, Verdict: fault.NotRun, Message: "no route"}
 	}
-	j := &call.Job{Request: ask, Route: matched, Version: table.Version, Priority: matched.Priority}
+	j := &call.Job{Request: req, Route: matched, Version: table.Version, Priority: matched.Priority}
 	if table.NeedsKey(matched) {
-		team := table.Team(ask.Key)
+		team := table.Team(req.Key)
 		if team == nil {
 			return nil, &fault.Error{Code: fault.Unauthorized, Verdict: fault.NotRun, Message: "unknown key"}
 		}
@@ -123,54 +124,56 @@
 	}
 	j.Service = &service
 	if service.Engine != nil && h.RefuseStreams.Load() {
-		return j, h.ends()
+		return j, h.draining()
 	}
-	j.Deadline = start.Add(patience(ask, matched))
-	ask.Body, err = body(w, r, table.Limits, j.Deadline)
-	ask.Arrived = start
+	j.Deadline = start.Add(requestTimeout(req, matched))
+	req.Body, err = readBody(w, r, table.Limits, j.Deadline)
+	req.Arrived = start
 	if err != nil {
 		return j, err
 	}
-	j.Fingerprint = poison.NewFingerprint(j.Team, ask.Method, ask.Host, ask.Target, string(ask.Body))
+	j.Fingerprint = poison.NewFingerprint(j.Team, req.Method, req.Host, req.Target, string(req.Body))
 	if h.Tally.Blocked(j.Fingerprint, start) {
 		return j, &fault.Error{Code: fault.ServerFailed, Verdict: fault.MayHaveRun, Message: "each server that ran the request died"}
 	}
 	return j, nil
 }
 
-// ends refuses a request that this process would not live to answer.
-func (h *Handler) ends() *fault.Error {
+// draining returns the refusal of a request that could not end before this process
+// stops.
+func (h *Handler) draining() *fault.Error {
 	return &fault.Error{Code: fault.Draining, Verdict: fault.NotRun, Message: "this entry host ends", RetryAfter: h.RetryAfter()}
 }
 
-func patience(a *call.Request, r *route.Route) time.Duration {
-	wait := longest
-	if a.Timeout > 0 {
-		wait = min(wait, a.Timeout)
+// requestTimeout returns the timeout of a request.
+func requestTimeout(req *call.Request, r *route.Route) time.Duration {
+	timeout := maxRequestTime
+	if req.Timeout > 0 {
+		timeout = min(timeout, req.Timeout)
 	}
 	if r.Timeout > 0 {
-		wait = min(wait, r.Timeout)
+		timeout = min(timeout, r.Timeout)
 	}
-	return wait
+	return timeout
 }
 
-// body reads a request's body, which a caller may send slowly, but not beyond
-// the request's time.
-func body(w http.ResponseWriter, r *http.Request, limits route.Limits, until time.Time) ([]byte, error) {
+// readBody reads a request body. A caller may send it slowly, but not beyond the
+// deadline of the request.
+func readBody(w http.ResponseWriter, r *http.Request, limits route.Limits, deadline time.Time) ([]byte, error) {
 	if r.ContentLength == 0 {
 		return nil, nil
 	}
 	control := http.NewResponseController(w)
-	if err := control.SetReadDeadline(until); err != nil {
+	if err := control.SetReadDeadline(deadline); err != nil {
 		return nil, &fault.Error{Code: fault.Internal, Verdict: fault.NotRun, Cause: err}
 	}
-	from := io.Reader(r.Body)
+	src := io.Reader(r.Body)
 	if limits.BodyBytes > 0 {
-		from = http.MaxBytesReader(w, r.Body, int64(limits.BodyBytes))
+		src = http.MaxBytesReader(w, r.Body, int64(limits.BodyBytes))
 	}
-	read, err := io.ReadAll(from)
-	var large *http.MaxBytesError
-	if errors.As(err, &large) {
+	data, err := io.ReadAll(src)
+	var tooLarge *http.MaxBytesError
+	if errors.As(err, &tooLarge) {
 		return nil, &fault.Error{Code: fault.TooLarge, Verdict: fault.NotRun, Message: "the body is too large"}
 	}
 	if err != nil {
@@ -179,15 +182,14 @@
 	if err := control.SetReadDeadline(time.Time{}); err != nil {
 		return nil, &fault.Error{Code: fault.Internal, Verdict: fault.NotRun, Cause: err}
 	}
-	return read, nil
+	return data, nil
 }
 
-// note counts a request and logs how it ended. Plain successes have a line of
-// their own kind, so that the bound on the lines of a kind never hides a
-// failure behind them.
-func (h *Handler) note(j *call.Job, r *http.Request, out call.Outcome, start time.Time) {
+// record counts a request and logs its outcome. Ordinary successes have a message of
+// their own, so that the limit on log lines per message never suppresses a failure.
+func (h *Handler) record(j *call.Job, r *http.Request, out call.Outcome, start time.Time) {
 	took := time.Since(start)
-	h.Meter.note(j, out, took)
+	h.Meter.record(j, out, took)
 	late := lateness(j, out)
 	attrs := []any{"status", out.Status, "took", took, "first", out.TimeToFirstByte}
 	if j != nil {
@@ -209,28 +211,27 @@
 	h.Log.Info("request: ended", attrs...)
 }
 
-// What may be late of an answer, as logs name it.
+// Values of the log attribute "late".
 const (
-	onTime     = "no"
-	lateFirst  = "first"
-	latePaused = "pause"
+	onTime    = "no"
+	lateFirst = "first"
+	lateGap   = "pause"
 )
 
-// lateness says what of an answer was later than its route's objectives.
+// lateness returns which objective of its route a response missed.
 func lateness(j *call.Job, out call.Outcome) string {
 	switch {
 	case j == nil:
 		return onTime
-	case over(out.TimeToFirstByte, j.Route.Target):
+	case exceeds(out.TimeToFirstByte, j.Route.Target):
 		return lateFirst
-	case over(out.LongestGap, j.Route.MaxGap):
-		return latePaused
+	case exceeds(out.LongestGap, j.Route.MaxGap):
+		return lateGap
 	}
 	return onTime
 }
 
-// over reports whether a time is beyond what counts as on time, if anything
-// does.
-func over(took, target time.Duration) bool {
+// exceeds reports whether a duration exceeds its target; zero means no target.
+func exceeds(took, target time.Duration) bool {
 	return target > 0 && took > target
 }
--- a/entry/gossip/codec.go
+++ b/entry/gossip/codec.go
@@ -12,27 +12,29 @@
 	"storj.io/drpc"
 )
 
+// Sizes in bytes.
 const (
-	// deflateFrom is the size from which a message is deflated: a configuration
+	// minDeflateSize is the smallest message size that is compressed: a configuration
 	// with thousands of routes, sent to a dozen entry hosts at once, would occupy a
-	// slow link for longer than an exchange may take.
-	deflateFrom = 2 << 10
-	// largest bounds a message, so that a small one cannot fill the memory.
-	largest = 32 << 20
+	// slow link for longer than the timeout of an exchange.
+	minDeflateSize = 2 << 10
+	// maxMessageSize limits a decompressed message, so that a small one cannot
+	// exhaust the memory.
+	maxMessageSize = 32 << 20
 )
 
-// The first byte of a message says how the rest is written.
+// Formats of a message, given by its first byte.
 const (
-	plainForm byte = iota
-	deflatedForm
+	formatPlain byte = iota
+	formatDeflate
 )
 
 var (
-	errEmpty = errors.New("gossip: empty message")
-	errLarge = errors.New("gossip: message too large")
+	errEmpty    = errors.New("gossip: empty message")
+	errTooLarge = errors.New("gossip: message too large")
 )
 
-// deflaters reuses writers, whose tables are large.
+// deflaters reuses writers because of their large tables.
 var deflaters = sync.Pool{New: func() any {
 	w, err := flate.NewWriter(io.Discard, flate.BestSpeed)
 	if err != nil {
@@ -41,7 +43,7 @@
 	return w
 }}
 
-// codec writes messages as CBOR, and deflates large ones.
+// codec encodes messages as CBOR and compresses large ones.
 type codec struct{}
 
 // Marshal implements drpc.Encoding.
@@ -50,11 +52,11 @@
 	if err != nil {
 		return nil, err
 	}
-	if len(body) < deflateFrom {
-		return append([]byte{plainForm}, body...), nil
+	if len(body) < minDeflateSize {
+		return append([]byte{formatPlain}, body...), nil
 	}
 	var out bytes.Buffer
-	out.WriteByte(deflatedForm)
+	out.WriteByte(formatDeflate)
 	w := deflaters.Get().(*flate.Writer)
 	defer deflaters.Put(w)
 	w.Reset(&out)
@@ -72,28 +74,29 @@
 	if len(b) == 0 {
 		return errEmpty
 	}
-	switch form, body := b[0], b[1:]; form {
-	case plainForm:
+	switch format, body := b[0], b[1:]; format {
+	case formatPlain:
 		return cbor.Unmarshal(body, m)
-	case deflatedForm:
+	case formatDeflate:
 		plain, err := inflate(body)
 		if err != nil {
 			return err
 		}
 		return cbor.Unmarshal(plain, m)
 	default:
-		return fmt.Errorf("gossip: unknown form %d of a message", form)
+		return fmt.Errorf("gossip: unknown message format %d", format)
 	}
 }
 
+// inflate decompresses a message body.
 func inflate(body []byte) ([]byte, error) {
 	r := flate.NewReader(bytes.NewReader(body))
-	plain, err := io.ReadAll(io.LimitReader(r, largest+1))
+	plain, err := io.ReadAll(io.LimitReader(r, maxMessageSize+1))
 	if err != nil {
 		return nil, fmt.Errorf("gossip: inflate: %w", err)
 	}
-	if len(plain) > largest {
-		return nil, errLarge
+	if len(plain) > maxMessageSize {
+		return nil, errTooLarge
 	}
 	return plain, nil
 }
--- /dev/null
+++ b/entry/gossip/leader.go
@@ -0,0 +1,54 @@
+package gossip
+
+import "time"
+
+// settleTime is how long a new entry host listens before it takes hosts without
+// messages for absent. A live host may send none for that long.
+const settleTime = aliveFor
+
+// Settled reports whether this entry host has listened long enough to know which
+// members are absent. Until then it takes no exclusive role: after a power failure
+// all hosts would take it at once.
+func (p *Peer) Settled() bool {
+	p.init()
+	p.mu.Lock()
+	defer p.mu.Unlock()
+	return p.settled || time.Since(p.started) >= settleTime
+}
+
+// IsLeader reports whether this entry host places layers. The leader is the first by
+// name of the hosts that the object API answers, or of all hosts if it answers none.
+func (p *Peer) IsLeader() bool {
+	if p.Leaving() || !p.Settled() {
+		return false
+	}
+	storeUp := p.StoreUp()
+	for _, m := range p.Alive() {
+		if m.Store && !storeUp {
+			return false
+		}
+		if m.Store == storeUp && m.Name < p.Self.Name {
+			return false
+		}
+	}
+	return true
+}
+
+// maxWatcherAge is the age of the last message from which a host is no longer relied
+// on as a watcher of the object API.
+const maxWatcherAge = 1200 * time.Millisecond
+
+// WatcherRank returns how many entry hosts of the failure domain precede this one in
+// the order in which they watch the object API. Hosts that the object API does not
+// answer count only while it does not answer this one either: then the first hosts
+// retry for all, and the others put no load on it.
+func (p *Peer) WatcherRank() int {
+	storeUp := p.StoreUp()
+	rank := 0
+	for _, m := range p.Alive() {
+		if m.Domain == p.Self.Domain && (m.Store || !storeUp) && m.Age < maxWatcherAge && m.Name < p.Self.Name {
+			rank++
+		}
+	}
+	return rank
+}
--- a/entry/state/publish.go
+++ b/entry/state/publish.go
@@ -8,130 +8,135 @@
 	"fuchsiashelf.dev/parts/mirror"
 )
 
-// show publishes changed entries, and drops what has expired meanwhile.
-func (s *Local) show(items []mirror.Object, now time.Time) {
-	ids, rebuild := s.expired(now)
+// publishChanges publishes changed entries and drops what has expired.
+func (s *Local) publishChanges(objects []mirror.Object, now time.Time) {
+	ids, rebuild := s.staleServers(now)
 	v := s.View()
-	for _, item := range items {
-		ids = append(ids, item.Name)
-		rebuild = rebuild || !s.indexed(v, item.Name)
+	for _, object := range objects {
+		ids = append(ids, object.Name)
+		rebuild = rebuild || !s.sameIndexKeys(v, object.Name)
 	}
-	s.refresh(ids, rebuild || len(v.Servers) != len(s.decoded)+len(s.lapsed), now)
+	s.update(ids, rebuild || len(v.Servers) != len(s.decoded)+len(s.expired), now)
 }
 
-// indexed reports whether the index of a view fits the entry of a server.
-func (s *Local) indexed(v *fleet.View, id string) bool {
+// sameIndexKeys reports whether a view indexes a server by the values of its current
+// entry.
+func (s *Local) sameIndexKeys(v *fleet.View, id string) bool {
 	shown := v.ByID(id)
-	k, known := s.decoded[id]
-	return shown != nil && known && k.server.Address == shown.Address && k.server.Service == shown.Service && k.server.StartedAt.Equal(shown.StartedAt)
+	current, known := s.decoded[id]
+	return shown != nil && known && current.server.Address == shown.Address && current.server.Service == shown.Service && current.server.StartedAt.Equal(shown.StartedAt)
 }
 
-// refresh publishes the view after some servers changed; rebuild says that servers
-// were added or removed. Rebuilding the view for each order, suspicion and pace of
-// thousands of servers takes seconds of processor time.
-func (s *Local) refresh(ids []string, rebuild bool, now time.Time) {
+// update publishes the view after the given servers changed; rebuild says that
+// servers were added or removed. Rebuilding the view for each change of a suspicion,
+// slowdown or assignment would take seconds of processor time with thousands of
+// servers.
+func (s *Local) update(ids []string, rebuild bool, now time.Time) {
 	if rebuild {
-		s.publish(now)
+		s.rebuildView(now)
 		return
 	}
 	v := s.View()
 	for _, id := range ids {
-		at, shown := v.Index(id)
+		i, shown := v.Index(id)
 		server, known := s.entry(id)
 		if !shown || !known {
-			s.expire(id, now)
+			s.dropExpired(id, now)
 			continue
 		}
-		s.adjustedServers[at] = s.adjusted(id, server, now)
+		s.adjustedServers[i] = s.adjusted(id, server, now)
 	}
-	s.store(v)
+	s.publish(v)
 }
 
-// expire drops an expired suspicion or order of a server that does not exist.
-func (s *Local) expire(id string, now time.Time) {
+// dropExpired drops an expired suspicion or assignment of a server that is not in the
+// view.
+func (s *Local) dropExpired(id string, now time.Time) {
 	if until, known := s.suspects[id]; known && !now.Before(until) {
 		delete(s.suspects, id)
 	}
-	if o, known := s.orders[id]; known && now.After(o.Until) {
-		delete(s.orders, id)
+	if a, known := s.assignments[id]; known && now.After(a.Until) {
+		delete(s.assignments, id)
 	}
 }
 
-// publish makes the view from the decoded entries, suspicions and orders.
-func (s *Local) publish(now time.Time) {
-	list := make([]*fleet.Server, 0, len(s.decoded)+len(s.lapsed))
-	for id, k := range s.decoded {
-		list = append(list, s.adjusted(id, k.server, now))
+// rebuildView builds the view from the decoded and the kept expired entries.
+func (s *Local) rebuildView(now time.Time) {
+	list := make([]*fleet.Server, 0, len(s.decoded)+len(s.expired))
+	for id, entry := range s.decoded {
+		list = append(list, s.adjusted(id, entry.server, now))
 	}
-	for id, k := range s.lapsed {
-		if now.Before(k.until) {
-			list = append(list, s.adjusted(id, k.server, now))
+	for id, entry := range s.expired {
+		if now.Before(entry.until) {
+			list = append(list, s.adjusted(id, entry.server, now))
 			continue
 		}
-		delete(s.lapsed, id)
+		delete(s.expired, id)
 	}
 	base := fleet.New(list)
 	s.adjustedServers = base.Servers
-	s.store(base)
+	s.publish(base)
 }
 
-// entry returns a server as its own entry shows it.
+// entry returns a server as its own entry describes it.
 func (s *Local) entry(id string) (fleet.Server, bool) {
-	if k, known := s.decoded[id]; known {
-		return k.server, true
+	if e, known := s.decoded[id]; known {
+		return e.server, true
 	}
-	k, kept := s.lapsed[id]
-	return k.server, kept
+	e, kept := s.expired[id]
+	return e.server, kept
 }
 
-// store publishes the adjusted servers. The view is one of the same servers.
-func (s *Local) store(of *fleet.View) {
-	list := s.away(slices.Clone(s.adjustedServers))
-	s.view.Store(of.WithStates(list))
+// publish stores a view of the adjusted servers, which must be those of the base
+// view.
+func (s *Local) publish(base *fleet.View) {
+	list := s.suspectPartitioned(slices.Clone(s.adjustedServers))
+	s.view.Store(base.WithStates(list))
 	if s.changed != nil {
 		close(s.changed)
 		s.changed = nil
 	}
 }
 
-// awayShare and awayLeast say from how many suspected servers on a failure
-// domain is taken to be cut off as a whole, which a partition shows sooner than
-// each of its servers.
+// A remote failure domain counts as partitioned when more than partitionShare of its
+// servers, and at least partitionMinSuspects, are suspected. This detects a partition
+// sooner than suspecting each server separately.
 const (
-	awayShare = 0.25
-	awayLeast = 3
+	partitionShare       = 0.25
+	partitionMinSuspects = 3
 )
 
-// Sweep drops suspicions, paces, orders and lapsed entries that have expired.
+// Sweep drops expired suspicions, slowdowns and assignments, and the kept servers
+// whose time is over.
 func (s *Local) Sweep(now time.Time) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
-	if ids, lapsed := s.expired(now); lapsed || len(ids) > 0 {
-		s.refresh(ids, lapsed, now)
+	if ids, rebuild := s.staleServers(now); rebuild || len(ids) > 0 {
+		s.update(ids, rebuild, now)
 	}
 }
 
-// expired returns the servers with an expired suspicion, pace or order, and whether
-// a server whose entry lapsed is to be removed.
-func (s *Local) expired(now time.Time) (ids []string, lapsed bool) {
+// staleServers returns the servers with an expired suspicion, slowdown or assignment,
+// and whether a kept server with an expired entry is to be removed.
+func (s *Local) staleServers(now time.Time) (ids []string, expired bool) {
 	for id, until := range s.suspects {
 		if !now.Before(until) {
 			ids = append(ids, id)
 		}
 	}
-	for id, slow := range s.slows {
-		if !now.Before(slow.Until) {
-			delete(s.slows, id)
+	for id, report := range s.slow {
+		if !now.Before(report.Until) {
+			delete(s.slow, id)
 			ids = append(ids, id)
 		}
 	}
-	for id, o := range s.orders {
-		if now.After(o.Until) {
+	for id, a := range s.assignments {
+		if now.After(a.Until) {
 			ids = append(ids, id)
 		}
 	}
-	for _, k := range s.lapsed {
-		lapsed = lapsed || !now.Before(k.until)
+	for _, e := range s.expired {
+		expired = expired || !now.Before(e.until)
 	}
-	return ids, lapsed
+	return ids, expired
 }
--- /dev/null
+++ b/entry/state/state.go
@@ -0,0 +1,278 @@
+// Package state maintains the local state that requests read: the configuration in
+// force and the view of the backend servers.
+//
+// Both are immutable and published through atomic pointers. The configuration never
+// goes back to an older version. A backend server whose entry disappears right after
+// an outage of the object API is kept for a while: entries expire during the outage,
+// and live servers register again.
+package state
+
+import (
+	"log/slog"
+	"slices"
+	"sync"
+	"sync/atomic"
+	"time"
+
+	"fuchsiashelf.dev/parts/domain"
+	"fuchsiashelf.dev/parts/fleet"
+	"fuchsiashelf.dev/parts/mirror"
+	"fuchsiashelf.dev/parts/route"
+)
+
+// Decoder decodes the objects of the object API.
+type Decoder interface {
+	Table(spec []byte) (*route.Table, error)
+	Server(id string, spec []byte) (fleet.Server, error)
+}
+
+// Timeouts and intervals.
+const (
+	// expiredGrace is how long a server is kept after its entry expired in an outage.
+	// The entries of live servers are back within two seconds of its end.
+	expiredGrace = 1900 * time.Millisecond
+	// recoveryWindow is how long after the end of an outage a missing entry counts as
+	// expired rather than removed.
+	recoveryWindow = 1500 * time.Millisecond
+	// probeWindow is how long it takes to probe the servers with expired entries.
+	probeWindow = 400 * time.Millisecond
+	// SuspectFor is how long a server is suspected after a failure. A crashed server
+	// returns under a new ID; one behind a partition answers a probe.
+	SuspectFor = 2 * time.Second
+)
+
+// Local is the state of one entry host. Set the exported fields before use.
+type Local struct {
+	Decoder Decoder
+	Log     *slog.Logger
+	// LocalDomain is the failure domain of this entry host.
+	LocalDomain domain.Name
+	// ProbeExpired is called with the address of each server whose entry expired.
+	// Servers that stopped during the outage do not answer the probe.
+	ProbeExpired func(address string)
+	// Config and Servers are the mirrors that the state is built from.
+	Config, Servers *mirror.Mirror
+
+	table atomic.Pointer[route.Table]
+	view  atomic.Pointer[fleet.View]
+
+	mu sync.Mutex
+	// decoded holds the listed servers by ID.
+	decoded map[string]decodedServer
+	// cursor is the position in the Servers mirror up to which entries are decoded.
+	cursor uint64
+	// expired holds the servers whose entries expired and that are still kept.
+	expired map[string]expiredServer
+	// lastExpiry is when entries last expired.
+	lastExpiry time.Time
+	// suspects holds the end of the suspicion of each suspected server.
+	suspects map[string]time.Time
+	// slow holds the slow servers by ID.
+	slow map[string]SlowServer
+	// assignments holds the assignments that the entries of their servers do not show
+	// yet.
+	assignments map[string]Assignment
+	// partitions holds until when a pair of failure domains counts as partitioned.
+	partitions map[[2]domain.Name]time.Time
+	// recoveredAt is when the object API last answered again after an outage.
+	recoveredAt time.Time
+	// adjustedServers are the servers of the view before suspectPartitioned is
+	// applied.
+	adjustedServers []*fleet.Server
+	// changed is closed and replaced when the view changes.
+	changed chan struct{}
+}
+
+// decodedServer is a server with the revision of its entry.
+type decodedServer struct {
+	revision uint64
+	server   fleet.Server
+}
+
+// expiredServer is a server whose entry expired, kept until the given time.
+type expiredServer struct {
+	server fleet.Server
+	until  time.Time
+}
+
+// Table returns the configuration in force, or nil if there is none yet.
+func (s *Local) Table() *route.Table {
+	return s.table.Load()
+}
+
+// View returns the current view of the backend servers.
+func (s *Local) View() *fleet.View {
+	if v := s.view.Load(); v != nil {
+		return v
+	}
+	return fleet.New(nil)
+}
+
+// Changed returns a channel that is closed at the next change of the view.
+func (s *Local) Changed() <-chan struct{} {
+	s.mu.Lock()
+	defer s.mu.Unlock()
+	if s.changed == nil {
+		s.changed = make(chan struct{})
+	}
+	return s.changed
+}
+
+// StoreRecovered records that the object API answers again after an outage.
+func (s *Local) StoreRecovered(now time.Time) {
+	s.mu.Lock()
+	defer s.mu.Unlock()
+	s.recoveredAt = now
+}
+
+// Probing reports whether the servers with expired entries are being probed. Those
+// that do not answer are suspected by the end of the probe window.
+func (s *Local) Probing(now time.Time) bool {
+	s.mu.Lock()
+	defer s.mu.Unlock()
+	return now.Before(s.lastExpiry.Add(probeWindow))
+}
+
+// KeepsExpired reports whether any server with an expired entry is kept.
+func (s *Local) KeepsExpired() bool {
+	s.mu.Lock()
+	defer s.mu.Unlock()
+	return len(s.expired) > 0
+}
+
+// ReadConfig applies the named configuration of the Config mirror.
+func (s *Local) ReadConfig(name string) {
+	for _, object := range s.Config.Items() {
+		if object.Name != name {
+			continue
+		}
+		t, err := s.Decoder.Table(object.Spec)
+		if err != nil {
+			s.Log.Error("config: unreadable configuration ignored", "revision", object.Revision, "error", err)
+			return
+		}
+		s.applyTable(t, object.Revision)
+	}
+}
+
+// applyTable puts a configuration in force if its version is newer.
+func (s *Local) applyTable(t *route.Table, revision uint64) {
+	s.mu.Lock()
+	defer s.mu.Unlock()
+	old := s.table.Load()
+	if old != nil && t.Version <= old.Version {
+		return
+	}
+	t.Index()
+	s.table.Store(t)
+	s.Log.Info("config: taken", "version", t.Version, "revision", revision, "routes", len(t.Routes), "teams", len(t.Teams))
+}
+
+// ReadServers applies the changes of the Servers mirror.
+func (s *Local) ReadServers(now time.Time) {
+	s.mu.Lock()
+	changes, complete := s.Servers.Since(s.cursor)
+	s.cursor = changes.Cursor
+	removed := s.decode(changes.Items)
+	if complete {
+		removed = s.notListed(changes.Items)
+	}
+	expired := s.remove(removed, now)
+	s.publishChanges(changes.Items, now)
+	s.mu.Unlock()
+	for _, address := range expired {
+		s.ProbeExpired(address)
+	}
+}
+
+// decode decodes changed entries and returns the IDs of the removed servers.
+func (s *Local) decode(objects []mirror.Object) (removed []string) {
+	if s.decoded == nil {
+		s.decoded = map[string]decodedServer{}
+		s.expired = map[string]expiredServer{}
+	}
+	// A server that restarted under its ID has both a deletion and an entry among the
+	// changes, and the deletion does not necessarily have the lower revision.
+	present := map[string]bool{}
+	for _, object := range objects {
+		old, known := s.decoded[object.Name]
+		if known && old.revision == object.Revision {
+			continue
+		}
+		if object.Deleted {
+			removed = append(removed, object.Name)
+			continue
+		}
+		server, err := s.Decoder.Server(object.Name, object.Spec)
+		if err != nil {
+			// One malformed entry must not hold up the others.
+			s.Log.Warn("servers: unreadable entry ignored", "server", object.Name, "revision", object.Revision, "error", err)
+			removed = append(removed, object.Name)
+			continue
+		}
+		if known && server.StartedAt.After(old.server.StartedAt) {
+			// The new run holds no layers, and what was known of the old run does not
+			// apply to it.
+			delete(s.assignments, object.Name)
+			delete(s.suspects, object.Name)
+			s.Log.Info("servers: restarted", "server", server.ID, "address", server.Address, "revision", object.Revision)
+		}
+		s.logChanges(old.server, server, known, object.Revision)
+		s.decoded[object.Name] = decodedServer{revision: object.Revision, server: server}
+		delete(s.expired, object.Name)
+		present[object.Name] = true
+	}
+	return slices.DeleteFunc(removed, func(id string) bool { return present[id] })
+}
+
+// notListed returns the IDs of decoded servers that a complete list does not contain
+// at the revision at which they were decoded.
+func (s *Local) notListed(objects []mirror.Object) (removed []string) {
+	listed := make(map[string]uint64, len(objects))
+	for _, object := range objects {
+		listed[object.Name] = object.Revision
+	}
+	for id, server := range s.decoded {
+		if listed[id] != server.revision {
+			removed = append(removed, id)
+		}
+	}
+	return removed
+}
+
+// remove drops the given servers and keeps those whose entries expired in an outage.
+// It returns the addresses of the servers whose entries have just expired.
+func (s *Local) remove(removed []string, now time.Time) (expired []string) {
+	removed = slices.DeleteFunc(removed, func(id string) bool {
+		_, known := s.decoded[id]
+		return !known
+	})
+	// Many entries that disappear at once expired in an outage of the object API,
+	// which this entry host need not have seen itself.
+	outage := now.Before(s.recoveredAt.Add(recoveryWindow)) || len(removed) > 2 && len(removed)*4 > len(s.decoded)
+	for _, id := range removed {
+		old := s.decoded[id].server
+		delete(s.decoded, id)
+		if outage && !old.Leaving {
+			s.expired[id] = expiredServer{server: old, until: now.Add(expiredGrace)}
+			s.lastExpiry = now
+			expired = append(expired, old.Address)
+		}
+		s.Log.Info("servers: gone", "server", id, "address", old.Address, "kept", outage)
+	}
+	return expired
+}
+
+// logChanges logs how a server's entry differs from the previous one.
+func (s *Local) logChanges(old, server fleet.Server, known bool, revision uint64) {
+	if !known {
+		s.Log.Info("servers: new", "server", server.ID, "service", server.Service, "address", server.Address,
+			"domain", server.Domain, "card", server.Accelerator, "revision", revision)
+	}
+	if server.Leaving && !old.Leaving {
+		s.Log.Info("servers: leaving", "server", server.ID, "address", server.Address, "revision", revision)
+	}
+	if old.First != server.First || old.End != server.End {
+		s.Log.Info("servers: layers", "server", server.ID, "first", server.First, "end", server.End, "revision", revision)
+	}
+}
--- /dev/null
+++ b/entry/state/suspicion.go
@@ -0,0 +1,185 @@
+package state
+
+import (
+	"maps"
+	"slices"
+	"time"
+
+	"fuchsiashelf.dev/parts/domain"
+	"fuchsiashelf.dev/parts/fleet"
+)
+
+// suspectPartitioned suspects all servers of each remote failure domain in which many
+// servers are suspected. It replaces them in the list, which it returns.
+func (s *Local) suspectPartitioned(list []*fleet.Server) []*fleet.Server {
+	suspects := map[domain.Name]int{}
+	for _, server := range list {
+		if server.Suspected && server.Domain != s.LocalDomain {
+			suspects[server.Domain]++
+		}
+	}
+	for d, n := range suspects {
+		if n >= partitionMinSuspects && float64(n) > partitionShare*float64(countInDomain(list, d)) {
+			suspectDomain(list, d)
+		}
+	}
+	return list
+}
+
+func countInDomain(list []*fleet.Server, d domain.Name) int {
+	n := 0
+	for _, server := range list {
+		if server.Domain == d {
+			n++
+		}
+	}
+	return n
+}
+
+func suspectDomain(list []*fleet.Server, d domain.Name) {
+	for i, server := range list {
+		if server.Domain == d && !server.Suspected {
+			suspect := *server
+			suspect.Suspected = true
+			list[i] = &suspect
+		}
+	}
+}
+
+// Suspect marks a server as suspected until the given time. It reports whether the
+// server was not suspected before.
+func (s *Local) Suspect(id string, until, now time.Time) bool {
+	s.mu.Lock()
+	defer s.mu.Unlock()
+	if s.suspects == nil {
+		s.suspects = map[string]time.Time{}
+	}
+	old, suspected := s.suspects[id]
+	if suspected && !until.After(old) {
+		return false
+	}
+	s.suspects[id] = until
+	if !suspected || !now.Before(old) {
+		s.update([]string{id}, false, now)
+		return true
+	}
+	return false
+}
+
+// ClearSuspicion ends the suspicion of a server that has just served a request.
+func (s *Local) ClearSuspicion(id string, now time.Time) {
+	s.mu.Lock()
+	defer s.mu.Unlock()
+	if _, suspected := s.suspects[id]; suspected {
+		delete(s.suspects, id)
+		s.update([]string{id}, false, now)
+	}
+}
+
+// Suspects returns the end of the suspicion of each suspected server.
+func (s *Local) Suspects() map[string]time.Time {
+	s.mu.Lock()
+	defer s.mu.Unlock()
+	list := make(map[string]time.Time, len(s.suspects))
+	for id, until := range s.suspects {
+		list[id] = until
+	}
+	return list
+}
+
+// partitionTTL is how long two failure domains count as partitioned after a server of
+// one timed out on a healthy server of the other.
+const partitionTTL = 3 * time.Second
+
+// MarkUnreachable records that servers of two failure domains do not reach each
+// other.
+func (s *Local) MarkUnreachable(from, to domain.Name, now time.Time) {
+	s.mu.Lock()
+	defer s.mu.Unlock()
+	if s.partitions == nil {
+		s.partitions = map[[2]domain.Name]time.Time{}
+	}
+	if _, known := s.partitions[[2]domain.Name{from, to}]; !known {
+		s.Log.Warn("servers: failure domains partitioned", "from", from, "to", to)
+	}
+	s.partitions[[2]domain.Name{from, to}] = now.Add(partitionTTL)
+	s.partitions[[2]domain.Name{to, from}] = now.Add(partitionTTL)
+}
+
+// Unreachable reports whether two failure domains count as partitioned.
+func (s *Local) Unreachable(from, to domain.Name) bool {
+	s.mu.Lock()
+	defer s.mu.Unlock()
+	until, known := s.partitions[[2]domain.Name{from, to}]
+	if known && time.Now().After(until) {
+		delete(s.partitions, [2]domain.Name{from, to})
+		return false
+	}
+	return known
+}
+
+const (
+	// slownessTTL is how long a reported slowdown counts. The server is asked again
+	// whenever a stream through it pauses.
+	slownessTTL = 3 * time.Second
+	// minSlowdown is the lowest slowdown factor that counts: below it a server still
+	// responds sooner than one in another failure domain.
+	minSlowdown = 1.3
+	// maxTransitTime is how much later a report of another entry host may expire
+	// because of its transit time alone. Without this limit, transit times would add
+	// up and keep an old report alive.
+	maxTransitTime = 300 * time.Millisecond
+)
+
+// SlowServer is a server whose work takes longer than usual.
+type SlowServer struct {
+	ID string
+	// Factor is how many times longer than usual the work takes.
+	Factor float64
+	// Until is when the report expires.
+	Until time.Time
+}
+
+// RecordSlowness records the slowdown factor that a server reports. It reports
+// whether the server was not known to be that slow.
+func (s *Local) RecordSlowness(id string, factor float64, now time.Time) (changed bool) {
+	if factor >= minSlowdown {
+		return s.MergeSlow(SlowServer{ID: id, Factor: factor, Until: now.Add(slownessTTL)}, now)
+	}
+	s.mu.Lock()
+	defer s.mu.Unlock()
+	if _, known := s.slow[id]; known {
+		delete(s.slow, id)
+		s.Log.Info("servers: no longer slow", "server", id)
+		s.update([]string{id}, false, now)
+	}
+	return false
+}
+
+// MergeSlow merges a report of a slow server. It reports whether the server was not
+// known to be that slow.
+func (s *Local) MergeSlow(report SlowServer, now time.Time) (changed bool) {
+	s.mu.Lock()
+	defer s.mu.Unlock()
+	old, known := s.slow[report.ID]
+	if known && report.Until.Sub(old.Until) < maxTransitTime {
+		return false
+	}
+	if s.slow == nil {
+		s.slow = map[string]SlowServer{}
+	}
+	s.slow[report.ID] = report
+	if known && old.Factor == report.Factor {
+		return false
+	}
+	s.Log.Info("servers: slow", "server", report.ID, "times", report.Factor)
+	s.update([]string{report.ID}, false, now)
+	return true
+}
+
+// SlowServers returns the slow servers.
+func (s *Local) SlowServers() []SlowServer {
+	s.mu.Lock()
+	defer s.mu.Unlock()
+	return slices.Collect(maps.Values(s.slow))
+}
