--- a/entry/stream/live_test.go
+++ b/entry/stream/active_test.go
@@ -15,15 +15,15 @@
 // A stream ends while an order to change its chain is on its way, and the order
 // is taken. Room that was booked for it then would never come free: after some
 // hours of such streams everybody would be refused.
-func TestNoRoomIsBookedForAnEndedStream(t *testing.T) {
+func TestEndedStreamReservesNothing(t *testing.T) {
 	ledger := &router.LoadTracker{}
-	w := &Monitor{Ledger: ledger}
+	m := &Monitor{Ledger: ledger}
 	chain := router.Chain{{Server: &fleet.Server{ID: "i-1"}, First: 0, End: 4}}
-	j := &call.Job{Request: &call.Request{PromptTokens: 10, TokensHint: 5}, Route: chat, Service: &route.Service{Engine: &route.Engine{}}}
+	j := &call.Job{Request: &call.Request{PromptTokens: 10, TokensHint: 5}, Route: testRoute, Service: &route.Service{Engine: &route.Engine{}}}
 	_, cancel := context.WithCancelCause(context.Background())
-	l := w.add(j, chain, cancel, nil)
+	stream := m.add(j, chain, cancel, nil)
 	qt.Assert(t, ledger.Used("i-1"), qt.Equals, router.Usage{TokenLayers: 60, Requests: 1, Starts: 1})
-	w.remove(l)
-	l.move(ledger, chain)
+	m.remove(stream)
+	stream.switchChain(ledger, chain)
 	qt.Assert(t, ledger.Used("i-1"), qt.Equals, router.Usage{})
 }
--- a/entry/stream/events_test.go
+++ b/entry/stream/events_test.go
@@ -9,41 +9,41 @@
 	"pgregory.net/rapid"
 )
 
-func event(n int) string {
+func eventText(n int) string {
 	return fmt.Sprintf("id: %d\ndata: piece %d\n\n", n, n)
 }
 
 // A server breaks off in the midst of an event. What the caller has must end
 // with a whole one, or the next run's first piece would be joined to half of
 // another.
-func TestOnlyWholeEventsPass(t *testing.T) {
-	var e events
-	qt.Assert(t, string(e.add([]byte(event(1)+"id: 2\nda"))), qt.Equals, event(1))
+func TestOnlyWholeEventsAreForwarded(t *testing.T) {
+	var e eventFilter
+	qt.Assert(t, string(e.add([]byte(eventText(1)+"id: 2\nda"))), qt.Equals, eventText(1))
 	qt.Assert(t, e.partial(), qt.IsTrue)
-	qt.Assert(t, e.last, qt.Equals, "1")
+	qt.Assert(t, e.lastID, qt.Equals, "1")
 	e.resume()
 	qt.Assert(t, e.partial(), qt.IsFalse)
-	qt.Assert(t, string(e.add([]byte(event(2)))), qt.Equals, event(2))
+	qt.Assert(t, string(e.add([]byte(eventText(2)))), qt.Equals, eventText(2))
 }
 
 // The run that goes on begins with events that the caller has, or beyond the
 // next one. The first are left out; the second is a piece that is lost, and the
 // answer must not look whole.
-func TestResumedRunIsChecked(t *testing.T) {
-	e := events{last: "3"}
+func TestRestartDropsDuplicatesAndDetectsGaps(t *testing.T) {
+	e := eventFilter{lastID: "3"}
 	e.resume()
-	qt.Assert(t, string(e.add([]byte(event(2)+event(3)+event(4)))), qt.Equals, event(4))
+	qt.Assert(t, string(e.add([]byte(eventText(2)+eventText(3)+eventText(4)))), qt.Equals, eventText(4))
 	e.resume()
-	qt.Assert(t, string(e.add([]byte(event(6)))), qt.Equals, "")
+	qt.Assert(t, string(e.add([]byte(eventText(6)))), qt.Equals, "")
 	qt.Assert(t, e.gap, qt.IsTrue)
 }
 
 // However a stream is cut into packets and runs, the caller gets each event
 // once and in order.
-func TestRunsJoin(t *testing.T) {
+func TestRestartsDeliverEachEventOnce(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		n := rapid.IntRange(1, 30).Draw(t, "events")
-		var e events
+		var e eventFilter
 		var got strings.Builder
 		for e.count < n {
 			// Each run begins behind the last event that was passed on, or up
@@ -53,11 +53,11 @@
 				from = 1
 			}
 			e.resume()
-			var run strings.Builder
+			var attempt strings.Builder
 			for i := from; i <= n; i++ {
-				run.WriteString(event(i))
+				attempt.WriteString(eventText(i))
 			}
-			text := run.String()
+			text := attempt.String()
 			cut := rapid.IntRange(1, len(text)).Draw(t, "cut")
 			for at := 0; at < cut; {
 				end := min(cut, at+rapid.IntRange(1, 60).Draw(t, "packet"))
@@ -67,7 +67,7 @@
 		}
 		var want strings.Builder
 		for i := 1; i <= n; i++ {
-			want.WriteString(event(i))
+			want.WriteString(eventText(i))
 		}
 		if got.String() != want.String() || e.gap {
 			t.Fatalf("got %q", got.String())
--- /dev/null
+++ b/entry/stream/forwarder.go
@@ -0,0 +1,210 @@
+// Package stream passes requests on to chains of engines and their answers,
+// series of events, back to the callers as they arrive.
+//
+// An answer outlives the servers that give it. If a server in the midst of a
+// chain fails, the first one lives and holds on; the [Monitor] notices the
+// silence and gives the request another way behind the first server. If the
+// first server fails, a resumable stream restarts on another chain after the last
+// event that the caller has, within the same answer. Only whole events
+// are passed on, so the two runs join without a piece missing or doubled.
+package stream
+
+import (
+	"context"
+	"io"
+	"log/slog"
+	"net/http"
+	"sync/atomic"
+	"time"
+
+	"fuchsiashelf.dev/entry/call"
+	"fuchsiashelf.dev/entry/conns"
+	"fuchsiashelf.dev/entry/state"
+	"fuchsiashelf.dev/parts/domain"
+	"fuchsiashelf.dev/parts/fault"
+	"fuchsiashelf.dev/parts/fleet"
+	"fuchsiashelf.dev/parts/prio"
+	"fuchsiashelf.dev/parts/retry"
+	"fuchsiashelf.dev/parts/router"
+)
+
+const (
+	// minRetryAfter is the least Retry-After of a request that was refused for want of
+	// room.
+	minRetryAfter = 700 * time.Millisecond
+	// loadRetryAfter is the Retry-After while layers are missing: a load takes one to two
+	// seconds.
+	loadRetryAfter = 2 * time.Second
+	// maxIdleReuse is the longest idle time of a connection that is reused.
+	maxIdleReuse = 3 * time.Second
+	// readBufferSize holds several events.
+	readBufferSize = 4 << 10
+	// roomPollInterval is the polling interval of a request that waits for room.
+	roomPollInterval = 20 * time.Millisecond
+)
+
+// Forwarder passes requests on. Set the exported fields before use.
+type Forwarder struct {
+	Codec   call.Codec
+	Pool    *conns.Pool
+	State   *state.Local
+	Ledger  *router.LoadTracker
+	Monitor *Monitor
+	Queue   *prio.Queue
+	// Failures holds which servers fail requests.
+	Failures    *Failures
+	LocalDomain domain.Name
+	Log         *slog.Logger
+	// RetryBudget returns the budget of repeats of a service.
+	RetryBudget func(service string) *retry.WindowBudget
+}
+
+// request is one request on its way.
+type request struct {
+	*Forwarder
+	job    *call.Job
+	w      http.ResponseWriter
+	out    call.Outcome
+	events eventFilter
+	// headerSent says that the caller has the header of the answer.
+	headerSent bool
+	// avoid holds addresses that failed this request.
+	avoid   map[string]bool
+	verdict fault.Verdict
+	// mayHaveRun holds the servers that may have run the request.
+	mayHaveRun []*fleet.Server
+	// restartReserved says that the watch has restartReserved the next run.
+	restartReserved atomic.Bool
+	budget          *retry.WindowBudget
+	// lastEventAt is when the caller got the last event.
+	lastEventAt time.Time
+	// serverError is what a server that failed answered.
+	serverError *errorResponse
+}
+
+// Serve passes a request on and answers the caller.
+func (f *Forwarder) Serve(ctx context.Context, w http.ResponseWriter, job *call.Job) call.Outcome {
+	budget := f.RetryBudget(job.Service.Name)
+	budget.Record(time.Now())
+	ctx, cancel := context.WithDeadlineCause(ctx, job.Deadline, context.DeadlineExceeded)
+	defer cancel()
+	r := &request{Forwarder: f, job: job, w: w, avoid: map[string]bool{}, verdict: fault.NotRun, budget: budget}
+	r.events.lastID = job.LastEvent
+	for {
+		chain, err := r.chooseChain(ctx)
+		if err == nil {
+			err = r.attempt(ctx, chain)
+		}
+		if err == nil {
+			return r.out
+		}
+		if !r.shouldRetry(ctx, err) {
+			return r.finishFailed(ctx, err)
+		}
+	}
+}
+
+// attempt runs the request on one chain and passes the answer on.
+func (r *request) attempt(ctx context.Context, chain router.Chain) *fault.Error {
+	first := chain[0].Server
+	attemptCtx, cancel := context.WithCancelCause(ctx)
+	defer cancel(nil)
+	stream := r.Monitor.add(r.job, chain, cancel, r.restartReservation(first))
+	defer r.Monitor.remove(stream)
+	pending := r.Monitor.Starts.Track(first.ID, notableWait(r.job.Route), time.Now())
+	defer r.Monitor.Starts.Untrack(pending)
+	var reply call.Reply
+	options := conns.Options{MaxIdle: maxIdleReuse, Inspect: func(resp *http.Response) conns.ResponseInfo {
+		reply = r.Codec.ParseReply(resp)
+		return conns.ResponseInfo{OtherRequest: reply.ID != "" && reply.ID != r.job.ID, Close: reply.Closing, IdleTimeout: reply.IdleTimeout}
+	}}
+	req := r.Codec.NewRequest(r.job.Request, call.SendOptions{
+		Server: first, Chain: chain, Timeout: r.job.Remaining(), Team: r.job.Team,
+		Priority: r.job.Priority, LastEvent: r.events.lastID,
+	})
+	r.out.Sends++
+	r.out.Server = first.ID
+	r.out.Chain = chain.String()
+	resp, err := r.Pool.Do(attemptCtx, first.Address, req, options)
+	if err != nil {
+		e := fault.As(err)
+		if e.Verdict != fault.NotRun {
+			r.mayHaveRun = append(r.mayHaveRun, first)
+		}
+		r.avoidFailedServer(attemptCtx, first.Address, e)
+		return e
+	}
+	defer resp.Close()
+	if reply.NotRun {
+		return r.handleRefusal(first.Address, reply)
+	}
+	r.mayHaveRun = append(r.mayHaveRun, first)
+	if reply.Status != http.StatusOK {
+		r.Failures.Record(first.ID, reply.Status >= http.StatusInternalServerError, time.Now())
+		return r.handleServerError(resp, reply)
+	}
+	failure := r.relayEvents(attemptCtx, resp, stream, pending)
+	if failure == nil || failure.Code == fault.BrokenAnswer && context.Cause(attemptCtx) == nil {
+		r.Failures.Record(first.ID, failure != nil, time.Now())
+	}
+	return failure
+}
+
+// relayEvents passes the events of an answer on until its end.
+func (r *request) relayEvents(ctx context.Context, resp *conns.Response, stream *activeStream, pending *router.PendingStart) *fault.Error {
+	r.events.resume()
+	r.sendHeader(resp)
+	controller := http.NewResponseController(r.w)
+	buffer := make([]byte, readBufferSize)
+	for {
+		n, err := resp.Read(buffer)
+		if n > 0 {
+			if stream.recordEvent() {
+				r.Monitor.Starts.RecordFirstEvent(pending, time.Now())
+				r.Ledger.RecordAccepted(stream.currentChain())
+			}
+			if whole := r.events.add(buffer[:n]); len(whole) > 0 {
+				if e := r.sendEvents(whole, controller); e != nil {
+					return e
+				}
+			}
+		}
+		if err == io.EOF && !r.events.partial() && !r.events.gap {
+			r.out.Status = http.StatusOK
+			return nil
+		}
+		if err != nil || r.events.gap || len(r.events.pending) > maxEventBytes {
+			return r.handleBrokenResponse(ctx, resp, err)
+		}
+	}
+}
+
+// sendHeader gives the caller the header of the first run's answer.
+func (r *request) sendHeader(resp *conns.Response) {
+	if r.headerSent {
+		return
+	}
+	call.CopyHeader(r.w.Header(), resp.Header)
+	r.w.WriteHeader(resp.StatusCode)
+	r.headerSent = true
+}
+
+// sendEvents gives whole events to the caller.
+func (r *request) sendEvents(whole []byte, controller *http.ResponseController) *fault.Error {
+	now := time.Now()
+	if r.out.TimeToFirstByte == 0 {
+		r.out.TimeToFirstByte = now.Sub(r.job.Arrived)
+	} else {
+		r.out.LongestGap = max(r.out.LongestGap, now.Sub(r.lastEventAt))
+	}
+	r.lastEventAt = now
+	r.out.Events = r.events.count
+	_, err := r.w.Write(whole)
+	if err == nil {
+		err = controller.Flush()
+	}
+	if err != nil {
+		return &fault.Error{Code: fault.Cancelled, Verdict: fault.Ran, Message: "the caller has left", Cause: err}
+	}
+	return nil
+}
--- /dev/null
+++ b/entry/stream/reroute.go
@@ -0,0 +1,221 @@
+package stream
+
+import (
+	"context"
+	"time"
+
+	"fuchsiashelf.dev/entry/call"
+	"fuchsiashelf.dev/parts/domain"
+	"fuchsiashelf.dev/parts/fleet"
+	"fuchsiashelf.dev/parts/router"
+)
+
+// rerouteStalled gives each stalled stream of a first server another way.
+func (m *Monitor) rerouteStalled(address string, stalled []call.Stalled) {
+	waitsFor := map[string]string{}
+	for _, s := range stalled {
+		waitsFor[s.ID] = s.Address
+	}
+	var affected []*activeStream
+	m.mu.Lock()
+	for stream := range m.streams {
+		if _, isStalled := waitsFor[stream.job.ID]; isStalled && stream.firstAddress() == address {
+			affected = append(affected, stream)
+		}
+	}
+	m.mu.Unlock()
+	for _, stream := range affected {
+		failed := waitsFor[stream.job.ID]
+		m.probeServer(failed, "a chain waits for it", stream.linkTo(failed))
+		go m.rerouteStream(stream, failed)
+	}
+}
+
+// link is the way from the servers of one failure domain to those of another.
+type link struct{ from, to domain.Name }
+
+// linkTo returns the link by which a server of the stream's chain is reached.
+func (s *activeStream) linkTo(address string) link {
+	s.mu.Lock()
+	defer s.mu.Unlock()
+	for i := 1; i < len(s.chain); i++ {
+		if s.chain[i].Server.Address == address {
+			return link{s.chain[i-1].Server.Domain, s.chain[i].Server.Domain}
+		}
+	}
+	return link{}
+}
+
+// rerouteStream changes the chain of one stream. It runs once at a time for each. A stream
+// without another chain behind its first server restarts elsewhere if it can, and
+// otherwise stays as it is: the servers that it waits for are checked again soon, by
+// when a chain may exist.
+func (m *Monitor) rerouteStream(stream *activeStream, failed string) {
+	stream.mu.Lock()
+	chain := stream.chain
+	if stream.rerouting || !chain.Has(failed) || time.Since(stream.lastReroute) < rerouteInterval {
+		// An older report: the stream has another chain already, or none was found a
+		// moment ago.
+		stream.mu.Unlock()
+		return
+	}
+	stream.rerouting = true
+	stream.mu.Unlock()
+	defer func() {
+		stream.mu.Lock()
+		stream.rerouting = false
+		stream.lastReroute = time.Now()
+		stream.mu.Unlock()
+	}()
+	avoid := map[string]bool{failed: true}
+	if m.tryReroute(stream, chain, avoid) {
+		return
+	}
+	started := stream.started.Load()
+	restart := !started || m.blocksLoad(stream, chain) || m.reserveLocalRestart(stream, chain, avoid)
+	m.Log.Info("watch: no other way", "request", stream.job.ID, "failed", failed, "began", started, "restart", restart, "silence", stream.silence(time.Now()))
+	if restart {
+		stream.cancel(errNoChain)
+	}
+}
+
+// tryReroute orders other chains behind the first server of a stream, and reports
+// whether the stream continues on one.
+func (m *Monitor) tryReroute(stream *activeStream, chain router.Chain, avoid map[string]bool) bool {
+	for range maxReroutes {
+		next := m.alternativeChain(stream, chain, avoid)
+		if next == nil || !m.reserveTransfer(stream.job, next.Crossings()-chain.Crossings()) {
+			return false
+		}
+		// Reserved before it is ordered: many streams leave a dead server at the same
+		// moment, and would all choose the same other one.
+		stream.switchChain(m.Ledger, next)
+		result, refusedBy := m.orderReroute(stream, next)
+		if result == call.OrderStarted {
+			return true
+		}
+		stream.switchChain(m.Ledger, chain)
+		if result != call.OrderConflict || refusedBy == "" {
+			// The first server does not answer, or does not have the request.
+			return false
+		}
+		avoid[refusedBy] = true
+	}
+	return false
+}
+
+// reserveLocalRestart reports whether a stream restarts on a chain within one failure
+// domain, for which a run is reserved then. Loading the missing layers takes longer
+// than the longest pause that is on time, and the link between domains carries few
+// prompts in that time; reading the tokens again needs neither.
+func (m *Monitor) reserveLocalRestart(stream *activeStream, chain router.Chain, avoid map[string]bool) bool {
+	if stream.reserveRestart == nil {
+		return false
+	}
+	avoid[chain[0].Server.Address] = true
+	q := m.chainQuery(stream.job)
+	q.Avoid, q.SingleDomain = avoid, true
+	return q.Pick() != nil && stream.reserveRestart()
+}
+
+// blocksLoad reports whether a stalled stream keeps a server from loading the layers
+// that it and others wait for: the server first lets all requests end that pass
+// through the layers it gives up, and this one never will.
+func (m *Monitor) blocksLoad(stream *activeStream, chain router.Chain) bool {
+	s := drainingServer(m.State.View(), chain)
+	return s != nil && s.AwaitsReload && stream.silent(time.Now())
+}
+
+// reserveTransfer reports whether a request may use the link between failure domains
+// so many times more now.
+func (m *Monitor) reserveTransfer(job *call.Job, crossings int) bool {
+	if crossings <= 0 {
+		return true
+	}
+	transfer := time.Duration(crossings) * router.TransferTime(job.Service.Engine, job.PromptTokens)
+	hosts := m.EntryHosts()
+	m.mu.Lock()
+	defer m.mu.Unlock()
+	return m.linkBudget.Reserve(transfer, maxLinkWait(job.Route), hosts, time.Now())
+}
+
+// alternativeChain finds another chain behind the same first part.
+func (m *Monitor) alternativeChain(stream *activeStream, chain router.Chain, avoid map[string]bool) router.Chain {
+	if avoid[chain[0].Server.Address] {
+		return nil
+	}
+	cached := map[string]router.Stage{}
+	for _, stage := range chain[1:] {
+		cached[stage.Server.Address] = stage
+	}
+	q := m.chainQuery(stream.job)
+	q.Avoid, q.FixedFirst, q.Cached = avoid, &chain[0], cached
+	return q.Pick()
+}
+
+// chainQuery describes the choice of a chain for a job.
+func (m *Monitor) chainQuery(job *call.Job) *router.Query {
+	return &router.Query{
+		Engine: job.Service.Engine, Servers: m.State.View().Service(job.Service.Name), LocalDomain: m.LocalDomain,
+		Prompt: job.PromptTokens, Answer: job.ExpectedTokens(job.Service.Engine), Used: m.Ledger.Used, Partitioned: m.State.Unreachable,
+	}
+}
+
+// orderReroute tells the first server of the new chain. It returns which server is in
+// the way of it, if one is.
+func (m *Monitor) orderReroute(stream *activeStream, next router.Chain) (result call.OrderResult, refusedBy string) {
+	ctx, cancel := context.WithTimeout(context.Background(), call.OrderTimeout)
+	defer cancel()
+	silence := stream.silence(time.Now())
+	result, refusedBy, err := m.Engine.Reroute(ctx, stream.job.ID, next)
+	m.Log.Info("watch: rerouted", "request", stream.job.ID, "chain", next.String(), "taken", result.String(), "at", refusedBy, "silence", silence, "error", err)
+	if result == call.OrderStarted {
+		stream.lastActivity.Store(time.Now().UnixNano())
+	}
+	return result, refusedBy
+}
+
+// drainStreams reroutes streams around a server that is leaving, before it cuts them off,
+// or around one that loads missing layers as soon as they have gone. Streams through
+// a server that only gives up replicated layers are left to end.
+func (m *Monitor) drainStreams(now time.Time) {
+	view := m.State.View()
+	m.mu.Lock()
+	defer m.mu.Unlock()
+	for stream := range m.streams {
+		stream.mu.Lock()
+		s := drainingServer(view, stream.chain)
+		due := s != nil && !stream.rerouting && stream.drainedFrom != s.Address && stream.started.Load() && now.Sub(m.lastDrain) >= drainIntervalFor(s)
+		if due {
+			stream.drainedFrom = s.Address
+		}
+		stream.mu.Unlock()
+		if due {
+			m.lastDrain = now
+			go m.rerouteStream(stream, s.Address)
+			return
+		}
+	}
+}
+
+// drainIntervalFor returns the interval between two streams that are rerouted around a server.
+func drainIntervalFor(s *fleet.Server) time.Duration {
+	if s.AwaitsReload {
+		return moveInterval
+	}
+	return drainInterval
+}
+
+// drainingServer returns a server of a chain, not the first, that the stream should leave.
+func drainingServer(view *fleet.View, chain router.Chain) *fleet.Server {
+	for _, stage := range chain[1:] {
+		s := view.ByAddress(stage.Server.Address)
+		if s == nil || s.ID != stage.Server.ID {
+			continue
+		}
+		if s.Leaving || s.AwaitsReload && (s.First > stage.First || s.End < stage.End) {
+			return s
+		}
+	}
+	return nil
+}
--- /dev/null
+++ b/entry/stream/timeouts.go
@@ -0,0 +1,75 @@
+package stream
+
+import (
+	"cmp"
+	"time"
+
+	"fuchsiashelf.dev/parts/route"
+)
+
+// Timeouts are fractions of the route's objectives.
+const (
+	// silentFraction is the idle time after which the servers of a stream are checked,
+	// as a fraction of the longest pause that is on time. The check, another chain and
+	// reading the prompt there must fit into the rest.
+	silentFraction = 0.4
+	// silentStartFraction is the same before the first event, as a fraction of its target.
+	silentStartFraction = 0.4
+	// notableWaitFraction is the wait at a server from which on other entry hosts are notified
+	// at once, as a fraction of the target of the first event.
+	notableWaitFraction = 0.2
+	// queueWaitFraction is how long a request waits for room, as a fraction of the target of
+	// the first event. The rest is enough to read its prompt.
+	queueWaitFraction = 0.8
+	// linkWaitFraction bounds the queue of one entry host's transfers on the link between
+	// failure domains, as a fraction of the longest pause that is on time.
+	linkWaitFraction = 0.4
+	// restartSearchFraction bounds the search for another chain in the midst of an answer, as a
+	// fraction of the idle time after which callers leave. Its first event takes the
+	// rest.
+	restartSearchFraction = 0.8
+	// restartFraction is the idle time, as a fraction of the same, after which a stream
+	// restarts on another chain regardless of its first server's health.
+	restartFraction = 0.65
+)
+
+// Defaults for routes without objectives.
+const (
+	defaultTarget  = 500 * time.Millisecond
+	defaultGap     = 250 * time.Millisecond
+	defaultSilence = 2 * time.Second
+)
+
+func fractionOf(value, fallback time.Duration, fraction float64) time.Duration {
+	return time.Duration(fraction * float64(cmp.Or(value, fallback)))
+}
+
+func firstEventTarget(r *route.Route) time.Duration { return cmp.Or(r.Target, defaultTarget) }
+
+func notableWait(r *route.Route) time.Duration {
+	return fractionOf(r.Target, defaultTarget, notableWaitFraction)
+}
+
+func silentTimeout(r *route.Route) time.Duration {
+	return fractionOf(r.MaxGap, defaultGap, silentFraction)
+}
+
+func silentStartTimeout(r *route.Route) time.Duration {
+	return fractionOf(r.Target, defaultTarget, silentStartFraction)
+}
+
+func maxQueueWait(r *route.Route) time.Duration {
+	return fractionOf(r.Target, defaultTarget, queueWaitFraction)
+}
+
+func maxLinkWait(r *route.Route) time.Duration {
+	return fractionOf(r.MaxGap, defaultGap, linkWaitFraction)
+}
+
+func restartSearchWait(r *route.Route) time.Duration {
+	return fractionOf(r.CallerTimeout, defaultSilence, restartSearchFraction)
+}
+
+func restartTimeout(r *route.Route) time.Duration {
+	return fractionOf(r.CallerTimeout, defaultSilence, restartFraction)
+}
--- a/entry/stream/bounds_test.go
+++ b/entry/stream/timeouts_test.go
@@ -14,22 +14,22 @@
 // set for the first would give answers up while callers of the second still
 // wait, or let requests wait for room beyond the time in which the first event
 // counts.
-func TestWaitsFollowTheRoute(t *testing.T) {
+func TestTimeoutsFollowRouteObjectives(t *testing.T) {
 	quick := &route.Route{Target: 200 * time.Millisecond, MaxGap: 100 * time.Millisecond, CallerTimeout: 2 * time.Second}
 	slow := &route.Route{Target: 2 * time.Second, MaxGap: time.Second, CallerTimeout: 8 * time.Second}
-	for _, r := range []*route.Route{quick, slow, chat, {}} {
-		target, gap, bears := r.Target, r.MaxGap, r.CallerTimeout
+	for _, r := range []*route.Route{quick, slow, testRoute, {}} {
+		target, gap, callerTimeout := r.Target, r.MaxGap, r.CallerTimeout
 		if target == 0 {
 			target, gap = defaultTarget, defaultGap
 		}
-		if bears == 0 {
-			bears = defaultSilence
+		if callerTimeout == 0 {
+			callerTimeout = defaultSilence
 		}
-		qt.Check(t, longestWait(r) < target, qt.IsTrue)
-		qt.Check(t, silentStart(r) < target, qt.IsTrue)
-		qt.Check(t, silentEvent(r)+probe.MinTimeout < gap, qt.IsTrue)
-		qt.Check(t, linkWait(r) < gap, qt.IsTrue)
-		qt.Check(t, restartWait(r) < rerouteWait(r) && rerouteWait(r) < bears, qt.IsTrue)
+		qt.Check(t, maxQueueWait(r) < target, qt.IsTrue)
+		qt.Check(t, silentStartTimeout(r) < target, qt.IsTrue)
+		qt.Check(t, silentTimeout(r)+probe.MinTimeout < gap, qt.IsTrue)
+		qt.Check(t, maxLinkWait(r) < gap, qt.IsTrue)
+		qt.Check(t, restartTimeout(r) < restartSearchWait(r) && restartSearchWait(r) < callerTimeout, qt.IsTrue)
 	}
-	qt.Check(t, longestWait(slow) == 10*longestWait(quick), qt.IsTrue)
+	qt.Check(t, maxQueueWait(slow) == 10*maxQueueWait(quick), qt.IsTrue)
 }
