--- a/entry/placer/placer.go
+++ b/entry/placer/placer.go
@@ -28,34 +28,34 @@
 
 // Timeouts and intervals.
 const (
-	// lookEvery is the interval of the decisions, and lookAfter the delay after a
+	// decideInterval is the interval of the decisions, and lookAfter the delay after a
 	// change of the servers, so that several changes are decided on together.
-	lookEvery = 200 * time.Millisecond
-	lookAfter = 30 * time.Millisecond
-	// quietFor is how long the list of servers must be unchanged before the first
+	decideInterval = 200 * time.Millisecond
+	decideDelay    = 30 * time.Millisecond
+	// initialQuietTime is how long the list of servers must be unchanged before the first
 	// placement, so that the first few servers do not get all layers.
-	quietFor = 700 * time.Millisecond
-	// calmFor is how long the servers of a failure domain must be unchanged before
+	initialQuietTime = 700 * time.Millisecond
+	// domainCalmTime is how long the servers of a failure domain must be unchanged before
 	// ranges are levelled there: longer than a load that closes a gap, and than a
 	// heartbeat.
-	calmFor = 1500 * time.Millisecond
-	// newFor is how long a server counts as new. Where servers are replaced one
+	domainCalmTime = 1500 * time.Millisecond
+	// newServerTime is how long a server counts as new. Where servers are replaced one
 	// by one, the old one leaves a second after the new one came.
-	newFor = 1500 * time.Millisecond
-	// returnTime is how long a failure domain is left alone after a server with
+	newServerTime = 1500 * time.Millisecond
+	// returnHoldOff is how long a failure domain is left alone after a server with
 	// layers returned. After a partition entries return one by one, and the missing
 	// ones look like gaps.
-	returnTime = 1500 * time.Millisecond
-	retryDelay = 600 * time.Millisecond
-	// confirmEvery and maxConfirms bound the polling of a server that loads
+	returnHoldOff    = 1500 * time.Millisecond
+	assignRetryDelay = 600 * time.Millisecond
+	// confirmInterval and maxConfirms bound the polling of a server that loads
 	// layers.
-	confirmEvery = 150 * time.Millisecond
-	maxConfirms  = 20
-	// shownIn is how long a report overrides the server's entry: two heartbeats.
-	shownIn = 2500 * time.Millisecond
-	// heartbeats is how long a server's entry may lag behind an order, beyond the time
+	confirmInterval = 150 * time.Millisecond
+	maxConfirms     = 20
+	// reportOverrideTime is how long a report overrides the server's entry: two heartbeats.
+	reportOverrideTime = 2500 * time.Millisecond
+	// entryLag is how long a server's entry may lag behind an order, beyond the time
 	// of its load.
-	heartbeats = 4 * time.Second
+	entryLag = 4 * time.Second
 )
 
 // Placer decides and orders. Set the exported fields before Run.
@@ -74,166 +74,166 @@
 	mu sync.Mutex
 	// pending holds the ranges that servers were ordered to hold, or reported, and
 	// that their entries do not show yet.
-	pending map[string]pending
-	// seen holds the healthy servers, and since when their list is unchanged.
-	seen  map[string]domain.Name
-	since time.Time
-	// entered is when a server was first seen.
-	entered map[string]time.Time
-	// changed is when the list of a failure domain last changed.
-	changed map[domain.Name]time.Time
-	leads   bool
-	// returned is when a server that holds layers last entered or came back.
-	returned map[domain.Name]time.Time
+	pending map[string]pendingRange
+	// healthy holds the healthy servers, and since when their list is unchanged.
+	healthy        map[string]domain.Name
+	unchangedSince time.Time
+	// firstSeen is when a server was first seen.
+	firstSeen map[string]time.Time
+	// lastChange is when the list of a failure domain last lastChange.
+	lastChange map[domain.Name]time.Time
+	wasLeader  bool
+	// lastReturn is when a server that holds layers last entered or came back.
+	lastReturn map[domain.Name]time.Time
 }
 
-type pending struct {
+type pendingRange struct {
 	first, end int
 	until      time.Time
-	// settled says that the server has confirmed it.
-	settled bool
-	// born is the start of the server's run that was ordered.
-	born time.Time
+	// confirmed says that the server has confirmed it.
+	confirmed bool
+	// startedAt is the start of the server's run that was ordered.
+	startedAt time.Time
 }
 
 // Run places until the context ends.
 func (p *Placer) Run(ctx context.Context) {
-	tick := time.NewTicker(cmp.Or(p.Interval, lookEvery))
-	defer tick.Stop()
+	ticker := time.NewTicker(cmp.Or(p.Interval, decideInterval))
+	defer ticker.Stop()
 	for {
 		changed := p.State.Changed()
-		p.look(ctx, time.Now())
+		p.decide(ctx, time.Now())
 		select {
 		case <-ctx.Done():
 			return
-		case <-tick.C:
+		case <-ticker.C:
 		case <-changed:
-			time.Sleep(lookAfter)
+			time.Sleep(decideDelay)
 		}
 	}
 }
 
-func (p *Placer) look(ctx context.Context, now time.Time) {
+func (p *Placer) decide(ctx context.Context, now time.Time) {
 	table := p.State.Table()
 	if table == nil {
 		return
 	}
-	leads := p.IsLeader()
-	if leads != p.leads {
-		p.Log.Info("placer: lead", "leads", leads)
-		p.leads = leads
+	isLeader := p.IsLeader()
+	if isLeader != p.wasLeader {
+		p.Log.Info("placer: lead", "leads", isLeader)
+		p.wasLeader = isLeader
 	}
-	if !leads || p.State.Probing(now) {
+	if !isLeader || p.State.Probing(now) {
 		return
 	}
 	view := p.State.View()
-	if !p.quiet(view, now) {
+	if !p.stable(view, now) {
 		return
 	}
 	for _, service := range table.Services {
 		if service.Engine != nil {
-			p.place(ctx, service.Engine, view.Service(service.Name), now)
+			p.placeService(ctx, service.Engine, view.Service(service.Name), now)
 		}
 	}
 }
 
-// quiet reports whether the list of servers is complete enough to place from.
+// stable reports whether the list of servers is complete enough to place from.
 // Once servers hold layers, each change is acted on at once.
-func (p *Placer) quiet(view *fleet.View, now time.Time) bool {
-	holding := false
-	seen := map[string]domain.Name{}
-	if p.returned == nil {
-		p.returned = map[domain.Name]time.Time{}
-		p.changed = map[domain.Name]time.Time{}
-		p.entered = map[string]time.Time{}
+func (p *Placer) stable(view *fleet.View, now time.Time) bool {
+	anyLayers := false
+	healthy := map[string]domain.Name{}
+	if p.lastReturn == nil {
+		p.lastReturn = map[domain.Name]time.Time{}
+		p.lastChange = map[domain.Name]time.Time{}
+		p.firstSeen = map[string]time.Time{}
 	}
 	for _, s := range view.Servers {
 		if !s.Leaving && !s.Suspected {
-			seen[s.ID] = s.Domain
-			if _, known := p.seen[s.ID]; p.seen != nil && !known && s.LayerCount() > 0 {
-				p.returned[s.Domain] = now
+			healthy[s.ID] = s.Domain
+			if _, known := p.healthy[s.ID]; p.healthy != nil && !known && s.LayerCount() > 0 {
+				p.lastReturn[s.Domain] = now
 			}
 		}
-		holding = holding || s.LayerCount() > 0
+		anyLayers = anyLayers || s.LayerCount() > 0
 	}
-	if !maps.Equal(seen, p.seen) {
-		p.noteChanges(seen, now)
-		p.seen, p.since = seen, now
+	if !maps.Equal(healthy, p.healthy) {
+		p.recordChanges(healthy, now)
+		p.healthy, p.unchangedSince = healthy, now
 	}
-	return holding || now.Sub(p.since) >= quietFor
+	return anyLayers || now.Sub(p.unchangedSince) >= initialQuietTime
 }
 
-// noteChanges notes of which failure domains servers came or went.
-func (p *Placer) noteChanges(seen map[string]domain.Name, now time.Time) {
-	for id, in := range seen {
-		if _, known := p.seen[id]; !known {
-			p.changed[in] = now
-			p.entered[id] = now
+// recordChanges notes of which failure domains servers came or went.
+func (p *Placer) recordChanges(healthy map[string]domain.Name, now time.Time) {
+	for id, dom := range healthy {
+		if _, known := p.healthy[id]; !known {
+			p.lastChange[dom] = now
+			p.firstSeen[id] = now
 		}
 	}
-	for id, in := range p.seen {
-		if _, stays := seen[id]; !stays {
-			p.changed[in] = now
-			delete(p.entered, id)
+	for id, dom := range p.healthy {
+		if _, known := healthy[id]; !known {
+			p.lastChange[dom] = now
+			delete(p.firstSeen, id)
 		}
 	}
 }
 
-// place decides for one service and sends the orders.
-func (p *Placer) place(ctx context.Context, e *route.Engine, servers []*fleet.Server, now time.Time) {
-	believed := make([]*fleet.Server, len(servers))
+// placeService decides for one service and sends the orders.
+func (p *Placer) placeService(ctx context.Context, engine *route.Engine, servers []*fleet.Server, now time.Time) {
+	expected := make([]*fleet.Server, len(servers))
 	p.mu.Lock()
 	defer p.mu.Unlock()
-	maps.DeleteFunc(p.pending, func(_ string, t pending) bool { return now.After(t.until) })
+	maps.DeleteFunc(p.pending, func(_ string, r pendingRange) bool { return now.After(r.until) })
 	moving := map[domain.Name]bool{}
 	for i, s := range servers {
-		believed[i] = p.believed(s)
-		if _, moves := p.pending[s.ID]; moves {
+		expected[i] = p.expected(s)
+		if _, isPending := p.pending[s.ID]; isPending {
 			moving[s.Domain] = true
 		}
 	}
-	times := place.Conditions{
-		Stable:      func(in domain.Name) bool { return !moving[in] && now.Sub(p.changed[in]) >= calmFor },
+	conditions := place.Conditions{
+		Stable:      func(dom domain.Name) bool { return !moving[dom] && now.Sub(p.lastChange[dom]) >= domainCalmTime },
 		Idle:        p.idle,
-		JustStarted: func(id string) bool { return now.Sub(p.entered[id]) < newFor },
+		JustStarted: func(id string) bool { return now.Sub(p.firstSeen[id]) < newServerTime },
 		Reserved:    func(id string) float64 { return p.Ledger.Used(id).TokenLayers },
 	}
-	for _, o := range place.Plan(e, believed, times) {
-		if now.Sub(p.returned[o.Server.Domain]) < returnTime {
+	for _, a := range place.Plan(engine, expected, conditions) {
+		if now.Sub(p.lastReturn[a.Server.Domain]) < returnHoldOff {
 			continue
 		}
-		p.tell(o.Server.ID, pending{first: o.First, end: o.End, until: now.Add(retryDelay), born: o.Server.StartedAt})
-		go p.order(ctx, e, o)
+		p.setPending(a.Server.ID, pendingRange{first: a.First, end: a.End, until: now.Add(assignRetryDelay), startedAt: a.Server.StartedAt})
+		go p.sendAssignment(ctx, engine, a)
 	}
 }
 
 // idle reports whether few requests pass through a server.
 func (p *Placer) idle(id string) bool {
-	return p.Ledger.Used(id).Requests <= idleRequests
+	return p.Ledger.Used(id).Requests <= maxIdleRequests
 }
 
-// idleRequests is the number of requests up to which a server counts as idle. They
+// maxIdleRequests is the number of requests up to which a server counts as idle. They
 // are rerouted within a second.
-const idleRequests = 4
+const maxIdleRequests = 4
 
-func (p *Placer) tell(id string, t pending) {
+func (p *Placer) setPending(id string, r pendingRange) {
 	if p.pending == nil {
-		p.pending = map[string]pending{}
+		p.pending = map[string]pendingRange{}
 	}
-	p.pending[id] = t
+	p.pending[id] = r
 }
 
-// believed joins a server's entry with a pending range. The mutex is held.
-func (p *Placer) believed(s *fleet.Server) *fleet.Server {
-	t, known := p.pending[s.ID]
+// expected joins a server's entry with a pending range. The mutex is held.
+func (p *Placer) expected(s *fleet.Server) *fleet.Server {
+	r, known := p.pending[s.ID]
 	if !known {
 		return s
 	}
-	if s.StartedAt.After(t.born) || t.settled && s.First == t.first && s.End == t.end {
+	if s.StartedAt.After(r.startedAt) || r.confirmed && s.First == r.first && s.End == r.end {
 		delete(p.pending, s.ID)
 		return s
 	}
 	changed := *s
-	changed.First, changed.End = t.first, t.end
+	changed.First, changed.End = r.first, r.end
 	return &changed
 }
