--- a/entry/call/call.go
+++ b/entry/call/call.go
@@ -41,13 +41,13 @@
 }
 
 // ExpectedTokens returns the number of tokens that the answer is expected to have.
-func (a *Request) ExpectedTokens(e *route.Engine) int {
-	expected := a.TokensHint
+func (r *Request) ExpectedTokens(engine *route.Engine) int {
+	expected := r.TokensHint
 	if expected <= 0 {
-		expected = e.MeanAnswer
+		expected = engine.MeanAnswer
 	}
-	if a.MaxTokens > 0 {
-		expected = min(expected, a.MaxTokens)
+	if r.MaxTokens > 0 {
+		expected = min(expected, r.MaxTokens)
 	}
 	return expected
 }
@@ -93,7 +93,7 @@
 	// *fault.Error with the status that the caller gets.
 	ParseRequest(r *http.Request) (*Request, error)
 	// NewRequest builds what is sent to a backend server.
-	NewRequest(a *Request, s SendOptions) *http.Request
+	NewRequest(r *Request, o SendOptions) *http.Request
 	// ParseReply reads the head of a backend server's answer.
 	ParseReply(r *http.Response) Reply
 	// SetRetryAfter writes when to come back into the header of a refusal.
@@ -176,12 +176,12 @@
 	Place(ctx context.Context, s *fleet.Server, first, end int, orders uint64) (OrderResult, error)
 	// Reroute changes the chain of a request that runs; its first part stays.
 	// If a server of the chain cannot take part, its address is returned.
-	Reroute(ctx context.Context, id string, chain router.Chain) (taken OrderResult, at string, err error)
+	Reroute(ctx context.Context, id string, chain router.Chain) (result OrderResult, refusedBy string, err error)
 }
 
 // String returns the name of the outcome.
-func (t OrderResult) String() string {
-	switch t {
+func (r OrderResult) String() string {
+	switch r {
 	case OrderStarted:
 		return "begun"
 	case OrderConflict:
--- a/entry/call/job.go
+++ b/entry/call/job.go
@@ -59,21 +59,21 @@
 	return context.Cause(ctx) == context.Canceled
 }
 
-// notForwarded are the headers of an answer that concern its connection only,
+// connectionHeaders are the headers of an answer that concern its connection only,
 // or that the HTTP server sets itself.
-var notForwarded = []string{"Connection", "Keep-Alive", "Transfer-Encoding", "Content-Length", "Trailer", "Upgrade", "Proxy-Connection"}
+var connectionHeaders = []string{"Connection", "Keep-Alive", "Transfer-Encoding", "Content-Length", "Trailer", "Upgrade", "Proxy-Connection"}
 
 // CopyHeader copies an answer's header to the caller's.
-func CopyHeader(to, from http.Header) {
-	for name, values := range from {
-		to[name] = values
+func CopyHeader(dst, src http.Header) {
+	for name, values := range src {
+		dst[name] = values
 	}
-	for _, name := range notForwarded {
-		to.Del(name)
+	for _, name := range connectionHeaders {
+		dst.Del(name)
 	}
-	if _, typed := to["Content-Type"]; !typed {
+	if _, hasType := dst["Content-Type"]; !hasType {
 		// Without it the HTTP server would guess one.
-		to["Content-Type"] = nil
+		dst["Content-Type"] = nil
 	}
 }
 
