--- a/entry/stream/active.go
+++ b/entry/stream/active.go
@@ -11,50 +11,52 @@
 	"fuchsiashelf.dev/parts/router"
 )
 
-// activeStream is a stream under way.
+// activeStream is a stream in progress.
 type activeStream struct {
 	job    *call.Job
 	cancel context.CancelCauseFunc
-	// reserveRestart reserves a further run of the request on another chain, and reports
-	// whether its route and the budget of repeats allow one. Nil means that none is.
+	// reserveRestart reserves another attempt of the request on another chain, and
+	// reports whether its route and the retry budget allow one. Nil means that none
+	// is allowed.
 	reserveRestart func() bool
-	// lastActivity is the time of the lastActivity event or order of another chain, and meanInterval the mean
-	// interval between two events, in nanoseconds.
-	lastActivity, meanInterval atomic.Int64
-	started                    atomic.Bool
+	// lastActivity is the time of the last event or reroute, and meanGap the
+	// mean gap between two events, in nanoseconds.
+	lastActivity, meanGap atomic.Int64
+	started               atomic.Bool
 
 	mu           sync.Mutex
 	chain        router.Chain
 	releaseChain func()
 	rerouting    bool
 	ended        bool
-	// lastReroute is when another chain was last looked for.
+	// lastReroute is when another chain was last searched for.
 	lastReroute time.Time
-	// drainedFrom is the address of the server that the stream was last rerouted around.
+	// drainedFrom is the address of the server that the stream was last rerouted
+	// around because of a drain.
 	drainedFrom string
 }
 
 const (
-	// intervalWeight is the weight of a new interval in a stream's mean.
-	intervalWeight = 0.2
-	// maxIntervalRatio caps a new interval, in means, so that an outage does not shift the
-	// mean.
-	maxIntervalRatio = 2
+	// gapWeight is the weight of a new gap in the mean gap of a stream.
+	gapWeight = 0.2
+	// maxGapRatio caps a new gap, as a multiple of the mean, so that an outage does
+	// not shift the mean.
+	maxGapRatio = 2
 )
 
-// recordEvent notes an event and reports whether it is the first one.
+// recordEvent records an event and reports whether it is the first one.
 func (s *activeStream) recordEvent() (first bool) {
 	now := time.Now().UnixNano()
-	interval := now - s.lastActivity.Swap(now)
+	gap := now - s.lastActivity.Swap(now)
 	if !s.started.Swap(true) {
 		return true
 	}
-	mean := s.meanInterval.Load()
+	mean := s.meanGap.Load()
 	if mean == 0 {
-		s.meanInterval.Store(interval)
+		s.meanGap.Store(gap)
 		return false
 	}
-	s.meanInterval.Store(mean + int64(intervalWeight*float64(min(interval, maxIntervalRatio*mean)-mean)))
+	s.meanGap.Store(mean + int64(gapWeight*float64(min(gap, maxGapRatio*mean)-mean)))
 	return false
 }
 
@@ -65,19 +67,20 @@
 // silent reports whether the time since the last event is longer than expected.
 func (s *activeStream) silent(now time.Time) bool {
 	if s.started.Load() {
-		return s.silence(now) > max(silentTimeout(s.job.Route), silentIntervals*time.Duration(s.meanInterval.Load()))
+		return s.silence(now) > max(silentTimeout(s.job.Route), silentGaps*time.Duration(s.meanGap.Load()))
 	}
 	return s.silence(now) > silentStartTimeout(s.job.Route)
 }
 
-// overdue reports whether no event came for longer than a check of a server may
-// take, and than the mean interval. A stream that had one meanwhile works; one whose
-// next event is not due yet must not be rerouted for a lost check.
+// overdue reports whether the time since the last event exceeds both the timeout of
+// a short probe and the mean gap. A stream that had an event during the probe works;
+// a stream whose next event is not due yet must not be rerouted because of a lost
+// probe.
 func (s *activeStream) overdue(now time.Time) bool {
-	return s.silence(now) > max(probe.MinTimeout, time.Duration(s.meanInterval.Load()))
+	return s.silence(now) > max(probe.MinTimeout, time.Duration(s.meanGap.Load()))
 }
 
-// addresses returns the addresses of the chain.
+// addresses returns the addresses of the servers of the chain.
 func (s *activeStream) addresses() []string {
 	s.mu.Lock()
 	defer s.mu.Unlock()
@@ -108,8 +111,9 @@
 	return s.chain[0].Server.Address
 }
 
-// switchChain reserves another chain for the stream. The answer to an order to change its
-// chain may arrive after its end; a reservation made then would never be released.
+// switchChain reserves another chain for the stream. The response to an order to
+// reroute may arrive after the end of the stream; a reservation made then would
+// never be released.
 func (s *activeStream) switchChain(ledger *router.LoadTracker, chain router.Chain) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
--- a/entry/stream/active_test.go
+++ b/entry/stream/active_test.go
@@ -12,9 +12,9 @@
 	"fuchsiashelf.dev/parts/router"
 )
 
-// A stream ends while an order to change its chain is on its way, and the order
-// is taken. Room that was booked for it then would never come free: after some
-// hours of such streams everybody would be refused.
+// Guards against a reservation for a stream that ended while the order to reroute it
+// was in flight: it would never be released, and after hours of such streams every
+// request would be refused.
 func TestEndedStreamReservesNothing(t *testing.T) {
 	ledger := &router.LoadTracker{}
 	m := &Monitor{Ledger: ledger}
--- a/entry/stream/choose.go
+++ b/entry/stream/choose.go
@@ -10,21 +10,21 @@
 	"fuchsiashelf.dev/parts/router"
 )
 
-// chainQuery describes the choice of a chain for a new run of a job.
+// chainQuery returns the query for the chain of a new attempt.
 func (f *Forwarder) chainQuery(job *call.Job) *router.Query {
 	q := f.Monitor.chainQuery(job)
 	q.Delay = func(id string) float64 { return f.startDelay(job, id) }
 	return q
 }
 
-// startDelay returns the cost, in seconds, of starting a chain for a job at a server
-// where requests wait or fail.
+// startDelay returns the cost, in seconds, of starting a chain at a server where
+// requests wait or fail.
 func (f *Forwarder) startDelay(job *call.Job, id string) float64 {
 	return router.StartCost(f.Monitor.Starts.Wait(id, time.Now()), firstEventTarget(job.Route)) + f.Failures.ExpectedDelay(id)
 }
 
-// chooseChain finds a chain. A request for which there is no room now is queued, or
-// refused at once if the queue is full.
+// chooseChain returns a chain for the next attempt. A request for which there is no
+// room now is queued, or refused at once if the queue is full.
 func (r *request) chooseChain(ctx context.Context) (router.Chain, *fault.Error) {
 	if r.headerSent {
 		return r.chooseRestartChain(ctx)
@@ -43,7 +43,7 @@
 	return chain, e
 }
 
-// findOrRefuse takes room that the queued requests cannot use, because they are
+// findOrRefuse finds room that the queued requests cannot use, because they are
 // larger or have tried its servers, and otherwise refuses the request at once.
 func (r *request) findOrRefuse(retryAfter time.Duration) (router.Chain, *fault.Error) {
 	chain, e := r.findChain()
@@ -53,8 +53,9 @@
 	return chain, e
 }
 
-// chooseRestartChain finds a chain for an answer that broke off midway. It polls until shortly
-// before the caller gives up, and goes before requests that have not begun.
+// chooseRestartChain returns a chain for a response that broke off. It polls until
+// shortly before the caller gives up, and does not queue behind requests that have
+// not started.
 func (r *request) chooseRestartChain(ctx context.Context) (router.Chain, *fault.Error) {
 	deadline := r.lastEventAt.Add(restartSearchWait(r.job.Route))
 	for {
@@ -76,8 +77,8 @@
 	}
 }
 
-// findChain finds a chain with room. Neither a chain nor an error means that there
-// is none now.
+// findChain returns a chain with room. Neither a chain nor an error means that there
+// is no room now.
 func (r *request) findChain() (router.Chain, *fault.Error) {
 	q := r.chainQuery(r.job)
 	q.Avoid = r.avoid
@@ -91,8 +92,8 @@
 	return nil, nil
 }
 
-// pickChain finds a chain that crosses failure domains only if their link has room
-// for the prompt.
+// pickChain returns the cheapest chain. It crosses failure domains only if their
+// link has room for the prompt.
 func (r *request) pickChain(q *router.Query) router.Chain {
 	chain := q.Pick()
 	if chain != nil && !r.Monitor.reserveTransfer(r.job, chain.Crossings()) {
@@ -103,7 +104,7 @@
 	return chain
 }
 
-// waitForRoom waits in the queue for room.
+// waitForRoom waits in the queue until there is room.
 func (r *request) waitForRoom(ctx context.Context, waiter *prio.Waiter) (router.Chain, *fault.Error) {
 	deadline := time.Now().Add(min(maxQueueWait(r.job.Route), r.job.Remaining()/2))
 	for time.Now().Add(roomPollInterval).Before(deadline) {
@@ -114,7 +115,7 @@
 		}
 		select {
 		case <-ctx.Done():
-			return nil, &fault.Error{Code: fault.Cancelled, Verdict: fault.NotRun, Message: "ended while it waited for room"}
+			return nil, &fault.Error{Code: fault.Cancelled, Verdict: fault.NotRun, Message: "the request ended while it was queued"}
 		case <-time.After(roomPollInterval):
 		}
 	}
@@ -125,8 +126,8 @@
 	return &fault.Error{Code: fault.Overloaded, Verdict: fault.NotRun, Message: "no server has room", RetryAfter: max(retryAfter, minRetryAfter)}
 }
 
-// findSuspectedChain finds a chain through servers that are suspected, where no other
-// holds all layers: a suspicion may be wrong.
+// findSuspectedChain returns a chain that may contain suspected servers, for when no
+// other holds all layers: a suspicion may be wrong.
 func (r *request) findSuspectedChain(q *router.Query) (router.Chain, *fault.Error) {
 	q.AllowSuspected, q.Overcommit = true, false
 	if chain := q.Pick(); chain != nil {
--- a/entry/stream/events.go
+++ b/entry/stream/events.go
@@ -5,27 +5,28 @@
 	"strconv"
 )
 
-// eventFilter cuts the bytes of an event stream into whole eventFilter. What is passed
-// on always ends with an event, so another server can go on behind it.
+// eventFilter splits the bytes of an event stream into whole events. What is
+// forwarded always ends at the end of an event, so that another server can continue
+// from there.
 type eventFilter struct {
 	pending []byte
-	// lastID is the number of the lastID event that was passed on, as text.
+	// lastID is the number of the last forwarded event, as text.
 	lastID string
-	// count is the number of events passed on.
+	// count is the number of forwarded events.
 	count int
-	// resumed drops events up to last, which the caller has.
+	// resumed drops events up to lastID, which the caller already has.
 	resumed bool
-	// gap says that a resumed run left an event out.
-	gap bool
+	// skipped is set if a restarted stream skipped an event.
+	skipped bool
 }
 
 var eventDelimiter = []byte("\n\n")
 
-// maxEventBytes bounds an event that has not ended yet.
+// maxEventBytes bounds an event whose end has not been read yet.
 const maxEventBytes = 1 << 20
 
-// add takes bytes of a stream and returns the whole events in them that the
-// caller lacks. The result is valid until the next call.
+// add appends bytes of the stream and returns the whole events in them that the
+// caller does not have. The result is valid until the next call.
 func (e *eventFilter) add(b []byte) []byte {
 	e.pending = append(e.pending, b...)
 	end := bytes.LastIndex(e.pending, eventDelimiter)
@@ -40,7 +41,8 @@
 	return kept
 }
 
-// filter drops events that the caller has, and notes the last one.
+// filter drops events that the caller already has, and records the ID of the last
+// one.
 func (e *eventFilter) filter(whole []byte) []byte {
 	kept := whole[:0:0]
 	for len(whole) > 0 {
@@ -52,7 +54,7 @@
 			continue
 		}
 		if e.resumed && id != "" && !e.follows(id) {
-			e.gap = true
+			e.skipped = true
 			return kept
 		}
 		kept = append(kept, event...)
@@ -64,7 +66,7 @@
 	return kept
 }
 
-// delivered reports whether the caller has an event already.
+// delivered reports whether the caller already has an event.
 func (e *eventFilter) delivered(id string) bool {
 	if !e.resumed || id == "" || e.lastID == "" {
 		return false
@@ -74,20 +76,20 @@
 	return err == nil && lastErr == nil && n <= last
 }
 
-// follows reports whether an event follows the last one without a gap.
+// follows reports whether an event directly follows the last one.
 func (e *eventFilter) follows(id string) bool {
 	n, err := strconv.ParseInt(id, 10, 64)
 	last, lastErr := strconv.ParseInt(e.lastID, 10, 64)
 	return err != nil || lastErr != nil || n == last+1
 }
 
-// resume prepares for a new run that goes on behind the last event.
+// resume prepares for a new attempt, which continues after the last event.
 func (e *eventFilter) resume() {
 	e.pending = nil
 	e.resumed = e.lastID != ""
 }
 
-// partial reports whether an event has begun and not ended.
+// partial reports whether an event has started and not ended.
 func (e *eventFilter) partial() bool {
 	return len(bytes.TrimSpace(e.pending)) > 0
 }
--- a/entry/stream/events_test.go
+++ b/entry/stream/events_test.go
@@ -13,9 +13,8 @@
 	return fmt.Sprintf("id: %d\ndata: piece %d\n\n", n, n)
 }
 
-// A server breaks off in the midst of an event. What the caller has must end
-// with a whole one, or the next run's first piece would be joined to half of
-// another.
+// Guards against forwarding part of an event when a server fails in the middle of
+// it: the first event of the restarted stream would be appended to that part.
 func TestOnlyWholeEventsAreForwarded(t *testing.T) {
 	var e eventFilter
 	qt.Assert(t, string(e.add([]byte(eventText(1)+"id: 2\nda"))), qt.Equals, eventText(1))
@@ -26,19 +25,19 @@
 	qt.Assert(t, string(e.add([]byte(eventText(2)))), qt.Equals, eventText(2))
 }
 
-// The run that goes on begins with events that the caller has, or beyond the
-// next one. The first are left out; the second is a piece that is lost, and the
-// answer must not look whole.
-func TestRestartDropsDuplicatesAndDetectsGaps(t *testing.T) {
+// Guards against a restarted stream that repeats events or skips one: repeated
+// events must be dropped, and a response with a missing event must not look
+// complete.
+func TestRestartDropsDuplicatesAndDetectsSkippedEvents(t *testing.T) {
 	e := eventFilter{lastID: "3"}
 	e.resume()
 	qt.Assert(t, string(e.add([]byte(eventText(2)+eventText(3)+eventText(4)))), qt.Equals, eventText(4))
 	e.resume()
 	qt.Assert(t, string(e.add([]byte(eventText(6)))), qt.Equals, "")
-	qt.Assert(t, e.gap, qt.IsTrue)
+	qt.Assert(t, e.skipped, qt.IsTrue)
 }
 
-// However a stream is cut into packets and runs, the caller gets each event
+// However a stream is split into packets and attempts, the caller gets each event
 // once and in order.
 func TestRestartsDeliverEachEventOnce(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
@@ -46,8 +45,8 @@
 		var e eventFilter
 		var got strings.Builder
 		for e.count < n {
-			// Each run begins behind the last event that was passed on, or up
-			// to two before it.
+			// Each attempt starts after the last forwarded event, or up to two
+			// events before it.
 			from := max(1, e.count+1-rapid.IntRange(0, 2).Draw(t, "again"))
 			if e.count == 0 {
 				from = 1
@@ -69,7 +68,7 @@
 		for i := 1; i <= n; i++ {
 			want.WriteString(eventText(i))
 		}
-		if got.String() != want.String() || e.gap {
+		if got.String() != want.String() || e.skipped {
 			t.Fatalf("got %q", got.String())
 		}
 	})
--- a/entry/stream/failure.go
+++ b/entry/stream/failure.go
@@ -14,14 +14,15 @@
 	"fuchsiashelf.dev/parts/fleet"
 )
 
-// errorResponse is a server's response with an error of its own.
+// errorResponse is an error that a server responded with.
 type errorResponse struct {
 	header http.Header
 	status int
 	body   []byte
 }
 
-// handleRefusal handles the word of a server that it did not run the request.
+// handleRefusal records the refusal of a server that did not run the request, and
+// returns its error.
 func (r *request) handleRefusal(first string, reply call.Reply) *fault.Error {
 	address := reply.RefusedBy
 	if address == "" {
@@ -36,15 +37,15 @@
 		}
 	}
 	if address != first {
-		// It may be full, or dead: the first server does not say which.
-		r.Monitor.Probe(address, "a chain is refused for it")
+		// The server may be saturated or dead: the first server does not say which.
+		r.Monitor.Probe(address, "the first server refused a request because of this server")
 	}
 	r.Log.Info("stream: refused by a server", "request", r.job.ID, "status", reply.Status, "server", server, "address", address, "first", r.out.Server)
 	return &fault.Error{Code: fault.ServerRefused, Verdict: fault.NotRun, Message: "a backend server refused", Server: address, RetryAfter: minRetryAfter}
 }
 
-// handleServerError handles a server's own failure. It is kept, and delivered if no other
-// chain does better before the caller has seen anything of an answer.
+// handleServerError keeps the error response of a server. It is delivered if no
+// other chain succeeds before the caller has received any of a response.
 func (r *request) handleServerError(resp *conns.Response, reply call.Reply) *fault.Error {
 	body, err := io.ReadAll(io.LimitReader(resp, readBufferSize))
 	r.avoid[resp.Request.URL.Host] = true
@@ -54,7 +55,7 @@
 	return &fault.Error{Code: fault.ServerFailed, Verdict: fault.MayHaveRun, Message: "the backend server failed", Server: r.out.Server, Cause: err}
 }
 
-// deliverServerError passes the kept failure of a server on.
+// deliverServerError sends the kept error response to the caller.
 func (r *request) deliverServerError() call.Outcome {
 	call.CopyHeader(r.w.Header(), r.serverError.header)
 	r.w.WriteHeader(r.serverError.status)
@@ -65,11 +66,12 @@
 	return r.out
 }
 
-// handleBrokenResponse explains an answer that ended early.
+// handleBrokenResponse closes the connection of a response that ended early, avoids
+// its server, and returns the error.
 func (r *request) handleBrokenResponse(ctx context.Context, resp *conns.Response, err error) *fault.Error {
 	resp.Reset()
-	if r.events.gap {
-		err = errors.New("an event is missing")
+	if r.events.skipped {
+		err = errors.New("the restarted stream skipped an event")
 	}
 	e := &fault.Error{
 		Code: fault.BrokenAnswer, Verdict: fault.MayHaveRun, Message: "the answer broke off",
@@ -82,8 +84,8 @@
 	return e
 }
 
-// avoidFailedServer avoids the first server of a failed attempt, and suspects it unless
-// the attempt was ended from this side.
+// avoidFailedServer avoids the first server of a failed attempt, and probes it
+// unless the attempt was ended by this entry host.
 func (r *request) avoidFailedServer(ctx context.Context, address string, e *fault.Error) {
 	if call.CallerGone(ctx) || errors.Is(context.Cause(ctx), context.DeadlineExceeded) {
 		return
@@ -95,7 +97,8 @@
 	}
 }
 
-// shouldRetry reports whether another chain is tried.
+// shouldRetry reports whether another chain is tried. It withdraws the retry from
+// the retry budget, unless the monitor has reserved it.
 func (r *request) shouldRetry(ctx context.Context, e *fault.Error) bool {
 	if ctx.Err() != nil || e.Code == fault.Cancelled || r.Monitor.Crashes.Blocked(r.job.Fingerprint, time.Now()) {
 		return false
@@ -116,9 +119,9 @@
 	return allowed
 }
 
-// restartReservation returns a function that reserves a run after that of a first server. The
-// watch ends a run only for a reserved one: otherwise the caller could be left with a
-// truncated answer.
+// restartReservation returns a function that reserves another attempt after the one
+// on a first server. The monitor ends an attempt only if another one is reserved:
+// otherwise the caller could be left with a truncated response.
 func (r *request) restartReservation(first *fleet.Server) func() bool {
 	servers := append(slices.Clone(r.mayHaveRun), first)
 	sends := r.out.Sends + 1
@@ -134,15 +137,15 @@
 	}
 }
 
-// canAttempt reports whether the request may be sent once more after so many sends, if
-// some servers may have run it.
+// canAttempt reports whether the request may be sent once more after the given
+// number of sends, if the given servers may have run it.
 func (r *request) canAttempt(servers []*fleet.Server, sends int) bool {
 	return sends <= maxSends && r.countAttempts(servers) < r.job.Route.Attempts
 }
 
-// countAttempts returns how many of the servers that have run the request count towards the
-// attempts of its route: those that still live. A server that died may be replaced by
-// another.
+// countAttempts returns how many of the servers that may have run the request count
+// towards the attempts of its route: those that are still alive. An attempt on a
+// server that died does not count.
 func (r *request) countAttempts(servers []*fleet.Server) int {
 	view := r.State.View()
 	n := 0
@@ -158,7 +161,7 @@
 // maxSends bounds the chains that one request is sent to, refusals included.
 const maxSends = 3
 
-// finishFailed ends a request that was given up.
+// finishFailed ends a request that is not tried again.
 func (r *request) finishFailed(ctx context.Context, e *fault.Error) call.Outcome {
 	final := *e
 	final.Verdict = r.verdict.Weaken(e.Verdict)
@@ -174,7 +177,7 @@
 		return r.deliverServerError()
 	}
 	if r.headerSent {
-		// The caller has half an answer: it must not look complete.
+		// The caller has a partial response, which must not look complete.
 		r.out.Truncated = true
 		return r.out
 	}
--- a/entry/stream/failures.go
+++ b/entry/stream/failures.go
@@ -8,23 +8,24 @@
 )
 
 const (
-	// failureWeight is the part of a new outcome in a server's share: three
-	// failures in a row make more than half.
+	// failureWeight is the weight of a new outcome in the failure rate of a server:
+	// three failures in a row result in a rate above one half.
 	failureWeight = 0.25
-	// failureCostSeconds is the cost of a failure in the choice of a chain. The prompt is
-	// read again elsewhere, and a server that always fails uses up the retry budget
-	// within a second.
+	// failureCostSeconds is the cost of a failure in the choice of a chain. The
+	// prompt is read again on another server, and a server that always fails uses up
+	// the retry budget within a second.
 	failureCostSeconds = 3
 )
 
-// Failures holds how first servers of chains did lately. Others are not seen:
-// the first one answers for the chain. The zero value is ready.
+// Failures keeps the recent failure rate of servers that start a chain. Other
+// servers are not tracked, because the first one responds for the whole chain. The
+// zero value is ready to use.
 type Failures struct {
 	mu    sync.Mutex
 	rates map[string]*health.FailureRate
 }
 
-// Record takes the outcome of an answer.
+// Record records the outcome of a response.
 func (f *Failures) Record(id string, failed bool, now time.Time) {
 	f.mu.Lock()
 	defer f.mu.Unlock()
@@ -42,7 +43,8 @@
 	rate.Record(failed, now)
 }
 
-// ExpectedDelay returns the seconds that starting a chain at a server may cost.
+// ExpectedDelay returns the expected cost, in seconds, of failures if a chain starts
+// at a server.
 func (f *Failures) ExpectedDelay(id string) float64 {
 	f.mu.Lock()
 	defer f.mu.Unlock()
@@ -53,7 +55,7 @@
 	return failureCostSeconds * rate.At(time.Now())
 }
 
-// Expire forgets servers that have not failed for long.
+// Expire removes servers that have not failed for a long time.
 func (f *Failures) Expire(now time.Time) {
 	f.mu.Lock()
 	defer f.mu.Unlock()
@@ -64,5 +66,5 @@
 	}
 }
 
-// negligibleRate makes no difference to any choice.
+// negligibleRate is too low to affect the choice of a chain.
 const negligibleRate = 0.005
--- a/entry/stream/forwarder.go
+++ b/entry/stream/forwarder.go
@@ -1,12 +1,12 @@
-// Package stream passes requests on to chains of engines and their answers,
-// series of events, back to the callers as they arrive.
+// Package stream forwards requests to chains of engines, and their responses, which
+// are streams of events, to the callers as they arrive.
 //
-// An answer outlives the servers that give it. If a server in the midst of a
-// chain fails, the first one lives and holds on; the [Monitor] notices the
-// silence and gives the request another way behind the first server. If the
-// first server fails, a resumable stream restarts on another chain after the last
-// event that the caller has, within the same answer. Only whole events
-// are passed on, so the two runs join without a piece missing or doubled.
+// A response survives the failure of the servers that produce it. If a server in the
+// middle of a chain fails, the first server keeps the request; the [Monitor] detects
+// the silence and reroutes the request behind the first server. If the first server
+// fails, a resumable stream restarts on another chain after the last event that the
+// caller has, within the same response. Only whole events are forwarded, so no event
+// is missing or repeated where the two attempts join.
 package stream
 
 import (
@@ -29,21 +29,21 @@
 )
 
 const (
-	// minRetryAfter is the least Retry-After of a request that was refused for want of
-	// room.
+	// minRetryAfter is the shortest Retry-After of a request that was refused for
+	// lack of room.
 	minRetryAfter = 700 * time.Millisecond
-	// loadRetryAfter is the Retry-After while layers are missing: a load takes one to two
-	// seconds.
+	// loadRetryAfter is the Retry-After while layers are missing: loading them takes
+	// one to two seconds.
 	loadRetryAfter = 2 * time.Second
 	// maxIdleReuse is the longest idle time of a connection that is reused.
 	maxIdleReuse = 3 * time.Second
-	// readBufferSize holds several events.
+	// readBufferSize is the size of a buffer that holds several events.
 	readBufferSize = 4 << 10
 	// roomPollInterval is the polling interval of a request that waits for room.
 	roomPollInterval = 20 * time.Millisecond
 )
 
-// Forwarder passes requests on. Set the exported fields before use.
+// Forwarder forwards requests. Set the exported fields before use.
 type Forwarder struct {
 	Codec   call.Codec
 	Pool    *conns.Pool
@@ -51,38 +51,38 @@
 	Ledger  *router.LoadTracker
 	Monitor *Monitor
 	Queue   *prio.Queue
-	// Failures holds which servers fail requests.
+	// Failures holds the failure rates of servers.
 	Failures    *Failures
 	LocalDomain domain.Name
 	Log         *slog.Logger
-	// RetryBudget returns the budget of repeats of a service.
+	// RetryBudget returns the retry budget of a service.
 	RetryBudget func(service string) *retry.WindowBudget
 }
 
-// request is one request on its way.
+// request is a request that is being forwarded, over all its attempts.
 type request struct {
 	*Forwarder
 	job    *call.Job
 	w      http.ResponseWriter
 	out    call.Outcome
 	events eventFilter
-	// headerSent says that the caller has the header of the answer.
+	// headerSent is set once the caller has the header of the response.
 	headerSent bool
-	// avoid holds addresses that failed this request.
+	// avoid holds the addresses of servers that failed or refused this request.
 	avoid   map[string]bool
 	verdict fault.Verdict
 	// mayHaveRun holds the servers that may have run the request.
 	mayHaveRun []*fleet.Server
-	// restartReserved says that the watch has restartReserved the next run.
+	// restartReserved is set if the monitor has reserved the next attempt.
 	restartReserved atomic.Bool
 	budget          *retry.WindowBudget
-	// lastEventAt is when the caller got the last event.
+	// lastEventAt is when the last event was sent to the caller.
 	lastEventAt time.Time
-	// serverError is what a server that failed answered.
+	// serverError is the error response of a server that failed.
 	serverError *errorResponse
 }
 
-// Serve passes a request on and answers the caller.
+// Serve forwards a request and responds to the caller.
 func (f *Forwarder) Serve(ctx context.Context, w http.ResponseWriter, job *call.Job) call.Outcome {
 	budget := f.RetryBudget(job.Service.Name)
 	budget.Record(time.Now())
@@ -104,7 +104,7 @@
 	}
 }
 
-// attempt runs the request on one chain and passes the answer on.
+// attempt sends the request to one chain and forwards the response.
 func (r *request) attempt(ctx context.Context, chain router.Chain) *fault.Error {
 	first := chain[0].Server
 	attemptCtx, cancel := context.WithCancelCause(ctx)
@@ -150,7 +150,7 @@
 	return failure
 }
 
-// relayEvents passes the events of an answer on until its end.
+// relayEvents forwards the events of a response until its end.
 func (r *request) relayEvents(ctx context.Context, resp *conns.Response, stream *activeStream, pending *router.PendingStart) *fault.Error {
 	r.events.resume()
 	r.sendHeader(resp)
@@ -169,17 +169,17 @@
 				}
 			}
 		}
-		if err == io.EOF && !r.events.partial() && !r.events.gap {
+		if err == io.EOF && !r.events.partial() && !r.events.skipped {
 			r.out.Status = http.StatusOK
 			return nil
 		}
-		if err != nil || r.events.gap || len(r.events.pending) > maxEventBytes {
+		if err != nil || r.events.skipped || len(r.events.pending) > maxEventBytes {
 			return r.handleBrokenResponse(ctx, resp, err)
 		}
 	}
 }
 
-// sendHeader gives the caller the header of the first run's answer.
+// sendHeader sends the header of the first response to the caller.
 func (r *request) sendHeader(resp *conns.Response) {
 	if r.headerSent {
 		return
@@ -189,7 +189,7 @@
 	r.headerSent = true
 }
 
-// sendEvents gives whole events to the caller.
+// sendEvents sends whole events to the caller.
 func (r *request) sendEvents(whole []byte, controller *http.ResponseController) *fault.Error {
 	now := time.Now()
 	if r.out.TimeToFirstByte == 0 {
--- a/entry/stream/monitor.go
+++ b/entry/stream/monitor.go
@@ -16,56 +16,58 @@
 	"fuchsiashelf.dev/parts/router"
 )
 
-// Timeouts and intervals, beside those that follow from routes.
+// Timeouts and intervals that do not depend on routes.
 const (
-	// sweepInterval is how often all streams are looked at.
+	// sweepInterval is the interval between two checks of all streams.
 	sweepInterval = 15 * time.Millisecond
-	// maxSweepGap is the interval between two sweeps above which silence is
+	// maxSweepDelay is the interval between two sweeps above which silence is
 	// attributed to this entry host, not to servers.
-	maxSweepGap = 40 * time.Millisecond
-	// silentIntervals is the idle time of a stream, in its mean intervals, after which
-	// its servers are checked, if that is longer than the fraction of the longest pause
-	// on time. Where all streams are slow, the checks are left for servers that died.
-	silentIntervals = 2
-	// entryPropagation is how long a restarted server is avoided: by then its entry shows
-	// that it holds no layers.
+	maxSweepDelay = 40 * time.Millisecond
+	// silentGaps is the time without an event, in mean gaps of the stream, after
+	// which its servers are probed, if it is longer than the fraction of the longest
+	// gap that is on time. Where all streams are slow, the probes are left for
+	// servers that died.
+	silentGaps = 2
+	// entryPropagation is how long a restarted server is avoided. By then its entry
+	// shows that it holds no layers.
 	entryPropagation = 1500 * time.Millisecond
-	// suspectProbeInterval and maxProbes bound the checks of a suspected server: for longer than
-	// its entry outlives it.
+	// suspectProbeInterval and maxSuspectProbes bound the probes of a suspected
+	// server: together they last longer than its entry.
 	suspectProbeInterval = 500 * time.Millisecond
 	maxSuspectProbes     = 30
-	// remoteProbeInterval is the interval of checks of a suspected server of another failure
-	// domain: just before the suspicion expires.
+	// remoteProbeInterval is the interval between probes of a suspected server of
+	// another failure domain. Each one comes just before the suspicion expires.
 	remoteProbeInterval = state.SuspectFor - 200*time.Millisecond
-	// reprobeDelay is when a server that did not answer the first, short checks gets a
-	// long one: on a lossy link all of them may have been lost.
+	// reprobeDelay is the delay before a server that did not answer the first, short
+	// probes gets a long one: on a lossy link all of them may have been lost.
 	reprobeDelay = 100 * time.Millisecond
 	// drainInterval is the interval between two streams that are rerouted around a
-	// leaving server. Each has all its tokens read again on the new chain, which delays
+	// draining server. The new chain reads all tokens of each again, which delays
 	// the streams there.
 	drainInterval = 200 * time.Millisecond
-	// moveInterval is the same for a server that is about to load layers that no other
-	// server of its failure domain holds.
+	// moveInterval is the same for a server that is about to load layers that no
+	// other server of its failure domain holds.
 	moveInterval = 50 * time.Millisecond
-	// healthyProbeInterval limits status checks of a server that answered the last one: a
-	// full one is accused with each request that it refuses.
+	// healthyProbeInterval limits the probes of a server that answered the last one:
+	// a saturated server is reported with each request that it refuses.
 	healthyProbeInterval = 500 * time.Millisecond
-	// rerouteInterval is the interval between two searches for another chain for a stream.
-	// Each may cost an order for every server that turns out to be full.
+	// rerouteInterval is the interval between two searches for another chain for a
+	// stream. Each may cost an order for every server that turns out to be
+	// saturated.
 	rerouteInterval = 150 * time.Millisecond
 	// maxReroutes bounds the chains that are tried in one search.
 	maxReroutes = 3
 )
 
-// Causes of the end of an attempt from this side.
+// Causes of an attempt that this entry host ends.
 var (
-	errFirstServerDead = errors.New("stream: the first server does not answer")
-	errSilent          = errors.New("stream: silent for too long")
-	errNoChain         = errors.New("stream: no other way behind the first server")
-	errHostDelayed     = errors.New("stream: this entry host lagged")
+	errFirstServerDead = errors.New("stream: the first server does not answer probes")
+	errSilent          = errors.New("stream: no event within the restart timeout")
+	errNoChain         = errors.New("stream: no alternative chain behind the first server")
+	errHostDelayed     = errors.New("stream: this entry host was delayed during the probe")
 )
 
-// Monitor looks after the streams under way. Set the exported fields before Run.
+// Monitor monitors the streams in progress. Set the exported fields before Run.
 type Monitor struct {
 	Engine call.EngineClient
 	State  *state.Local
@@ -74,34 +76,36 @@
 	Starts      *router.StartLatency
 	LocalDomain domain.Name
 	Log         *slog.Logger
-	// Crashes holds the requests under which servers died.
+	// Crashes counts the servers that died under each request.
 	Crashes *poison.Counter
 	// Broadcast sends a new suspicion or a long wait to other entry hosts.
 	Broadcast func()
 
-	// EntryHosts returns how many entry hosts there are, this one among them.
+	// EntryHosts returns the number of entry hosts, including this one.
 	EntryHosts func() int
-	// DropConns drops the kept connections to an address: those that fell silent
-	// without a reset would make a server that lives look dead.
+	// DropConns closes the idle connections to an address. Connections that were
+	// lost without a reset would make a live server look dead.
 	DropConns func(address string)
 
 	mu      sync.Mutex
 	streams map[*activeStream]struct{}
-	// probes decides which servers of silent streams are asked, and wait how long.
+	// probes decides which servers of silent streams are probed, and timeout how
+	// long an answer may take.
 	probes  probe.Scheduler
 	timeout probe.Timeout
-	// linkBudget counts the answers that are led across failure domains.
+	// linkBudget limits the responses that are rerouted across failure domains.
 	linkBudget router.LinkBudget
-	// probing holds the addresses of accused servers that are being asked.
+	// probing holds the addresses of the servers that are being probed.
 	probing map[string]bool
-	// lastAnswer holds when an accused server last answered.
+	// lastAnswer holds when a probed server last answered.
 	lastAnswer map[string]time.Time
-	// failedRequests holds the requests failedRequests which accused servers failed, by their
-	// IDs, until it is known whether they died.
+	// failedRequests holds the requests that failed on a probed server, by the ID of
+	// the server, until it is known whether the server died.
 	failedRequests map[string]map[poison.Fingerprint]bool
-	// lastDrain is when a stream was last rerouted around a leaving server.
+	// lastDrain is when a stream was last rerouted around a draining server.
 	lastDrain time.Time
-	// lastSweep is the time of the last sweep, and lastDelay when a sweep was last late.
+	// lastSweep is the time of the last sweep, and lastDelay when a sweep was last
+	// late.
 	lastSweep, lastDelay time.Time
 }
 
@@ -127,14 +131,14 @@
 	stream.releaseChain()
 }
 
-// Streams returns the number of streams under way.
+// Streams returns the number of streams in progress.
 func (m *Monitor) Streams() int {
 	m.mu.Lock()
 	defer m.mu.Unlock()
 	return len(m.streams)
 }
 
-// Run looks after the streams until the context ends.
+// Run monitors the streams until the context ends.
 func (m *Monitor) Run(ctx context.Context) {
 	ticker := time.NewTicker(sweepInterval)
 	defer ticker.Stop()
@@ -154,11 +158,12 @@
 	}
 }
 
-// sweep asks the servers of silent streams whether they live.
+// sweep ends attempts that reach the restart timeout, and probes the servers of
+// silent streams.
 func (m *Monitor) sweep(ctx context.Context, now time.Time) {
 	m.mu.Lock()
 	defer m.mu.Unlock()
-	delayed := !m.lastSweep.IsZero() && now.Sub(m.lastSweep) > maxSweepGap
+	delayed := !m.lastSweep.IsZero() && now.Sub(m.lastSweep) > maxSweepDelay
 	if delayed {
 		m.lastDelay = now
 	}
@@ -169,7 +174,7 @@
 		if stream.started.Load() && silence > restartTimeout(stream.job.Route) {
 			stream.cancel(errSilent)
 		}
-		silent = silent || silence > time.Duration(stream.meanInterval.Load())
+		silent = silent || silence > time.Duration(stream.meanGap.Load())
 	}
 	maps.DeleteFunc(m.lastAnswer, func(_ string, at time.Time) bool { return now.Sub(at) > healthyProbeInterval })
 	if !silent || delayed {
@@ -178,7 +183,7 @@
 	streams := make([]probe.Stream, 0, len(m.streams))
 	for stream := range m.streams {
 		streams = append(streams, probe.Stream{
-			Servers: stream.addresses(), Silent: stream.silent(now), Pause: stream.silence(now), TypicalGap: time.Duration(stream.meanInterval.Load()),
+			Servers: stream.addresses(), Silent: stream.silent(now), Pause: stream.silence(now), TypicalGap: time.Duration(stream.meanGap.Load()),
 		})
 	}
 	for _, address := range m.probes.Next(streams, now) {
@@ -186,8 +191,8 @@
 	}
 }
 
-// probeSilent asks a server for its report. One that does not answer is left by
-// the streams that pass through it.
+// probeSilent probes a server of a silent stream. If it does not answer, the streams
+// that use it are rerouted or restarted.
 func (m *Monitor) probeSilent(ctx context.Context, address string) {
 	report, err := m.fetchReport(ctx, address, m.probeTimeout())
 	if errors.Is(err, errHostDelayed) {
@@ -211,15 +216,16 @@
 	m.evacuate(address, outcome)
 }
 
-// probeTimeout returns how long a server is waited for.
+// probeTimeout returns how long an answer to a probe may take.
 func (m *Monitor) probeTimeout() time.Duration {
 	m.mu.Lock()
 	defer m.mu.Unlock()
 	return m.timeout.Current()
 }
 
-// fetchReport asks a server for its report. The error is errLag if this entry host lagged
-// meanwhile, so that nothing follows from the silence.
+// fetchReport asks a server for its report. The error is errHostDelayed if this
+// entry host was delayed during the request, so that the missing answer says nothing
+// about the server.
 func (m *Monitor) fetchReport(ctx context.Context, address string, timeout time.Duration) (call.Report, error) {
 	ctx, cancel := context.WithTimeout(ctx, timeout)
 	defer cancel()
@@ -232,14 +238,16 @@
 		m.timeout.Record(elapsed, timeout <= m.timeout.Current())
 		return report, err
 	}
-	delayed := probe.Stalled(timeout, elapsed) || m.lastDelay.After(start) || !m.lastSweep.IsZero() && time.Since(m.lastSweep) > maxSweepGap
+	delayed := probe.Stalled(timeout, elapsed) || m.lastDelay.After(start) || !m.lastSweep.IsZero() && time.Since(m.lastSweep) > maxSweepDelay
 	if delayed && probeOutcome(err) != probe.Gone {
 		return report, errHostDelayed
 	}
 	return report, err
 }
 
-// handleReport takes over what a server reports of itself.
+// handleReport applies the report of a server: it evacuates a server that has
+// restarted, records its slowness, and reroutes the streams that it reports as
+// stalled.
 func (m *Monitor) handleReport(address string, report call.Report) {
 	now := time.Now()
 	s := m.State.View().ByAddress(address)
@@ -260,8 +268,8 @@
 
 // evacuate reroutes streams around a server that does not answer, and restarts those
 // of which it is the first. A server that is only unreachable from here may still
-// serve its peers, and one that ends may close its port before it has served its
-// last stream, so streams that still have events stay.
+// serve its peers, and a server that is ending may close its port before it has
+// served its last stream, so streams that still get events stay.
 func (m *Monitor) evacuate(address string, outcome probe.State) {
 	now := time.Now()
 	var affected []*activeStream
--- a/entry/stream/monitor_test.go
+++ b/entry/stream/monitor_test.go
@@ -22,21 +22,22 @@
 	"fuchsiashelf.dev/parts/router"
 )
 
-// fakeEngines are fakeEngines that answer from memory.
+// fakeEngines is an engine client that answers from memory.
 type fakeEngines struct {
-	// reportErrors holds what a question to an address ends with.
+	// reportErrors holds the errors of requests for a report, by address.
 	reportErrors map[string]error
-	// startedAt holds when an address started, if not long ago.
+	// startedAt holds the start times that reports contain, by address.
 	startedAt map[string]time.Time
-	// results holds what becomes of an order for a request, if it is not begun.
+	// results holds the results of reroutes, by request, where they differ from a
+	// started order.
 	results map[string]call.OrderResult
-	// block, if set, keeps orders waiting until it is closed.
+	// block, if set, blocks reroutes until it is closed.
 	block chan struct{}
 
 	mu       sync.Mutex
 	rerouted map[string]router.Chain
 	ordered  chan struct{}
-	// timeouts holds how long each question might take.
+	// timeouts holds the timeout of each request for a report.
 	timeouts []time.Duration
 }
 
@@ -67,13 +68,13 @@
 	return call.OrderStarted, "", nil
 }
 
-// testRoute is the route of the streams of these tests.
+// testRoute is the route of the streams in these tests.
 var testRoute = &route.Route{Target: 500 * time.Millisecond, MaxGap: 250 * time.Millisecond}
 
-// testLayers of the model of these tests.
+// testLayers is the number of layers of the model in these tests.
 const testLayers = 12
 
-// fakeDecoder decodes servers that a test made.
+// fakeDecoder decodes the servers of a test.
 type fakeDecoder map[string]fleet.Server
 
 func (d fakeDecoder) Table([]byte) (*route.Table, error) {
@@ -84,8 +85,8 @@
 	return d[id], nil
 }
 
-// newMonitor returns a watch over a first server, one in the midst of chains, and
-// others that hold the same layers as that one.
+// newMonitor returns a monitor over a first server, a middle server, and others that
+// hold the same layers as the middle one.
 func newMonitor(engines *fakeEngines, others int) (*Monitor, fakeDecoder) {
 	engines.rerouted = map[string]router.Chain{}
 	engines.ordered = make(chan struct{}, 16)
@@ -113,7 +114,7 @@
 	}, servers
 }
 
-// addStream adds a addStream whose last event came some time ago.
+// addStream adds a stream whose last event came the given time ago.
 func (m *Monitor) addStream(servers fakeDecoder, id string, silence time.Duration) *activeStream {
 	engine := &route.Engine{
 		Layers: testLayers, LayerMB: 1, TokenBytes: 1, StepsPerPass: 1, PrefillPerSec: 1000, Step: time.Millisecond,
@@ -128,10 +129,10 @@
 	return stream
 }
 
-// A process in the midst of many chains ends. Each of its streams would have to
-// be silent for a while before anybody asked, and the first server's report
-// comes later still; every caller would see a pause. One silent stream is
-// enough: its servers are asked, one refuses, and all its streams leave.
+// Guards against streams that wait for their own silence timeout, or for the later
+// report of the first server, after a server of their chains has died. One silent
+// stream is enough: its servers are probed, one refuses the connection, and all
+// streams are rerouted around it.
 func TestAllStreamsAreReroutedAroundGoneServer(t *testing.T) {
 	e := &fakeEngines{reportErrors: map[string]error{"middle": syscall.ECONNREFUSED}}
 	m, servers := newMonitor(e, 1)
@@ -146,9 +147,9 @@
 	qt.Check(t, m.State.View().ByAddress("middle").Suspected, qt.IsTrue)
 }
 
-// A server crashes and is back within a heartbeat, under its ID and address. It
-// answers every question, but knows nothing of its streams, which would wait
-// until their callers leave.
+// Guards against streams that wait until their callers leave for a server that
+// crashed and restarted within a heartbeat, under its ID and address. It answers
+// every probe, but has lost its streams.
 func TestStreamsAreReroutedAroundRestartedServer(t *testing.T) {
 	e := &fakeEngines{startedAt: map[string]time.Time{"middle": time.Now()}}
 	m, servers := newMonitor(e, 1)
@@ -158,9 +159,9 @@
 	qt.Assert(t, e.rerouted["r"].String(), qt.Equals, "first=0-4 other-0=4-12")
 }
 
-// Another entry host tells that a server is dead, and asked here it is. The
-// streams that pass through it leave at once; left until they are silent and
-// their turn to be asked about comes, they paused for over a second.
+// Guards against a gap of over a second after another entry host finds a server
+// dead: once a local probe confirms it, the streams that use the server must be
+// rerouted without waiting for their silence timeout and the next probe.
 func TestStreamsAreReroutedWhenPeerFindsServerDead(t *testing.T) {
 	e := &fakeEngines{reportErrors: map[string]error{"middle": syscall.ECONNREFUSED}}
 	m, servers := newMonitor(e, 1)
@@ -170,9 +171,9 @@
 	qt.Assert(t, e.rerouted["r"].String(), qt.Equals, "first=0-4 other-0=4-12")
 }
 
-// Another entry host tells that a server fell silent. Here it is asked itself; a
-// long question alone would take longer than callers bear, and all the while
-// requests would go there. Two short ones must do, since one may be lost.
+// Guards against a single long probe of a server that another entry host suspects:
+// it takes longer than callers wait, and requests are sent to the server meanwhile.
+// Two short probes are enough; one may be lost.
 func TestSuspectReportedByPeerGetsShortProbes(t *testing.T) {
 	e := &fakeEngines{reportErrors: map[string]error{"middle": context.DeadlineExceeded}}
 	m, servers := newMonitor(e, 1)
@@ -188,8 +189,8 @@
 	}
 }
 
-// An entry host is cut off from a server that its peers still reach. Streams
-// through that one go on; led elsewhere, all their tokens would be read again
+// Guards against rerouting streams that still get events through a server that this
+// entry host cannot reach but its peers can: all their tokens would be read again
 // for nothing.
 func TestActiveStreamsStayOnUnreachableServer(t *testing.T) {
 	e := &fakeEngines{reportErrors: map[string]error{"middle": context.DeadlineExceeded}}
@@ -202,23 +203,23 @@
 	qt.Check(t, e.rerouted["still-comes"], qt.IsNil)
 }
 
-// A question to a server is lost on its way. Its streams have an event every 80 ms,
-// and the last one was 50 ms ago: nothing says that the server does not live, and
-// led elsewhere each would have all its tokens read again.
-func TestStreamsWithinMeanIntervalStay(t *testing.T) {
+// Guards against rerouting streams because of one lost probe. A stream with an event
+// every 80 ms, whose last event came 50 ms ago, is not due yet: nothing says that
+// the server is dead, and a reroute would read all its tokens again.
+func TestStreamsWithinMeanGapStay(t *testing.T) {
 	e := &fakeEngines{}
 	m, servers := newMonitor(e, 1)
 	due, early := m.addStream(servers, "due", 90*time.Millisecond), m.addStream(servers, "early", 50*time.Millisecond)
-	due.meanInterval.Store(int64(80 * time.Millisecond))
-	early.meanInterval.Store(int64(80 * time.Millisecond))
+	due.meanGap.Store(int64(80 * time.Millisecond))
+	early.meanGap.Store(int64(80 * time.Millisecond))
 	m.evacuate("middle", probe.Suspected)
 	<-e.ordered
 	qt.Check(t, e.rerouted["due"].String(), qt.Equals, "first=0-4 other-0=4-12")
 	qt.Check(t, e.rerouted["early"], qt.IsNil)
 }
 
-// A server that ends takes no more connections and still serves the streams
-// that it has. Begun anew at once they would be cut off by their own entry host.
+// Guards against ending streams on a first server that is shutting down: it accepts
+// no more connections but still serves the streams that it has.
 func TestActiveStreamsStayOnEndingFirstServer(t *testing.T) {
 	e := &fakeEngines{}
 	m, servers := newMonitor(e, 1)
@@ -230,9 +231,9 @@
 	qt.Assert(t, ended, qt.DeepEquals, []string{"silent"})
 }
 
-// Many streams leave a dead server within a millisecond. While the first order
-// is on its way, nothing shows that its server is about to read a whole prompt;
-// if all chose it, the last would wait for all others.
+// Guards against many streams moving from a dead server to the same alternative.
+// They choose within a millisecond, while nothing shows that the first order will
+// make its server read a whole prompt; the last stream would wait for all others.
 func TestReroutedStreamsSpreadOverServers(t *testing.T) {
 	e := &fakeEngines{reportErrors: map[string]error{"middle": syscall.ECONNREFUSED}, block: make(chan struct{})}
 	m, servers := newMonitor(e, 2)
@@ -250,10 +251,10 @@
 	qt.Assert(t, first >= 2 && second >= 2, qt.IsTrue, qt.Commentf("%v and %v", first, second))
 }
 
-// A server was told to load layers that are missing, and waits for the streams
-// that pass through those which it gives up. They are led round it. Streams
-// through one that only gives up what others hold as well are left alone: led
-// round it, all their tokens would be read again for nothing.
+// Guards against streams that block the load of missing layers: a server that is to
+// load them waits for the streams that use the layers it gives up. Streams on a
+// server that only gives up replicated layers must stay: otherwise all their tokens
+// would be read again for nothing.
 func TestStreamsAreDrainedOnlyForMissingLayers(t *testing.T) {
 	e := &fakeEngines{}
 	m, servers := newMonitor(e, 1)
@@ -268,10 +269,9 @@
 	qt.Assert(t, e.rerouted["r"].String(), qt.Equals, "first=0-4 other-0=4-12")
 }
 
-// A server in the midst of a chain dies, and the next one of it is told to load
-// its layers. It waits until the stream has ended that passes through what it
-// gives up, and the stream waits for these layers: neither would go on until
-// the caller leaves.
+// Guards against a deadlock after the death of a server of a chain: the next server
+// of the chain is ordered to load its layers and waits for a stream that uses the
+// layers it gives up, while the stream waits for the layers of the dead server.
 func TestStreamBlockingALoadRestarts(t *testing.T) {
 	e := &fakeEngines{reportErrors: map[string]error{"middle": syscall.ECONNREFUSED}}
 	m, servers := newMonitor(e, 0)
@@ -293,10 +293,9 @@
 	qt.Assert(t, <-ended, qt.Equals, errNoChain)
 }
 
-// Answers break off at servers that go on well, one after the other, and each
-// time another one is tried. A route allows two; beyond them the budget of
-// repeats that all entry hosts share would be spent on requests that no server
-// serves. A server that died does not count.
+// Guards against retries that use up the retry budget shared by all entry hosts on a
+// request that no server completes. A route allows two attempts on servers that stay
+// alive; an attempt on a server that died does not count.
 func TestOnlyLiveServersCountAsAttempts(t *testing.T) {
 	m, servers := newMonitor(&fakeEngines{}, 1)
 	first, middle := servers["first"], servers["middle"]
@@ -309,9 +308,9 @@
 	qt.Assert(t, r.countAttempts(r.mayHaveRun), qt.Equals, 1)
 }
 
-// A payment fails at a plain server, which is asked whether it lives. It has no
-// report to give and says so. Taken for dead, it would be left out for two
-// seconds, and the few others would have to refuse what it could have served.
+// Guards against suspecting a plain server that responds to a probe without a
+// report. It would be avoided for two seconds, and the few others would refuse
+// requests that it could have served.
 func TestServerWithoutReportIsNotSuspected(t *testing.T) {
 	e := &fakeEngines{reportErrors: map[string]error{"middle": &call.NoReportError{Status: 400}}}
 	m, _ := newMonitor(e, 1)
@@ -324,7 +323,7 @@
 	qt.Assert(t, m.State.View().ByAddress("middle").Suspected, qt.IsFalse)
 }
 
-// waitFor waits for a condition that another goroutine brings about.
+// waitFor waits until a condition holds.
 func waitFor(t *testing.T, condition func() bool) {
 	t.Helper()
 	ticker := time.NewTicker(time.Millisecond)
@@ -332,7 +331,7 @@
 	for !condition() {
 		select {
 		case <-t.Context().Done():
-			t.Fatal("never")
+			t.Fatal("the condition was not met before the test ended")
 		case <-ticker.C:
 		}
 	}
--- a/entry/stream/probe.go
+++ b/entry/stream/probe.go
@@ -12,15 +12,14 @@
 	"fuchsiashelf.dev/parts/probe"
 )
 
-// Probe checks a server that seems to have failed by a request for its report. One
-// that does not answer is suspected, and checked again until it answers or its entry
-// is gone.
+// Probe checks whether a server that seems to have failed still answers. If it does
+// not, it is suspected, and probed again until it answers or its entry is gone.
 func (m *Monitor) Probe(address, reason string) {
 	m.probeServer(address, reason, link{})
 }
 
-// ProbeFor does so for a server that failed while it ran a request. If it
-// died, that is noted against the request.
+// ProbeFor is like Probe for a server that failed while it ran a request. If the
+// server died, the crash is recorded against the request.
 func (m *Monitor) ProbeFor(job *call.Job, address, reason string) {
 	s := m.State.View().ByAddress(address)
 	if s == nil {
@@ -38,8 +37,8 @@
 	m.probeServer(address, reason, link{})
 }
 
-// resolveFailures ends the case of an accused server. If it died, that is noted against
-// all requests that it failed under.
+// resolveFailures ends the probe of a server. If the server died, the crash is
+// recorded against all requests that failed on it.
 func (m *Monitor) resolveFailures(id string, died bool, now time.Time) {
 	m.mu.Lock()
 	fingerprints := m.failedRequests[id]
@@ -53,10 +52,12 @@
 	}
 }
 
-// probeServer does so for a server that another one waits for. If it answers here,
-// and the two are in different failure domains, these are cut off from each
-// other. Without the question a plain crash would look the same, and no chain
-// could cross to where its layers are held.
+// probeServer starts to probe a server, unless it has answered recently or is being
+// probed already. via is the link over which another server of a chain waits for
+// this one, if any. If the server answers this entry host and the link connects two
+// failure domains, the link is marked as broken. Without the probe, a crash of the
+// server would look the same, and no chain could cross to the domain that holds its
+// layers.
 func (m *Monitor) probeServer(address, reason string, via link) {
 	s := m.State.View().ByAddress(address)
 	if s == nil {
@@ -70,8 +71,8 @@
 	}
 }
 
-// claimProbe reports whether the caller is to check an accused server. Each is checked by
-// one goroutine at a time.
+// claimProbe reports whether the caller is to probe a server. Each server is probed
+// by one goroutine at a time.
 func (m *Monitor) claimProbe(address string) bool {
 	m.mu.Lock()
 	defer m.mu.Unlock()
@@ -85,8 +86,8 @@
 	return true
 }
 
-// suspect avoids a server that has left questions unanswered, and asks it
-// again until it answers or its entry is gone.
+// suspect avoids a server that did not answer probes, and probes it again until it
+// answers or its entry is gone.
 func (m *Monitor) suspect(address, reason string, err error) {
 	s := m.State.View().ByAddress(address)
 	if s == nil {
@@ -98,11 +99,11 @@
 	}
 }
 
-// markSuspected notes that a server did not answer. It reports whether its entry is
-// still there.
+// markSuspected records that a server did not answer. It reports whether the entry
+// of the server still exists.
 func (m *Monitor) markSuspected(id, address, reason string, err error, now time.Time) bool {
-	// Only a process that is gone refuses connections at once. One behind a
-	// cut link does not answer either, and no request is to blame.
+	// Only a process that has ended refuses connections at once. A server behind a
+	// broken link does not answer either, but no request caused that.
 	m.resolveFailures(id, probeOutcome(err) == probe.Gone, now)
 	if s := m.State.View().ByAddress(address); s == nil || s.ID != id {
 		return false
@@ -114,9 +115,10 @@
 	return true
 }
 
-// probeSuspect polls an accused server until it answers or its entry is gone. The first
-// probes, as many as mean that it is dead, have a short timeout: until a death is
-// known, requests go to the server, and its layers are not loaded elsewhere.
+// probeSuspect probes a server until it answers or its entry is gone. The first
+// probes, up to the number of misses that count as dead, have a short timeout: until
+// the death is known, requests are sent to the server, and no other server loads its
+// layers.
 func (m *Monitor) probeSuspect(id, address, reason string, via link) {
 	defer func() {
 		m.mu.Lock()
@@ -158,9 +160,9 @@
 	}
 }
 
-// probeInterval returns how often a suspected server is asked again. Every entry
-// host asks for itself, so servers of other failure domains that serve none of
-// its streams are asked only as often as keeps them suspected.
+// probeInterval returns the interval between probes of a suspected server. Every
+// entry host probes on its own, so servers of other failure domains that serve none
+// of its streams are probed only as often as it takes to keep them suspected.
 func (m *Monitor) probeInterval(address string) time.Duration {
 	s := m.State.View().ByAddress(address)
 	if s == nil || s.Domain == m.LocalDomain {
@@ -176,7 +178,8 @@
 	return remoteProbeInterval
 }
 
-// probeOnce asks a server for its report. An answer that it has none is one.
+// probeOnce asks a server for its report. A response without a report counts as an
+// answer.
 func (m *Monitor) probeOnce(address string, timeout time.Duration) error {
 	if _, err := m.fetchReport(context.Background(), address, timeout); !isAlive(err) {
 		return err
@@ -184,7 +187,7 @@
 	return nil
 }
 
-// markHealthy ends the suspicion against a server.
+// markHealthy ends the suspicion of a server that answered.
 func (m *Monitor) markHealthy(id, address string, now time.Time) {
 	m.State.ClearSuspicion(id, now)
 	m.resolveFailures(id, false, now)
@@ -196,7 +199,7 @@
 	m.lastAnswer[address] = now
 }
 
-// findingOf returns what follows for streams from a server's failure to answer.
+// probeOutcome returns the state of a server that a failed probe indicates.
 func probeOutcome(err error) probe.State {
 	if errors.Is(err, syscall.ECONNREFUSED) {
 		return probe.Gone
--- a/entry/stream/reroute.go
+++ b/entry/stream/reroute.go
@@ -10,7 +10,7 @@
 	"fuchsiashelf.dev/parts/router"
 )
 
-// rerouteStalled gives each stalled stream of a first server another way.
+// rerouteStalled reroutes the streams that a first server reports as stalled.
 func (m *Monitor) rerouteStalled(address string, stalled []call.Stalled) {
 	waitsFor := map[string]string{}
 	for _, s := range stalled {
@@ -26,15 +26,16 @@
 	m.mu.Unlock()
 	for _, stream := range affected {
 		failed := waitsFor[stream.job.ID]
-		m.probeServer(failed, "a chain waits for it", stream.linkTo(failed))
+		m.probeServer(failed, "a stalled chain waits for this server", stream.linkTo(failed))
 		go m.rerouteStream(stream, failed)
 	}
 }
 
-// link is the way from the servers of one failure domain to those of another.
+// link is the network path from the servers of one failure domain to those of
+// another.
 type link struct{ from, to domain.Name }
 
-// linkTo returns the link by which a server of the stream's chain is reached.
+// linkTo returns the link over which a server of the stream's chain is reached.
 func (s *activeStream) linkTo(address string) link {
 	s.mu.Lock()
 	defer s.mu.Unlock()
@@ -46,16 +47,16 @@
 	return link{}
 }
 
-// rerouteStream changes the chain of one stream. It runs once at a time for each. A stream
-// without another chain behind its first server restarts elsewhere if it can, and
-// otherwise stays as it is: the servers that it waits for are checked again soon, by
-// when a chain may exist.
+// rerouteStream changes the chain of one stream. It runs once at a time for each. A
+// stream without an alternative chain behind its first server restarts on another
+// one if it can. Otherwise it stays as it is: the servers that it waits for are
+// probed again soon, when an alternative may exist.
 func (m *Monitor) rerouteStream(stream *activeStream, failed string) {
 	stream.mu.Lock()
 	chain := stream.chain
 	if stream.rerouting || !chain.Has(failed) || time.Since(stream.lastReroute) < rerouteInterval {
-		// An older report: the stream has another chain already, or none was found a
-		// moment ago.
+		// The report is outdated: the stream has another chain already, or none was
+		// found a moment ago.
 		stream.mu.Unlock()
 		return
 	}
@@ -79,16 +80,16 @@
 	}
 }
 
-// tryReroute orders other chains behind the first server of a stream, and reports
-// whether the stream continues on one.
+// tryReroute orders alternative chains behind the first server of a stream, and
+// reports whether the stream continues on one.
 func (m *Monitor) tryReroute(stream *activeStream, chain router.Chain, avoid map[string]bool) bool {
 	for range maxReroutes {
 		next := m.alternativeChain(stream, chain, avoid)
 		if next == nil || !m.reserveTransfer(stream.job, next.Crossings()-chain.Crossings()) {
 			return false
 		}
-		// Reserved before it is ordered: many streams leave a dead server at the same
-		// moment, and would all choose the same other one.
+		// The chain is reserved before it is ordered: many streams leave a dead
+		// server at the same moment, and would all choose the same alternative.
 		stream.switchChain(m.Ledger, next)
 		result, refusedBy := m.orderReroute(stream, next)
 		if result == call.OrderStarted {
@@ -96,7 +97,7 @@
 		}
 		stream.switchChain(m.Ledger, chain)
 		if result != call.OrderConflict || refusedBy == "" {
-			// The first server does not answer, or does not have the request.
+			// The first server does not answer, or does not know the request.
 			return false
 		}
 		avoid[refusedBy] = true
@@ -104,10 +105,10 @@
 	return false
 }
 
-// reserveLocalRestart reports whether a stream restarts on a chain within one failure
-// domain, for which a run is reserved then. Loading the missing layers takes longer
-// than the longest pause that is on time, and the link between domains carries few
-// prompts in that time; reading the tokens again needs neither.
+// reserveLocalRestart reports whether a stream can restart on a chain within one
+// failure domain, and reserves an attempt for it. Loading the missing layers takes
+// longer than the longest gap that is on time, and the link between domains carries
+// few prompts in that time; reading the tokens again needs neither.
 func (m *Monitor) reserveLocalRestart(stream *activeStream, chain router.Chain, avoid map[string]bool) bool {
 	if stream.reserveRestart == nil {
 		return false
@@ -119,15 +120,16 @@
 }
 
 // blocksLoad reports whether a stalled stream keeps a server from loading the layers
-// that it and others wait for: the server first lets all requests end that pass
-// through the layers it gives up, and this one never will.
+// that this stream and others wait for: the server first lets all requests that use
+// the layers it gives up end, but this stream would never end.
 func (m *Monitor) blocksLoad(stream *activeStream, chain router.Chain) bool {
 	s := drainingServer(m.State.View(), chain)
 	return s != nil && s.AwaitsReload && stream.silent(time.Now())
 }
 
-// reserveTransfer reports whether a request may use the link between failure domains
-// so many times more now.
+// reserveTransfer reserves the transfer of a request's prompt over the link between
+// failure domains, for the given number of crossings. It reports whether the link
+// has room for it.
 func (m *Monitor) reserveTransfer(job *call.Job, crossings int) bool {
 	if crossings <= 0 {
 		return true
@@ -139,7 +141,8 @@
 	return m.linkBudget.Reserve(transfer, maxLinkWait(job.Route), hosts, time.Now())
 }
 
-// alternativeChain finds another chain behind the same first part.
+// alternativeChain returns another chain with the same first stage, or nil if there
+// is none.
 func (m *Monitor) alternativeChain(stream *activeStream, chain router.Chain, avoid map[string]bool) router.Chain {
 	if avoid[chain[0].Server.Address] {
 		return nil
@@ -153,7 +156,7 @@
 	return q.Pick()
 }
 
-// chainQuery describes the choice of a chain for a job.
+// chainQuery returns the query for the chain of a job.
 func (m *Monitor) chainQuery(job *call.Job) *router.Query {
 	return &router.Query{
 		Engine: job.Service.Engine, Servers: m.State.View().Service(job.Service.Name), LocalDomain: m.LocalDomain,
@@ -161,8 +164,8 @@
 	}
 }
 
-// orderReroute tells the first server of the new chain. It returns which server is in
-// the way of it, if one is.
+// orderReroute orders the first server of a stream to use another chain. If a server
+// of that chain cannot take part, its address is returned.
 func (m *Monitor) orderReroute(stream *activeStream, next router.Chain) (result call.OrderResult, refusedBy string) {
 	ctx, cancel := context.WithTimeout(context.Background(), call.OrderTimeout)
 	defer cancel()
@@ -175,9 +178,9 @@
 	return result, refusedBy
 }
 
-// drainStreams reroutes streams around a server that is leaving, before it cuts them off,
-// or around one that loads missing layers as soon as they have gone. Streams through
-// a server that only gives up replicated layers are left to end.
+// drainStreams reroutes streams around a server that is draining, before it closes
+// them, and around a server that loads missing layers once they have ended. Streams
+// that use a server which only gives up replicated layers are left to end.
 func (m *Monitor) drainStreams(now time.Time) {
 	view := m.State.View()
 	m.mu.Lock()
@@ -198,7 +201,8 @@
 	}
 }
 
-// drainIntervalFor returns the interval between two streams that are rerouted around a server.
+// drainIntervalFor returns the interval between two streams that are rerouted around
+// a server.
 func drainIntervalFor(s *fleet.Server) time.Duration {
 	if s.AwaitsReload {
 		return moveInterval
@@ -206,7 +210,8 @@
 	return drainInterval
 }
 
-// drainingServer returns a server of a chain, not the first, that the stream should leave.
+// drainingServer returns a server of a chain, other than the first, that the stream
+// should leave, or nil.
 func drainingServer(view *fleet.View, chain router.Chain) *fleet.Server {
 	for _, stage := range chain[1:] {
 		s := view.ByAddress(stage.Server.Address)
--- a/entry/stream/reroute_test.go
+++ b/entry/stream/reroute_test.go
@@ -16,16 +16,16 @@
 	"fuchsiashelf.dev/parts/router"
 )
 
-// addServer adds a server to those that a watch knows.
+// addServer adds a server to the state of a monitor.
 func addServer(m *Monitor, servers fakeDecoder, s fleet.Server) {
 	servers[s.ID] = s
 	m.State.Servers.Merge(mirror.Batch{After: 1, Cursor: 2, Items: []mirror.Object{{Name: s.ID, Revision: 2}}})
 	m.State.ReadServers(time.Now())
 }
 
-// newMonitorWithoutReplica returns a watch over a failure domain in which nobody else holds what
-// the server in the midst of chains does, beside a domain that holds all layers
-// and that the servers of the first one do not reach.
+// newMonitorWithoutReplica returns a monitor over a failure domain in which only the
+// middle server holds its layers, and another domain that holds all layers and is
+// unreachable from the first.
 func newMonitorWithoutReplica(engines *fakeEngines) (*Monitor, fakeDecoder) {
 	m, servers := newMonitor(engines, 0)
 	addServer(m, servers, fleet.Server{ID: "away", Service: "assist", Address: "away", Domain: "b", Accelerator: "card", First: 0, End: testLayers, StartedAt: time.Unix(1, 0)})
@@ -33,8 +33,8 @@
 	return m, servers
 }
 
-// Guards against a stream that waits for layers to be loaded, for a second or
-// longer, while another failure domain could go on with it at once.
+// Guards against a stream that waits a second or longer for layers to be loaded
+// while it could restart in another failure domain at once.
 func TestStreamRestartsInAnotherDomain(t *testing.T) {
 	for _, allowed := range []bool{true, false} {
 		m, servers := newMonitorWithoutReplica(&fakeEngines{})
@@ -47,18 +47,18 @@
 	}
 }
 
-// Guards against an answer that is broken off for another run when there is no
-// chain for one: it might have gone on.
+// Guards against ending an attempt when there is no chain for another one: the
+// stream might have continued.
 func TestStreamStaysWithoutAlternativeChain(t *testing.T) {
 	m, servers := newMonitor(&fakeEngines{}, 0)
 	stream := m.addStream(servers, "r", silentTimeout(testRoute)+time.Millisecond)
-	stream.cancel = func(error) { t.Error("ended") }
-	stream.reserveRestart = func() bool { t.Error("a run is reserved"); return true }
+	stream.cancel = func(error) { t.Error("the attempt was ended") }
+	stream.reserveRestart = func() bool { t.Error("an attempt was reserved"); return true }
 	m.rerouteStream(stream, "middle")
 }
 
-// Guards against three orders in turn, of half a second each, to a first server
-// that does not answer any.
+// Guards against three orders in a row, each with a timeout of half a second, to a
+// first server that answers none of them.
 func TestUnresponsiveFirstServerIsOrderedOnce(t *testing.T) {
 	for _, result := range []call.OrderResult{call.OrderUnknown, call.OrderNotFound, call.OrderConflict} {
 		e := &fakeEngines{results: map[string]call.OrderResult{"r": result}}
@@ -72,8 +72,8 @@
 	}
 }
 
-// Guards against runs beyond those that the route and the budget of repeats
-// allow, and against an answer that is ended for a run which is then refused.
+// Guards against attempts beyond those that the route and the retry budget allow,
+// and against ending an attempt for a restart that is then refused.
 func TestRestartReservationHonorsLimits(t *testing.T) {
 	m, servers := newMonitor(&fakeEngines{}, 1)
 	first, other := servers["first"], servers["other-0"]
@@ -86,9 +86,9 @@
 		minRetries float64
 		allowed    bool
 	}{
-		{"one run of two", route.Route{Kind: route.Stream, Resumable: true, Attempts: 2}, nil, 0, 1, true},
-		{"no budget", route.Route{Kind: route.Stream, Resumable: true, Attempts: 2}, nil, 0, 0, false},
-		{"two runs of two", route.Route{Kind: route.Stream, Resumable: true, Attempts: 2}, []*fleet.Server{&other}, 1, 1, false},
+		{"first of two attempts", route.Route{Kind: route.Stream, Resumable: true, Attempts: 2}, nil, 0, 1, true},
+		{"retry budget used up", route.Route{Kind: route.Stream, Resumable: true, Attempts: 2}, nil, 0, 0, false},
+		{"both attempts used", route.Route{Kind: route.Stream, Resumable: true, Attempts: 2}, []*fleet.Server{&other}, 1, 1, false},
 		{"not resumable", route.Route{Kind: route.Stream, Attempts: 2}, nil, 0, 1, false},
 		{"sent too often", route.Route{Kind: route.Stream, Resumable: true, Attempts: 9}, nil, maxSends, 1, false},
 	} {
@@ -100,8 +100,8 @@
 	}
 }
 
-// Guards against callers that are refused beside room which those who wait cannot
-// use.
+// Guards against refusing a request for lack of queue space while there is room that
+// the queued requests cannot use.
 func TestFullQueueDoesNotRefuseUsableRoom(t *testing.T) {
 	m, servers := newMonitor(&fakeEngines{}, 1)
 	job := m.addStream(servers, "other", 0).job
--- a/entry/stream/timeouts.go
+++ b/entry/stream/timeouts.go
@@ -7,29 +7,32 @@
 	"fuchsiashelf.dev/parts/route"
 )
 
-// Timeouts are fractions of the route's objectives.
+// Timeouts as fractions of the route's objectives and of its caller timeout.
 const (
-	// silentFraction is the idle time after which the servers of a stream are checked,
-	// as a fraction of the longest pause that is on time. The check, another chain and
-	// reading the prompt there must fit into the rest.
+	// silentFraction is the time without an event after which the servers of a
+	// stream are probed, as a fraction of the longest gap that is on time. The
+	// probe, the reroute and reading the prompt on the new chain must fit into the
+	// rest.
 	silentFraction = 0.4
-	// silentStartFraction is the same before the first event, as a fraction of its target.
+	// silentStartFraction is the same before the first event, as a fraction of its
+	// target.
 	silentStartFraction = 0.4
-	// notableWaitFraction is the wait at a server from which on other entry hosts are notified
-	// at once, as a fraction of the target of the first event.
+	// notableWaitFraction is the wait at a server from which on other entry hosts
+	// are notified at once, as a fraction of the target of the first event.
 	notableWaitFraction = 0.2
-	// queueWaitFraction is how long a request waits for room, as a fraction of the target of
-	// the first event. The rest is enough to read its prompt.
+	// queueWaitFraction is how long a request waits for room, as a fraction of the
+	// target of the first event. The rest is enough to read its prompt.
 	queueWaitFraction = 0.8
-	// linkWaitFraction bounds the queue of one entry host's transfers on the link between
-	// failure domains, as a fraction of the longest pause that is on time.
+	// linkWaitFraction bounds the queue of one entry host's transfers on the link
+	// between failure domains, as a fraction of the longest gap that is on time.
 	linkWaitFraction = 0.4
-	// restartSearchFraction bounds the search for another chain in the midst of an answer, as a
-	// fraction of the idle time after which callers leave. Its first event takes the
-	// rest.
+	// restartSearchFraction bounds the search for another chain in the middle of a
+	// response, as a fraction of the caller timeout. The first event of the new
+	// chain takes the rest.
 	restartSearchFraction = 0.8
-	// restartFraction is the idle time, as a fraction of the same, after which a stream
-	// restarts on another chain regardless of its first server's health.
+	// restartFraction is the time without an event after which a stream restarts on
+	// another chain regardless of the state of its first server, as a fraction of
+	// the caller timeout.
 	restartFraction = 0.65
 )
 
--- a/entry/stream/timeouts_test.go
+++ b/entry/stream/timeouts_test.go
@@ -10,10 +10,10 @@
 	"fuchsiashelf.dev/parts/route"
 )
 
-// An operator bears longer pauses on one route than on another. Waits that were
-// set for the first would give answers up while callers of the second still
-// wait, or let requests wait for room beyond the time in which the first event
-// counts.
+// Guards against timeouts that do not follow the route. Set for a route with short
+// gaps, they would end responses while callers of a slower route still wait; set for
+// a slow route, they would keep requests queued beyond the target of the first
+// event.
 func TestTimeoutsFollowRouteObjectives(t *testing.T) {
 	quick := &route.Route{Target: 200 * time.Millisecond, MaxGap: 100 * time.Millisecond, CallerTimeout: 2 * time.Second}
 	slow := &route.Route{Target: 2 * time.Second, MaxGap: time.Second, CallerTimeout: 8 * time.Second}
