--- a/entry/placer/assign.go
+++ b/entry/placer/assign.go
@@ -11,23 +11,24 @@
 	"fuchsiashelf.dev/parts/route"
 )
 
-// sendAssignment reads what a server holds and sends it the sendAssignment.
+// sendAssignment reads what a server holds and orders it to hold the assigned
+// layers.
 func (p *Placer) sendAssignment(ctx context.Context, engine *route.Engine, a place.Assignment) {
 	report, err := p.fetchReport(ctx, a.Server)
 	if err != nil {
 		return
 	}
 	if report.Busy {
-		p.Log.Info("placer: busy", "server", a.Server.ID, "orders", report.OrderCount)
+		p.Log.Info("placer: assignment dropped, server is busy", "server", a.Server.ID, "orders", report.OrderCount)
 		return
 	}
 	if a.Server.LayerCount() == 0 && report.End > report.First {
-		// Its entry lags behind: it holds layers already.
+		// The entry is outdated: the server already holds layers.
 		p.setConfirmed(a.Server, report.First, report.End, time.Now().Add(entryLag))
 		return
 	}
 	if layer, replicated := p.replicated(ctx, a); !replicated {
-		p.Log.Info("placer: kept", "server", a.Server.ID, "layer", layer, "first", a.First, "end", a.End)
+		p.Log.Info("placer: assignment dropped, no other server holds the layer", "server", a.Server.ID, "layer", layer, "first", a.First, "end", a.End)
 		return
 	}
 	orderCtx, cancel := context.WithTimeout(ctx, call.OrderTimeout)
@@ -49,7 +50,7 @@
 	}
 }
 
-// fetchReport asks a server what it holds. A failure is logged.
+// fetchReport asks a server for its report. An error is logged.
 func (p *Placer) fetchReport(ctx context.Context, s *fleet.Server) (call.Report, error) {
 	ctx, cancel := context.WithTimeout(ctx, call.ReportTimeout)
 	defer cancel()
@@ -60,9 +61,9 @@
 	return report, err
 }
 
-// confirm asks a server that loads layers until it holds them, and tells the
-// others at once. Its entry shows them up to a heartbeat later, while requests
-// are refused for want of these layers.
+// confirm polls a server that loads layers until it holds them, and then tells the
+// other entry hosts at once. The entry of the server shows the layers up to a
+// heartbeat later, and until then requests are refused for lack of them.
 func (p *Placer) confirm(ctx context.Context, engine *route.Engine, a place.Assignment) {
 	wait := loadDuration(engine, a.End-a.First-overlap(a))
 	for range maxConfirms {
@@ -77,7 +78,7 @@
 			continue
 		}
 		now := time.Now()
-		p.Log.Info("placer: carried out", "server", a.Server.ID, "first", a.First, "end", a.End)
+		p.Log.Info("placer: assignment completed", "server", a.Server.ID, "first", a.First, "end", a.End)
 		if p.State.Assign(state.Assignment{ID: a.Server.ID, First: a.First, End: a.End, Until: now.Add(reportOverrideTime), Done: true}, now) {
 			p.Broadcast()
 		}
@@ -85,15 +86,15 @@
 	}
 }
 
-// overlap returns how many layers of an order the server holds already.
+// overlap returns how many layers of an assignment the server already holds.
 func overlap(a place.Assignment) int {
 	return max(0, min(a.End, a.Server.End)-max(a.First, a.Server.First))
 }
 
-// replicated reports whether other servers say that they hold the layers which an
-// order makes one give up, or the first layer that nobody does. Their entries
-// may be of before their death: the layers would be lost then, and every request
-// of the domain refused until they are loaded again.
+// replicated reports whether other servers confirm that they hold the layers that a
+// server gives up for an assignment. If not, it returns the first layer that none of
+// them holds. Entries may be older than the death of their servers: the layers would
+// then be lost, and every request of the domain refused until they are loaded again.
 func (p *Placer) replicated(ctx context.Context, a place.Assignment) (layer int, replicated bool) {
 	if len(a.Replicas) == 0 {
 		return 0, true
@@ -116,10 +117,11 @@
 	return 0, true
 }
 
-// concurrentLoadFactor is by how much longer a load may take while others run.
+// concurrentLoadFactor is how many times as long a load may take while others run.
 const concurrentLoadFactor = 2
 
-// loadDuration is how long a load of so many layers takes alone.
+// loadDuration returns how long it takes to load a number of layers while no other
+// load runs.
 func loadDuration(engine *route.Engine, layers int) time.Duration {
 	return engine.Load * time.Duration(layers) / time.Duration(max(engine.Layers, 1))
 }
--- a/entry/placer/placer.go
+++ b/entry/placer/placer.go
@@ -1,12 +1,13 @@
-// Package placer gives servers the layers that package place decides on.
+// Package placer orders servers to load the layers that package place assigns to
+// them.
 //
-// One entry host at a time does so: of those that are alive and reached by the
-// object API, the one whose name comes first. There is no lease, since nothing
-// rests on there being only one. Each order carries the server's count of
-// orders that its giver has just read, and the server begins none with another
-// count. So an order that is carried out seconds late, or comes from an entry
-// host that froze or was cut off, does nothing once another has been taken;
-// and two that decide at once from the same entries come to the same orders.
+// One entry host at a time does so: of those that are alive and connected to the
+// object API, the one whose name sorts first. There is no lease, because correctness
+// does not depend on a single leader. Each order carries the server's order count as
+// last read, and the server rejects an order with any other count. So an order that
+// arrives seconds late, or comes from an entry host that was frozen or partitioned,
+// has no effect once another order has started; and two entry hosts that decide at
+// once from the same entries issue the same orders.
 package placer
 
 import (
@@ -28,75 +29,81 @@
 
 // Timeouts and intervals.
 const (
-	// decideInterval is the interval of the decisions, and lookAfter the delay after a
-	// change of the servers, so that several changes are decided on together.
+	// decideInterval is the interval between decisions, and decideDelay the delay
+	// after a change of the servers, so that one decision covers several changes.
 	decideInterval = 200 * time.Millisecond
 	decideDelay    = 30 * time.Millisecond
-	// initialQuietTime is how long the list of servers must be unchanged before the first
-	// placement, so that the first few servers do not get all layers.
+	// initialQuietTime is how long the list of servers must be unchanged before the
+	// first placement, so that the first few servers do not get all layers.
 	initialQuietTime = 700 * time.Millisecond
-	// domainCalmTime is how long the servers of a failure domain must be unchanged before
-	// ranges are levelled there: longer than a load that closes a gap, and than a
-	// heartbeat.
+	// domainCalmTime is how long the servers of a failure domain must be unchanged
+	// before its ranges are balanced: longer than a heartbeat, and than the load of
+	// layers that no server held.
 	domainCalmTime = 1500 * time.Millisecond
-	// newServerTime is how long a server counts as new. Where servers are replaced one
-	// by one, the old one leaves a second after the new one came.
+	// newServerTime is how long a server counts as new. In a rolling replacement the
+	// old server leaves a second after the new one started.
 	newServerTime = 1500 * time.Millisecond
-	// returnHoldOff is how long a failure domain is left alone after a server with
-	// layers returned. After a partition entries return one by one, and the missing
-	// ones look like gaps.
-	returnHoldOff    = 1500 * time.Millisecond
+	// returnHoldOff is how long a failure domain gets no assignments after a server
+	// with layers returned. After a partition the entries return one by one, and the
+	// layers of the others seem to be missing.
+	returnHoldOff = 1500 * time.Millisecond
+	// assignRetryDelay is how long an assignment counts as pending before its order
+	// has started.
 	assignRetryDelay = 600 * time.Millisecond
 	// confirmInterval and maxConfirms bound the polling of a server that loads
 	// layers.
 	confirmInterval = 150 * time.Millisecond
 	maxConfirms     = 20
-	// reportOverrideTime is how long a report overrides the server's entry: two heartbeats.
+	// reportOverrideTime is how long a report overrides the server's entry: two
+	// heartbeats.
 	reportOverrideTime = 2500 * time.Millisecond
-	// entryLag is how long a server's entry may lag behind an order, beyond the time
-	// of its load.
+	// entryLag is how long a server's entry may lag behind an assignment, beyond the
+	// duration of its load.
 	entryLag = 4 * time.Second
 )
 
-// Placer decides and orders. Set the exported fields before Run.
+// Placer decides on assignments and sends them as orders. Set the exported fields
+// before Run.
 type Placer struct {
 	State  *state.Local
 	Engine call.EngineClient
 	Ledger *router.LoadTracker
-	// Broadcast sends a new order to other entry hosts.
+	// Broadcast sends a new assignment to other entry hosts.
 	Broadcast func()
-	// IsLeader reports whether this entry host is the one to place.
+	// IsLeader reports whether this entry host is the one that places layers.
 	IsLeader func() bool
 	Log      *slog.Logger
-	// Interval is the interval of decisions while nothing changes; zero means lookEvery.
+	// Interval is the interval between decisions while nothing changes; zero means
+	// decideInterval.
 	Interval time.Duration
 
 	mu sync.Mutex
-	// pending holds the ranges that servers were ordered to hold, or reported, and
+	// pending holds the ranges that servers were assigned, or have reported, and
 	// that their entries do not show yet.
 	pending map[string]pendingRange
-	// healthy holds the healthy servers, and since when their list is unchanged.
+	// healthy holds the healthy servers, and unchangedSince is when that list last
+	// changed.
 	healthy        map[string]domain.Name
 	unchangedSince time.Time
 	// firstSeen is when a server was first seen.
 	firstSeen map[string]time.Time
-	// lastChange is when the list of a failure domain last lastChange.
+	// lastChange is when the list of servers of a failure domain last changed.
 	lastChange map[domain.Name]time.Time
 	wasLeader  bool
-	// lastReturn is when a server that holds layers last entered or came back.
+	// lastReturn is when a server that holds layers last joined or returned.
 	lastReturn map[domain.Name]time.Time
 }
 
 type pendingRange struct {
 	first, end int
 	until      time.Time
-	// confirmed says that the server has confirmed it.
+	// confirmed is set if the server has confirmed the range.
 	confirmed bool
-	// startedAt is the start of the server's run that was ordered.
+	// startedAt is the start time of the server that was given the range.
 	startedAt time.Time
 }
 
-// Run places until the context ends.
+// Run makes placement decisions until the context ends.
 func (p *Placer) Run(ctx context.Context) {
 	ticker := time.NewTicker(cmp.Or(p.Interval, decideInterval))
 	defer ticker.Stop()
@@ -113,6 +120,8 @@
 	}
 }
 
+// decide plans and sends assignments, if this entry host is the leader and its list
+// of servers is complete enough.
 func (p *Placer) decide(ctx context.Context, now time.Time) {
 	table := p.State.Table()
 	if table == nil {
@@ -120,7 +129,7 @@
 	}
 	isLeader := p.IsLeader()
 	if isLeader != p.wasLeader {
-		p.Log.Info("placer: lead", "leads", isLeader)
+		p.Log.Info("placer: leadership changed", "leads", isLeader)
 		p.wasLeader = isLeader
 	}
 	if !isLeader || p.State.Probing(now) {
@@ -137,7 +146,7 @@
 	}
 }
 
-// stable reports whether the list of servers is complete enough to place from.
+// stable reports whether the list of servers is complete enough to place layers.
 // Once servers hold layers, each change is acted on at once.
 func (p *Placer) stable(view *fleet.View, now time.Time) bool {
 	anyLayers := false
@@ -163,7 +172,7 @@
 	return anyLayers || now.Sub(p.unchangedSince) >= initialQuietTime
 }
 
-// recordChanges notes of which failure domains servers came or went.
+// recordChanges records the failure domains in which servers came or went.
 func (p *Placer) recordChanges(healthy map[string]domain.Name, now time.Time) {
 	for id, dom := range healthy {
 		if _, known := p.healthy[id]; !known {
@@ -179,7 +188,7 @@
 	}
 }
 
-// placeService decides for one service and sends the orders.
+// placeService plans the assignments of one service and sends them.
 func (p *Placer) placeService(ctx context.Context, engine *route.Engine, servers []*fleet.Server, now time.Time) {
 	expected := make([]*fleet.Server, len(servers))
 	p.mu.Lock()
@@ -207,13 +216,13 @@
 	}
 }
 
-// idle reports whether few requests pass through a server.
+// idle reports whether few requests use a server.
 func (p *Placer) idle(id string) bool {
 	return p.Ledger.Used(id).Requests <= maxIdleRequests
 }
 
-// maxIdleRequests is the number of requests up to which a server counts as idle. They
-// are rerouted within a second.
+// maxIdleRequests is the number of requests up to which a server counts as idle.
+// That many are rerouted within a second.
 const maxIdleRequests = 4
 
 func (p *Placer) setPending(id string, r pendingRange) {
@@ -223,7 +232,8 @@
 	p.pending[id] = r
 }
 
-// expected joins a server's entry with a pending range. The mutex is held.
+// expected returns a server with its pending range, if it has one, in place of the
+// range of its entry. The mutex is held.
 func (p *Placer) expected(s *fleet.Server) *fleet.Server {
 	r, known := p.pending[s.ID]
 	if !known {
--- a/entry/placer/placer_test.go
+++ b/entry/placer/placer_test.go
@@ -18,7 +18,7 @@
 	"fuchsiashelf.dev/parts/router"
 )
 
-// fakeDecoder decodes servers and a configuration that a test made.
+// fakeDecoder decodes the servers of a test and a fixed configuration.
 type fakeDecoder map[string]fleet.Server
 
 func (d fakeDecoder) Table([]byte) (*route.Table, error) {
@@ -32,7 +32,7 @@
 	return d[id], nil
 }
 
-// fakeEngines takes all orders and tells the test of them.
+// fakeEngines starts every order and sends its range to placed.
 type fakeEngines struct {
 	fakeDecoder
 	placed chan [2]int
@@ -51,9 +51,10 @@
 	return call.OrderRejected, "", errors.New("no streams in this test")
 }
 
-// A server dies that alone held some layers of its failure domain. Until another
-// holds them, every request of the domain is refused or waits; it would be
-// decided only at the next of the regular looks. The test has none of these.
+// Guards against a delayed placement after the death of the only server of a failure
+// domain that holds some layers: every request of the domain is refused or waits
+// until another server holds them. The regular decisions are disabled, so that only
+// the death can trigger one.
 func TestServerDeathTriggersPlacement(t *testing.T) {
 	servers := fakeDecoder{}
 	var items []mirror.Object
