--- a/entry/call/call.go
+++ b/entry/call/call.go
@@ -1,8 +1,9 @@
-// Package call holds what the parts of the request path hand to each other:
-// a caller's request, what is sent to a backend server, and its answer.
+// Package call defines the values that the parts of the request path pass to each
+// other: a caller's request, what is added to it for a backend server, and the
+// response.
 //
-// The forms on the wire are the business of a [Codec] and of an [EngineClient].
-// Each outside system that the entry host runs in front of brings its own.
+// Wire formats are left to a [Codec] and an [EngineClient]. Each system that the
+// entry host serves provides its own.
 package call
 
 import (
@@ -19,28 +20,29 @@
 
 // Request is a caller's request.
 type Request struct {
-	// ID names this attempt of the caller.
+	// ID identifies this attempt of the caller.
 	ID string
-	// Method, Host, Path and Target are those of the request line; Target is
-	// the path with its query, byte for byte.
+	// Method, Host, Path and Target are those of the request line; Target is the
+	// path with its query, byte for byte.
 	Method, Host, Path, Target string
 	// Header is forwarded to the backend server.
 	Header http.Header
 	Body   []byte
-	// Key is what the caller proves its team with; empty if it sent none.
+	// Key authenticates the caller's team; empty if it sent none.
 	Key string
 	// Timeout is how long the caller waits; zero if it did not say.
 	Timeout time.Duration
-	// PromptTokens is the number of prompt tokens, MaxTokens the highest number of tokens
-	// of the answer, and TokensHint the caller's guess of it; zero if not told.
+	// PromptTokens is the number of tokens of the prompt, MaxTokens the maximum
+	// number of tokens of the response, and TokensHint the caller's estimate of it;
+	// zero if not given.
 	PromptTokens, MaxTokens, TokensHint int
-	// LastEvent is the last event that the caller has of a resumed stream.
+	// LastEvent is the ID of the last event that the caller has of a resumed stream.
 	LastEvent string
 	// Arrived is when the request had been read.
 	Arrived time.Time
 }
 
-// ExpectedTokens returns the number of tokens that the answer is expected to have.
+// ExpectedTokens returns the expected number of tokens of the response.
 func (r *Request) ExpectedTokens(engine *route.Engine) int {
 	expected := r.TokensHint
 	if expected <= 0 {
@@ -52,85 +54,84 @@
 	return expected
 }
 
-// SendOptions is what the entry host adds to a request that it passes on.
+// SendOptions is what the entry host adds to a request that it forwards.
 type SendOptions struct {
 	Server *fleet.Server
 	// Chain is nil for a plain service.
 	Chain router.Chain
-	// Timeout is the time after which the answer is of no use; zero if unbounded.
+	// Timeout is the time after which the response is of no use; zero if unbounded.
 	Timeout time.Duration
 	// Team is the name of the caller's team, if the request needs one.
 	Team string
-	// Priority is the rank of the request; negative means none.
+	// Priority is negative if the request has none.
 	Priority int
-	// LastEvent resumes a stream after the event, if set.
+	// LastEvent, if set, is the ID of the event after which the stream resumes.
 	LastEvent string
 }
 
-// Reply is the head of a backend server's answer.
+// Reply is the head of a backend server's response.
 type Reply struct {
 	Status int
-	// ID is the request that it answers.
+	// ID identifies the request that is responded to.
 	ID string
-	// NotRun says that the backend server did not and will not run the
-	// request.
+	// NotRun is set if the backend server did not and will not run the request.
 	NotRun bool
-	// Misdirected says that the server is another than the one expected, or
-	// holds other layers.
+	// Misdirected is set if the server is not the expected one, or holds other
+	// layers.
 	Misdirected bool
 	// RefusedBy is the address of the server of the chain that refused.
 	RefusedBy string
-	// Closing says that the backend server closes this connection.
+	// Closing is set if the backend server closes this connection.
 	Closing bool
-	// IdleTimeout is how long the backend server keeps an unused connection; zero if
-	// it did not say.
+	// IdleTimeout is how long the backend server keeps an idle connection open; zero
+	// if it did not say.
 	IdleTimeout time.Duration
 }
 
-// Codec is the form of requests and answers of an outside system.
+// Codec translates the requests and responses of a protocol.
 type Codec interface {
-	// ParseRequest reads a caller's request, all but its body. An error is a
+	// ParseRequest parses a caller's request, except for its body. An error is a
 	// *fault.Error with the status that the caller gets.
 	ParseRequest(r *http.Request) (*Request, error)
-	// NewRequest builds what is sent to a backend server.
-	NewRequest(r *Request, o SendOptions) *http.Request
-	// ParseReply reads the head of a backend server's answer.
+	// NewRequest builds the request that is sent to a backend server.
+	NewRequest(req *Request, options SendOptions) *http.Request
+	// ParseReply parses the head of a backend server's response.
 	ParseReply(r *http.Response) Reply
-	// SetRetryAfter writes when to come back into the header of a refusal.
+	// SetRetryAfter sets when to retry in the header of a refusal.
 	SetRetryAfter(h http.Header, after time.Duration)
 }
 
 // Stalled is a request that waits for a server of its chain.
 type Stalled struct {
-	// ID names the request.
+	// ID identifies the request.
 	ID string
-	// Address is that of the server which does not answer.
+	// Address is the address of the server that does not respond.
 	Address string
 }
 
-// Report is what an engine says of itself. It is as old as the engine's
-// report lag.
+// Report is the state that an engine reports. It is as old as the report lag of the
+// engine.
 type Report struct {
-	// StartedAt is the time of its start.
+	// StartedAt is the start time of the engine.
 	StartedAt time.Time
-	// OrderCount counts the orders that it has begun to carry out since.
+	// OrderCount is the number of orders that it has started to carry out since.
 	OrderCount uint64
-	// Busy says that an order is being carried out.
+	// Busy is set while an order is being carried out.
 	Busy bool
-	// First and End bound the layers that it holds.
+	// First and End bound the range of layers that it holds, [First, End).
 	First, End int
-	// Slowness is how many times as long as usual its work takes; zero if it did
-	// not say.
+	// Slowness is how many times as long as usual its work takes; zero if it did not
+	// say.
 	Slowness float64
-	// Stalled are the requests that it is the first server of, and that wait
-	// for another one.
+	// Stalled holds the requests of which it is the first server, and that wait for
+	// another one.
 	Stalled []Stalled
 }
 
-// NoReportError is the error of a question for a report to a server that answers
-// and gives none: plain servers do not. It tells that the server lives.
+// NoReportError is the error of a request for a report to a server that responds
+// without one, as plain servers do. It means that the server is alive.
 type NoReportError struct {
-	// Status is that of the answer.
+	// Status is the HTTP status of the response.
 	Status int
 }
 
@@ -139,17 +140,17 @@
 	return fmt.Sprintf("no report: status %d", e.Status)
 }
 
-// OrderResult is the outcome of an order.
+// OrderResult is the result of an order.
 type OrderResult uint8
 
-// The outcomes of an order.
+// Results of an order.
 const (
-	// OrderUnknown means that no answer came: the order may be carried out
+	// OrderUnknown means that there was no response: the order may be carried out
 	// now, later, or not at all.
 	OrderUnknown OrderResult = iota
-	// OrderStarted means that it is being carried out or done.
+	// OrderStarted means that the order is being carried out or done.
 	OrderStarted
-	// OrderConflict means that the engine has had other orders since, or that
+	// OrderConflict means that the engine has started other orders since, or that
 	// the order does not fit its state.
 	OrderConflict
 	// OrderNotFound means that the engine does not know the request.
@@ -159,27 +160,27 @@
 )
 
 const (
-	// ReportTimeout bounds a question that decides whether a server lives, or what
-	// it holds. An answer takes one to three milliseconds.
+	// ReportTimeout bounds a request for a report, which decides whether a server is
+	// alive and what it holds. An answer takes one to three milliseconds.
 	ReportTimeout = probe.MaxTimeout
-	// OrderTimeout bounds an order, which is answered as fast.
+	// OrderTimeout bounds an order. The response to one is as fast.
 	OrderTimeout = 500 * time.Millisecond
 )
 
-// EngineClient gives orders to engines and asks for their reports.
+// EngineClient sends orders to engines and reads their reports.
 type EngineClient interface {
-	// Report asks a server for its report. The error is a *NoReport if it lives
-	// and gives none.
+	// Report asks a server for its report. The error is a *NoReportError if it is
+	// alive and has none.
 	Report(ctx context.Context, address string) (Report, error)
-	// Place tells a server to hold the layers [first, end), if it has begun no
-	// order since its count of orders was the given one.
+	// Place orders a server to hold the layers [first, end), unless it has started
+	// an order since its order count had the given value.
 	Place(ctx context.Context, s *fleet.Server, first, end int, orders uint64) (OrderResult, error)
-	// Reroute changes the chain of a request that runs; its first part stays.
-	// If a server of the chain cannot take part, its address is returned.
+	// Reroute changes the chain of a running request, except for its first stage. If
+	// a server of the new chain cannot take part, its address is returned.
 	Reroute(ctx context.Context, id string, chain router.Chain) (result OrderResult, refusedBy string, err error)
 }
 
-// String returns the name of the outcome.
+// String returns the name of the result.
 func (r OrderResult) String() string {
 	switch r {
 	case OrderStarted:
--- a/entry/call/job.go
+++ b/entry/call/job.go
@@ -10,47 +10,48 @@
 	"fuchsiashelf.dev/parts/route"
 )
 
-// Job is a request with what the configuration says of it.
+// Job is a request with the configuration that applies to it.
 type Job struct {
 	*Request
 	Route   *route.Route
 	Service *route.Service
-	// Version is that of the configuration that the request is served by.
+	// Version is the version of the configuration that the request is served with.
 	Version uint64
 	// Team is empty if the request needs none.
 	Team string
-	// Priority is the rank of the request; negative means none.
+	// Priority is negative if the request has none.
 	Priority int
-	// Deadline is when the caller, or the operator, no longer waits.
+	// Deadline is when the caller stops waiting, or the timeout that the operator
+	// set expires.
 	Deadline time.Time
-	// Fingerprint tells copies of the request and resends from others.
+	// Fingerprint identifies copies and retries of the same request.
 	Fingerprint poison.Fingerprint
 }
 
-// Remaining returns the time to the deadline.
+// Remaining returns the time until the deadline.
 func (j *Job) Remaining() time.Duration {
 	return time.Until(j.Deadline)
 }
 
-// Outcome is how a request ended, for logs and measures.
+// Outcome is how a request ended, for logs and metrics.
 type Outcome struct {
-	// Status is what the caller got; zero if it left before.
+	// Status is the status that the caller got; zero if it left before.
 	Status int
 	// Error is set if the request failed.
 	Error *fault.Error
-	// Sends counts the backend servers that the request was sent to.
+	// Sends is the number of backend servers that the request was sent to.
 	Sends int
-	// Truncated says that an answer was cut off after its header.
+	// Truncated is set if the response was cut off after its header.
 	Truncated bool
-	// TimeToFirstByte is the time to the answer's first bytes.
+	// TimeToFirstByte is the time until the first bytes of the response.
 	TimeToFirstByte time.Duration
-	// Events is the number of events of a stream, and Gap the longest pause
+	// Events is the number of events of a stream, and LongestGap the longest time
 	// between two of them.
 	Events     int
 	LongestGap time.Duration
 	// Chain is the last chain of servers.
 	Chain string
-	// Server is the backend server that gave the answer.
+	// Server is the backend server that responded.
 	Server string
 }
 
@@ -59,11 +60,11 @@
 	return context.Cause(ctx) == context.Canceled
 }
 
-// connectionHeaders are the headers of an answer that concern its connection only,
+// connectionHeaders are the headers of a response that apply to its connection only,
 // or that the HTTP server sets itself.
 var connectionHeaders = []string{"Connection", "Keep-Alive", "Transfer-Encoding", "Content-Length", "Trailer", "Upgrade", "Proxy-Connection"}
 
-// CopyHeader copies an answer's header to the caller's.
+// CopyHeader copies the header of a response to that of the caller.
 func CopyHeader(dst, src http.Header) {
 	for name, values := range src {
 		dst[name] = values
@@ -72,13 +73,14 @@
 		dst.Del(name)
 	}
 	if _, hasType := dst["Content-Type"]; !hasType {
-		// Without it the HTTP server would guess one.
+		// Without this the HTTP server would guess a content type.
 		dst["Content-Type"] = nil
 	}
 }
 
 // StatusMeansNotRun reports whether a status tells a caller that its request has not
-// run and never will, on the strength of which it repeats what may run once.
+// run and never will. Callers retry on such a status, even if the request must run
+// at most once.
 func StatusMeansNotRun(status int) bool {
 	switch status {
 	case http.StatusServiceUnavailable, http.StatusTooManyRequests, http.StatusRequestTimeout, http.StatusMisdirectedRequest:
@@ -87,9 +89,9 @@
 	return false
 }
 
-// WriteError answers a request that failed. Only an error that is known not to
-// have run gets a status which says so; a caller repeats on the strength of
-// it, and a request that may run once would run twice.
+// WriteError responds to a request that failed. Only an error of a request that is
+// known not to have run gets a status that says so: callers retry on such a status,
+// and a request that must run at most once would run twice.
 func WriteError(w http.ResponseWriter, c Codec, e *fault.Error) int {
 	status := e.Status()
 	if e.Verdict != fault.NotRun {
