--- a/entry/stream/choose.go
+++ b/entry/stream/choose.go
@@ -115,7 +115,7 @@
 		}
 		select {
 		case <-ctx.Done():
-			return nil, &fault.Error{Code: fault.Cancelled, Verdict: fault.NotRun, Message: "the request ended while it was queued"}
+			return nil, &fault.Error{Code: fault.Cancelled, Verdict: fault.NotRun, Message: "ended while it waited for room"}
 		case <-time.After(roomPollInterval):
 		}
 	}
--- a/entry/stream/failure.go
+++ b/entry/stream/failure.go
@@ -71,7 +71,7 @@
 func (r *request) handleBrokenResponse(ctx context.Context, resp *conns.Response, err error) *fault.Error {
 	resp.Reset()
 	if r.events.skipped {
-		err = errors.New("the restarted stream skipped an event")
+		err = errors.New("an event is missing")
 	}
 	e := &fault.Error{
 		Code: fault.BrokenAnswer, Verdict: fault.MayHaveRun, Message: "the answer broke off",
--- a/entry/stream/monitor.go
+++ b/entry/stream/monitor.go
@@ -61,10 +61,10 @@
 
 // Causes of an attempt that this entry host ends.
 var (
-	errFirstServerDead = errors.New("stream: the first server does not answer probes")
-	errSilent          = errors.New("stream: no event within the restart timeout")
-	errNoChain         = errors.New("stream: no alternative chain behind the first server")
-	errHostDelayed     = errors.New("stream: this entry host was delayed during the probe")
+	errFirstServerDead = errors.New("stream: the first server does not answer")
+	errSilent          = errors.New("stream: silent for too long")
+	errNoChain         = errors.New("stream: no other way behind the first server")
+	errHostDelayed     = errors.New("stream: this entry host lagged")
 )
 
 // Monitor monitors the streams in progress. Set the exported fields before Run.
