--- /dev/null
+++ b/entry/stream/active.go
@@ -0,0 +1,130 @@
+package stream
+
+import (
+	"context"
+	"sync"
+	"sync/atomic"
+	"time"
+
+	"fuchsiashelf.dev/entry/call"
+	"fuchsiashelf.dev/parts/probe"
+	"fuchsiashelf.dev/parts/router"
+)
+
+// activeStream is a stream in progress.
+type activeStream struct {
+	job    *call.Job
+	cancel context.CancelCauseFunc
+	// reserveRestart reserves another attempt of the request on another chain, and
+	// reports whether its route and the retry budget allow one. Nil means that none
+	// is allowed.
+	reserveRestart func() bool
+	// lastActivity is the time of the last event or reroute, and meanGap the
+	// mean gap between two events, in nanoseconds.
+	lastActivity, meanGap atomic.Int64
+	started               atomic.Bool
+
+	mu           sync.Mutex
+	chain        router.Chain
+	releaseChain func()
+	rerouting    bool
+	ended        bool
+	// lastReroute is when another chain was last searched for.
+	lastReroute time.Time
+	// drainedFrom is the address of the server that the stream was last rerouted
+	// around because of a drain.
+	drainedFrom string
+}
+
+const (
+	// gapWeight is the weight of a new gap in the mean gap of a stream.
+	gapWeight = 0.2
+	// maxGapRatio caps a new gap, as a multiple of the mean, so that an outage does
+	// not shift the mean.
+	maxGapRatio = 2
+)
+
+// recordEvent records an event and reports whether it is the first one.
+func (s *activeStream) recordEvent() (first bool) {
+	now := time.Now().UnixNano()
+	gap := now - s.lastActivity.Swap(now)
+	if !s.started.Swap(true) {
+		return true
+	}
+	mean := s.meanGap.Load()
+	if mean == 0 {
+		s.meanGap.Store(gap)
+		return false
+	}
+	s.meanGap.Store(mean + int64(gapWeight*float64(min(gap, maxGapRatio*mean)-mean)))
+	return false
+}
+
+func (s *activeStream) silence(now time.Time) time.Duration {
+	return time.Duration(now.UnixNano() - s.lastActivity.Load())
+}
+
+// silent reports whether the time since the last event is longer than expected.
+func (s *activeStream) silent(now time.Time) bool {
+	if s.started.Load() {
+		return s.silence(now) > max(silentTimeout(s.job.Route), silentGaps*time.Duration(s.meanGap.Load()))
+	}
+	return s.silence(now) > silentStartTimeout(s.job.Route)
+}
+
+// overdue reports whether the time since the last event exceeds both the timeout of
+// a short probe and the mean gap. A stream that had an event during the probe works;
+// a stream whose next event is not due yet must not be rerouted because of a lost
+// probe.
+func (s *activeStream) overdue(now time.Time) bool {
+	return s.silence(now) > max(probe.MinTimeout, time.Duration(s.meanGap.Load()))
+}
+
+// addresses returns the addresses of the servers of the chain.
+func (s *activeStream) addresses() []string {
+	s.mu.Lock()
+	defer s.mu.Unlock()
+	list := make([]string, len(s.chain))
+	for i, stage := range s.chain {
+		list[i] = stage.Server.Address
+	}
+	return list
+}
+
+// currentChain returns the chain.
+func (s *activeStream) currentChain() router.Chain {
+	s.mu.Lock()
+	defer s.mu.Unlock()
+	return s.chain
+}
+
+// uses reports whether a server is part of the chain.
+func (s *activeStream) uses(address string) bool {
+	s.mu.Lock()
+	defer s.mu.Unlock()
+	return s.chain.Has(address)
+}
+
+func (s *activeStream) firstAddress() string {
+	s.mu.Lock()
+	defer s.mu.Unlock()
+	return s.chain[0].Server.Address
+}
+
+// switchChain reserves another chain for the stream. The response to an order to
+// reroute may arrive after the end of the stream; a reservation made then would
+// never be released.
+func (s *activeStream) switchChain(ledger *router.LoadTracker, chain router.Chain) {
+	s.mu.Lock()
+	defer s.mu.Unlock()
+	if s.ended {
+		return
+	}
+	s.releaseChain()
+	s.chain = chain
+	s.releaseChain = ledger.Reserve(chain, totalTokens(s.job))
+}
+
+func totalTokens(job *call.Job) int {
+	return job.PromptTokens + job.ExpectedTokens(job.Service.Engine)
+}
--- /dev/null
+++ b/entry/stream/failure.go
@@ -0,0 +1,186 @@
+package stream
+
+import (
+	"context"
+	"errors"
+	"io"
+	"net/http"
+	"slices"
+	"time"
+
+	"fuchsiashelf.dev/entry/call"
+	"fuchsiashelf.dev/entry/conns"
+	"fuchsiashelf.dev/parts/fault"
+	"fuchsiashelf.dev/parts/fleet"
+)
+
+// errorResponse is an error that a server responded with.
+type errorResponse struct {
+	header http.Header
+	status int
+	body   []byte
+}
+
+// handleRefusal records the refusal of a server that did not run the request, and
+// returns its error.
+func (r *request) handleRefusal(first string, reply call.Reply) *fault.Error {
+	address := reply.RefusedBy
+	if address == "" {
+		address = first
+	}
+	r.avoid[address] = true
+	server := ""
+	if s := r.State.View().ByAddress(address); s != nil {
+		server = s.ID
+		if r.Ledger.RecordRefusal(s.ID, time.Now()) {
+			r.Monitor.Broadcast()
+		}
+	}
+	if address != first {
+		// The server may be saturated or dead: the first server does not say which.
+		r.Monitor.Probe(address, "the first server refused a request because of this server")
+	}
+	r.Log.Info("stream: refused by a server", "request", r.job.ID, "status", reply.Status, "server", server, "address", address, "first", r.out.Server)
+	return &fault.Error{Code: fault.ServerRefused, Verdict: fault.NotRun, Message: "a backend server refused", Server: address, RetryAfter: minRetryAfter}
+}
+
+// handleServerError keeps the error response of a server. It is delivered if no
+// other chain succeeds before the caller has received any of a response.
+func (r *request) handleServerError(resp *conns.Response, reply call.Reply) *fault.Error {
+	body, err := io.ReadAll(io.LimitReader(resp, readBufferSize))
+	r.avoid[resp.Request.URL.Host] = true
+	if err == nil && !call.StatusMeansNotRun(reply.Status) {
+		r.serverError = &errorResponse{header: resp.Header, status: reply.Status, body: body}
+	}
+	return &fault.Error{Code: fault.ServerFailed, Verdict: fault.MayHaveRun, Message: "the backend server failed", Server: r.out.Server, Cause: err}
+}
+
+// deliverServerError sends the kept error response to the caller.
+func (r *request) deliverServerError() call.Outcome {
+	call.CopyHeader(r.w.Header(), r.serverError.header)
+	r.w.WriteHeader(r.serverError.status)
+	r.out.Status = r.serverError.status
+	if _, err := r.w.Write(r.serverError.body); err != nil {
+		r.out.Truncated = true
+	}
+	return r.out
+}
+
+// handleBrokenResponse closes the connection of a response that ended early, avoids
+// its server, and returns the error.
+func (r *request) handleBrokenResponse(ctx context.Context, resp *conns.Response, err error) *fault.Error {
+	resp.Reset()
+	if r.events.skipped {
+		err = errors.New("an event is missing")
+	}
+	e := &fault.Error{
+		Code: fault.BrokenAnswer, Verdict: fault.MayHaveRun, Message: "the answer broke off",
+		Server: r.out.Server, Cause: err,
+	}
+	if cause := context.Cause(ctx); cause != nil {
+		e.Cause = cause
+	}
+	r.avoidFailedServer(ctx, resp.Request.URL.Host, e)
+	return e
+}
+
+// avoidFailedServer avoids the first server of a failed attempt, and probes it
+// unless the attempt was ended by this entry host.
+func (r *request) avoidFailedServer(ctx context.Context, address string, e *fault.Error) {
+	if call.CallerGone(ctx) || errors.Is(context.Cause(ctx), context.DeadlineExceeded) {
+		return
+	}
+	r.avoid[address] = true
+	r.Pool.CloseIdle(address)
+	if context.Cause(ctx) == nil {
+		r.Monitor.ProbeFor(r.job, address, e.Error())
+	}
+}
+
+// shouldRetry reports whether another chain is tried. It withdraws the retry from
+// the retry budget, unless the monitor has reserved it.
+func (r *request) shouldRetry(ctx context.Context, e *fault.Error) bool {
+	if ctx.Err() != nil || e.Code == fault.Cancelled || r.Monitor.Crashes.Blocked(r.job.Fingerprint, time.Now()) {
+		return false
+	}
+	if e.Code == fault.NoCover || e.Code == fault.Overloaded {
+		return false
+	}
+	if e.Verdict != fault.NotRun && !r.job.Route.Repeatable() {
+		return false
+	}
+	if !r.canAttempt(r.mayHaveRun, r.out.Sends) {
+		return false
+	}
+	r.verdict = r.verdict.Weaken(e.Verdict)
+	allowed := r.restartReserved.Swap(false) || r.budget.Withdraw(time.Now())
+	r.Log.Info("stream: tried again", "request", r.job.ID, "server", r.out.Server, "chain", r.out.Chain,
+		"allowed", allowed, "sends", r.out.Sends, "events", r.events.count, "error", e)
+	return allowed
+}
+
+// restartReservation returns a function that reserves another attempt after the one
+// on a first server. The monitor ends an attempt only if another one is reserved:
+// otherwise the caller could be left with a truncated response.
+func (r *request) restartReservation(first *fleet.Server) func() bool {
+	servers := append(slices.Clone(r.mayHaveRun), first)
+	sends := r.out.Sends + 1
+	return func() bool {
+		if !r.job.Route.Repeatable() || !r.canAttempt(servers, sends) {
+			return false
+		}
+		if !r.budget.Withdraw(time.Now()) {
+			return false
+		}
+		r.restartReserved.Store(true)
+		return true
+	}
+}
+
+// canAttempt reports whether the request may be sent once more after the given
+// number of sends, if the given servers may have run it.
+func (r *request) canAttempt(servers []*fleet.Server, sends int) bool {
+	return sends <= maxSends && r.countAttempts(servers) < r.job.Route.Attempts
+}
+
+// countAttempts returns how many of the servers that may have run the request count
+// towards the attempts of its route: those that are still alive. An attempt on a
+// server that died does not count.
+func (r *request) countAttempts(servers []*fleet.Server) int {
+	view := r.State.View()
+	n := 0
+	for _, s := range servers {
+		current := view.ByAddress(s.Address)
+		if current != nil && current.ID == s.ID && !current.Suspected {
+			n++
+		}
+	}
+	return n
+}
+
+// maxSends bounds the chains that one request is sent to, refusals included.
+const maxSends = 3
+
+// finishFailed ends a request that is not tried again.
+func (r *request) finishFailed(ctx context.Context, e *fault.Error) call.Outcome {
+	final := *e
+	final.Verdict = r.verdict.Weaken(e.Verdict)
+	r.out.Error = &final
+	if call.CallerGone(ctx) {
+		final.Code = fault.Cancelled
+		return r.out
+	}
+	if errors.Is(context.Cause(ctx), context.DeadlineExceeded) {
+		final.Code = fault.Deadline
+	}
+	if r.serverError != nil && !r.headerSent {
+		return r.deliverServerError()
+	}
+	if r.headerSent {
+		// The caller has a partial response, which must not look complete.
+		r.out.Truncated = true
+		return r.out
+	}
+	r.out.Status = call.WriteError(r.w, r.Codec, &final)
+	return r.out
+}
--- /dev/null
+++ b/entry/stream/monitor.go
@@ -0,0 +1,291 @@
+package stream
+
+import (
+	"context"
+	"errors"
+	"log/slog"
+	"maps"
+	"sync"
+	"time"
+
+	"fuchsiashelf.dev/entry/call"
+	"fuchsiashelf.dev/entry/state"
+	"fuchsiashelf.dev/parts/domain"
+	"fuchsiashelf.dev/parts/poison"
+	"fuchsiashelf.dev/parts/probe"
+	"fuchsiashelf.dev/parts/router"
+)
+
+// Timeouts and intervals that do not depend on routes.
+const (
+	// sweepInterval is the interval between two checks of all streams.
+	sweepInterval = 15 * time.Millisecond
+	// maxSweepDelay is the interval between two sweeps above which silence is
+	// attributed to this entry host, not to servers.
+	maxSweepDelay = 40 * time.Millisecond
+	// silentGaps is the time without an event, in mean gaps of the stream, after
+	// which its servers are probed, if it is longer than the fraction of the longest
+	// gap that is on time. Where all streams are slow, the probes are left for
+	// servers that died.
+	silentGaps = 2
+	// entryPropagation is how long a restarted server is avoided. By then its entry
+	// shows that it holds no layers.
+	entryPropagation = 1500 * time.Millisecond
+	// suspectProbeInterval and maxSuspectProbes bound the probes of a suspected
+	// server: together they last longer than its entry.
+	suspectProbeInterval = 500 * time.Millisecond
+	maxSuspectProbes     = 30
+	// remoteProbeInterval is the interval between probes of a suspected server of
+	// another failure domain. Each one comes just before the suspicion expires.
+	remoteProbeInterval = state.SuspectFor - 200*time.Millisecond
+	// reprobeDelay is the delay before a server that did not answer the first, short
+	// probes gets a long one: on a lossy link all of them may have been lost.
+	reprobeDelay = 100 * time.Millisecond
+	// drainInterval is the interval between two streams that are rerouted around a
+	// draining server. The new chain reads all tokens of each again, which delays
+	// the streams there.
+	drainInterval = 200 * time.Millisecond
+	// moveInterval is the same for a server that is about to load layers that no
+	// other server of its failure domain holds.
+	moveInterval = 50 * time.Millisecond
+	// healthyProbeInterval limits the probes of a server that answered the last one:
+	// a saturated server is reported with each request that it refuses.
+	healthyProbeInterval = 500 * time.Millisecond
+	// rerouteInterval is the interval between two searches for another chain for a
+	// stream. Each may cost an order for every server that turns out to be
+	// saturated.
+	rerouteInterval = 150 * time.Millisecond
+	// maxReroutes bounds the chains that are tried in one search.
+	maxReroutes = 3
+)
+
+// Causes of an attempt that this entry host ends.
+var (
+	errFirstServerDead = errors.New("stream: the first server does not answer")
+	errSilent          = errors.New("stream: silent for too long")
+	errNoChain         = errors.New("stream: no other way behind the first server")
+	errHostDelayed     = errors.New("stream: this entry host lagged")
+)
+
+// Monitor monitors the streams in progress. Set the exported fields before Run.
+type Monitor struct {
+	Engine call.EngineClient
+	State  *state.Local
+	Ledger *router.LoadTracker
+	// Starts holds how long requests wait for their first event at a server.
+	Starts      *router.StartLatency
+	LocalDomain domain.Name
+	Log         *slog.Logger
+	// Crashes counts the servers that died under each request.
+	Crashes *poison.Counter
+	// Broadcast sends a new suspicion or a long wait to other entry hosts.
+	Broadcast func()
+
+	// EntryHosts returns the number of entry hosts, including this one.
+	EntryHosts func() int
+	// DropConns closes the idle connections to an address. Connections that were
+	// lost without a reset would make a live server look dead.
+	DropConns func(address string)
+
+	mu      sync.Mutex
+	streams map[*activeStream]struct{}
+	// probes decides which servers of silent streams are probed, and timeout how
+	// long an answer may take.
+	probes  probe.Scheduler
+	timeout probe.Timeout
+	// linkBudget limits the responses that are rerouted across failure domains.
+	linkBudget router.LinkBudget
+	// probing holds the addresses of the servers that are being probed.
+	probing map[string]bool
+	// lastAnswer holds when a probed server last answered.
+	lastAnswer map[string]time.Time
+	// failedRequests holds the requests that failed on a probed server, by the ID of
+	// the server, until it is known whether the server died.
+	failedRequests map[string]map[poison.Fingerprint]bool
+	// lastDrain is when a stream was last rerouted around a draining server.
+	lastDrain time.Time
+	// lastSweep is the time of the last sweep, and lastDelay when a sweep was last
+	// late.
+	lastSweep, lastDelay time.Time
+}
+
+func (m *Monitor) add(job *call.Job, chain router.Chain, cancel context.CancelCauseFunc, reserveRestart func() bool) *activeStream {
+	stream := &activeStream{job: job, chain: chain, cancel: cancel, reserveRestart: reserveRestart, releaseChain: m.Ledger.Reserve(chain, totalTokens(job))}
+	stream.lastActivity.Store(time.Now().UnixNano())
+	m.mu.Lock()
+	defer m.mu.Unlock()
+	if m.streams == nil {
+		m.streams = map[*activeStream]struct{}{}
+	}
+	m.streams[stream] = struct{}{}
+	return stream
+}
+
+func (m *Monitor) remove(stream *activeStream) {
+	m.mu.Lock()
+	delete(m.streams, stream)
+	m.mu.Unlock()
+	stream.mu.Lock()
+	defer stream.mu.Unlock()
+	stream.ended = true
+	stream.releaseChain()
+}
+
+// Streams returns the number of streams in progress.
+func (m *Monitor) Streams() int {
+	m.mu.Lock()
+	defer m.mu.Unlock()
+	return len(m.streams)
+}
+
+// Run monitors the streams until the context ends.
+func (m *Monitor) Run(ctx context.Context) {
+	ticker := time.NewTicker(sweepInterval)
+	defer ticker.Stop()
+	for {
+		select {
+		case <-ctx.Done():
+			return
+		case <-ticker.C:
+			now := time.Now()
+			m.sweep(ctx, now)
+			m.drainStreams(now)
+			if m.Starts.ShouldBroadcast(now) {
+				m.Log.Info("watch: requests wait for their first event", "waits", m.Starts.Waits(now))
+				m.Broadcast()
+			}
+		}
+	}
+}
+
+// sweep ends attempts that reach the restart timeout, and probes the servers of
+// silent streams.
+func (m *Monitor) sweep(ctx context.Context, now time.Time) {
+	m.mu.Lock()
+	defer m.mu.Unlock()
+	delayed := !m.lastSweep.IsZero() && now.Sub(m.lastSweep) > maxSweepDelay
+	if delayed {
+		m.lastDelay = now
+	}
+	m.lastSweep = now
+	silent := false
+	for stream := range m.streams {
+		silence := stream.silence(now)
+		if stream.started.Load() && silence > restartTimeout(stream.job.Route) {
+			stream.cancel(errSilent)
+		}
+		silent = silent || silence > time.Duration(stream.meanGap.Load())
+	}
+	maps.DeleteFunc(m.lastAnswer, func(_ string, at time.Time) bool { return now.Sub(at) > healthyProbeInterval })
+	if !silent || delayed {
+		return
+	}
+	streams := make([]probe.Stream, 0, len(m.streams))
+	for stream := range m.streams {
+		streams = append(streams, probe.Stream{
+			Servers: stream.addresses(), Silent: stream.silent(now), Pause: stream.silence(now), TypicalGap: time.Duration(stream.meanGap.Load()),
+		})
+	}
+	for _, address := range m.probes.Next(streams, now) {
+		go m.probeSilent(ctx, address)
+	}
+}
+
+// probeSilent probes a server of a silent stream. If it does not answer, the streams
+// that use it are rerouted or restarted.
+func (m *Monitor) probeSilent(ctx context.Context, address string) {
+	report, err := m.fetchReport(ctx, address, m.probeTimeout())
+	if errors.Is(err, errHostDelayed) {
+		m.mu.Lock()
+		m.probes.Discard(address)
+		m.mu.Unlock()
+		return
+	}
+	m.mu.Lock()
+	outcome := m.probes.Record(address, err == nil, probeOutcome(err) == probe.Gone)
+	m.mu.Unlock()
+	if err == nil {
+		m.handleReport(address, report)
+		return
+	}
+	m.Log.Warn("watch: no report", "address", address, "finding", outcome.String(), "error", err)
+	m.DropConns(address)
+	if outcome.Dead() {
+		m.suspect(address, "no report", err)
+	}
+	m.evacuate(address, outcome)
+}
+
+// probeTimeout returns how long an answer to a probe may take.
+func (m *Monitor) probeTimeout() time.Duration {
+	m.mu.Lock()
+	defer m.mu.Unlock()
+	return m.timeout.Current()
+}
+
+// fetchReport asks a server for its report. The error is errHostDelayed if this
+// entry host was delayed during the request, so that the missing answer says nothing
+// about the server.
+func (m *Monitor) fetchReport(ctx context.Context, address string, timeout time.Duration) (call.Report, error) {
+	ctx, cancel := context.WithTimeout(ctx, timeout)
+	defer cancel()
+	start := time.Now()
+	report, err := m.Engine.Report(ctx, address)
+	elapsed := time.Since(start)
+	m.mu.Lock()
+	defer m.mu.Unlock()
+	if isAlive(err) {
+		m.timeout.Record(elapsed, timeout <= m.timeout.Current())
+		return report, err
+	}
+	delayed := probe.Stalled(timeout, elapsed) || m.lastDelay.After(start) || !m.lastSweep.IsZero() && time.Since(m.lastSweep) > maxSweepDelay
+	if delayed && probeOutcome(err) != probe.Gone {
+		return report, errHostDelayed
+	}
+	return report, err
+}
+
+// handleReport applies the report of a server: it evacuates a server that has
+// restarted, records its slowness, and reroutes the streams that it reports as
+// stalled.
+func (m *Monitor) handleReport(address string, report call.Report) {
+	now := time.Now()
+	s := m.State.View().ByAddress(address)
+	if s == nil {
+		return
+	}
+	if s.StartedAt.Unix() > 0 && report.StartedAt.After(s.StartedAt) {
+		m.Log.Warn("watch: server restarted", "server", s.ID, "address", address)
+		m.State.Suspect(s.ID, now.Add(entryPropagation), now)
+		m.evacuate(address, probe.Gone)
+		return
+	}
+	if m.State.RecordSlowness(s.ID, report.Slowness, now) {
+		m.Broadcast()
+	}
+	m.rerouteStalled(address, report.Stalled)
+}
+
+// evacuate reroutes streams around a server that does not answer, and restarts those
+// of which it is the first. A server that is only unreachable from here may still
+// serve its peers, and a server that is ending may close its port before it has
+// served its last stream, so streams that still get events stay.
+func (m *Monitor) evacuate(address string, outcome probe.State) {
+	now := time.Now()
+	var affected []*activeStream
+	m.mu.Lock()
+	for stream := range m.streams {
+		if outcome != probe.Gone && !stream.overdue(now) || !stream.uses(address) {
+			continue
+		}
+		if stream.firstAddress() != address {
+			affected = append(affected, stream)
+		} else if outcome.Dead() && stream.silent(now) {
+			stream.cancel(errFirstServerDead)
+		}
+	}
+	m.mu.Unlock()
+	for _, stream := range affected {
+		go m.rerouteStream(stream, address)
+	}
+}
--- /dev/null
+++ b/entry/stream/monitor_test.go
@@ -0,0 +1,338 @@
+package stream
+
+import (
+	"context"
+	"errors"
+	"fmt"
+	"log/slog"
+	"sync"
+	"syscall"
+	"testing"
+	"time"
+
+	qt "github.com/frankban/quicktest"
+
+	"fuchsiashelf.dev/entry/call"
+	"fuchsiashelf.dev/entry/state"
+	"fuchsiashelf.dev/parts/fleet"
+	"fuchsiashelf.dev/parts/mirror"
+	"fuchsiashelf.dev/parts/poison"
+	"fuchsiashelf.dev/parts/probe"
+	"fuchsiashelf.dev/parts/route"
+	"fuchsiashelf.dev/parts/router"
+)
+
+// fakeEngines is an engine client that answers from memory.
+type fakeEngines struct {
+	// reportErrors holds the errors of requests for a report, by address.
+	reportErrors map[string]error
+	// startedAt holds the start times that reports contain, by address.
+	startedAt map[string]time.Time
+	// results holds the results of reroutes, by request, where they differ from a
+	// started order.
+	results map[string]call.OrderResult
+	// block, if set, blocks reroutes until it is closed.
+	block chan struct{}
+
+	mu       sync.Mutex
+	rerouted map[string]router.Chain
+	ordered  chan struct{}
+	// timeouts holds the timeout of each request for a report.
+	timeouts []time.Duration
+}
+
+func (e *fakeEngines) Report(ctx context.Context, address string) (call.Report, error) {
+	e.mu.Lock()
+	defer e.mu.Unlock()
+	if deadline, ok := ctx.Deadline(); ok {
+		e.timeouts = append(e.timeouts, time.Until(deadline))
+	}
+	return call.Report{StartedAt: e.startedAt[address]}, e.reportErrors[address]
+}
+
+func (e *fakeEngines) Place(context.Context, *fleet.Server, int, int, uint64) (call.OrderResult, error) {
+	return call.OrderRejected, nil
+}
+
+func (e *fakeEngines) Reroute(_ context.Context, id string, c router.Chain) (call.OrderResult, string, error) {
+	if e.block != nil {
+		<-e.block
+	}
+	e.mu.Lock()
+	e.rerouted[id] = c
+	e.mu.Unlock()
+	e.ordered <- struct{}{}
+	if result, ok := e.results[id]; ok {
+		return result, "", nil
+	}
+	return call.OrderStarted, "", nil
+}
+
+// testRoute is the route of the streams in these tests.
+var testRoute = &route.Route{Target: 500 * time.Millisecond, MaxGap: 250 * time.Millisecond}
+
+// testLayers is the number of layers of the model in these tests.
+const testLayers = 12
+
+// fakeDecoder decodes the servers of a test.
+type fakeDecoder map[string]fleet.Server
+
+func (d fakeDecoder) Table([]byte) (*route.Table, error) {
+	return nil, errors.New("no configuration in this test")
+}
+
+func (d fakeDecoder) Server(id string, _ []byte) (fleet.Server, error) {
+	return d[id], nil
+}
+
+// newMonitor returns a monitor over a first server, a middle server, and others that
+// hold the same layers as the middle one.
+func newMonitor(engines *fakeEngines, others int) (*Monitor, fakeDecoder) {
+	engines.rerouted = map[string]router.Chain{}
+	engines.ordered = make(chan struct{}, 16)
+	servers := fakeDecoder{}
+	add := func(id string, first, end int) {
+		servers[id] = fleet.Server{ID: id, Service: "assist", Address: id, Domain: "a", Accelerator: "card", First: first, End: end, StartedAt: time.Unix(1, 0)}
+	}
+	add("first", 0, 4)
+	add("middle", 4, 12)
+	for i := range others {
+		add(fmt.Sprintf("other-%d", i), 4, 12)
+	}
+	serverMirror := &mirror.Mirror{Kind: "servers"}
+	var items []mirror.Object
+	for id := range servers {
+		items = append(items, mirror.Object{Name: id, Revision: 1})
+	}
+	serverMirror.Replace(items, 1)
+	log := slog.New(slog.DiscardHandler)
+	s := &state.Local{Decoder: servers, Log: log, LocalDomain: "a", Servers: serverMirror}
+	s.ReadServers(time.Now())
+	return &Monitor{
+		Engine: engines, State: s, Ledger: &router.LoadTracker{}, Starts: &router.StartLatency{}, LocalDomain: "a", Log: log, Crashes: &poison.Counter{},
+		Broadcast: func() {}, EntryHosts: func() int { return 1 }, DropConns: func(string) {},
+	}, servers
+}
+
+// addStream adds a stream whose last event came the given time ago.
+func (m *Monitor) addStream(servers fakeDecoder, id string, silence time.Duration) *activeStream {
+	engine := &route.Engine{
+		Layers: testLayers, LayerMB: 1, TokenBytes: 1, StepsPerPass: 1, PrefillPerSec: 1000, Step: time.Millisecond,
+		Accelerators: map[string]route.Accelerator{"card": {MemoryMB: 100, StepFactor: 1, PrefillFactor: 1}},
+	}
+	first, middle := servers["first"], servers["middle"]
+	chain := router.Chain{{Server: &first, First: 0, End: 4}, {Server: &middle, First: 4, End: 12}}
+	job := &call.Job{Request: &call.Request{ID: id, PromptTokens: 10, TokensHint: 5}, Route: testRoute, Service: &route.Service{Name: "assist", Engine: engine}}
+	stream := m.add(job, chain, func(error) {}, nil)
+	stream.recordEvent()
+	stream.lastActivity.Store(time.Now().Add(-silence).UnixNano())
+	return stream
+}
+
+// Guards against streams that wait for their own silence timeout, or for the later
+// report of the first server, after a server of their chains has died. One silent
+// stream is enough: its servers are probed, one refuses the connection, and all
+// streams are rerouted around it.
+func TestAllStreamsAreReroutedAroundGoneServer(t *testing.T) {
+	e := &fakeEngines{reportErrors: map[string]error{"middle": syscall.ECONNREFUSED}}
+	m, servers := newMonitor(e, 1)
+	m.addStream(servers, "silent", silentTimeout(testRoute)+time.Millisecond)
+	m.addStream(servers, "still-comes", 0)
+	m.sweep(t.Context(), time.Now())
+	<-e.ordered
+	<-e.ordered
+	for _, id := range []string{"silent", "still-comes"} {
+		qt.Check(t, e.rerouted[id].String(), qt.Equals, "first=0-4 other-0=4-12")
+	}
+	qt.Check(t, m.State.View().ByAddress("middle").Suspected, qt.IsTrue)
+}
+
+// Guards against streams that wait until their callers leave for a server that
+// crashed and restarted within a heartbeat, under its ID and address. It answers
+// every probe, but has lost its streams.
+func TestStreamsAreReroutedAroundRestartedServer(t *testing.T) {
+	e := &fakeEngines{startedAt: map[string]time.Time{"middle": time.Now()}}
+	m, servers := newMonitor(e, 1)
+	m.addStream(servers, "r", silentTimeout(testRoute)+time.Millisecond)
+	m.sweep(t.Context(), time.Now())
+	<-e.ordered
+	qt.Assert(t, e.rerouted["r"].String(), qt.Equals, "first=0-4 other-0=4-12")
+}
+
+// Guards against a gap of over a second after another entry host finds a server
+// dead: once a local probe confirms it, the streams that use the server must be
+// rerouted without waiting for their silence timeout and the next probe.
+func TestStreamsAreReroutedWhenPeerFindsServerDead(t *testing.T) {
+	e := &fakeEngines{reportErrors: map[string]error{"middle": syscall.ECONNREFUSED}}
+	m, servers := newMonitor(e, 1)
+	m.addStream(servers, "r", 0)
+	m.Probe("middle", "another entry host suspects it")
+	<-e.ordered
+	qt.Assert(t, e.rerouted["r"].String(), qt.Equals, "first=0-4 other-0=4-12")
+}
+
+// Guards against a single long probe of a server that another entry host suspects:
+// it takes longer than callers wait, and requests are sent to the server meanwhile.
+// Two short probes are enough; one may be lost.
+func TestSuspectReportedByPeerGetsShortProbes(t *testing.T) {
+	e := &fakeEngines{reportErrors: map[string]error{"middle": context.DeadlineExceeded}}
+	m, servers := newMonitor(e, 1)
+	m.addStream(servers, "r", silentTimeout(testRoute)+time.Millisecond)
+	m.Probe("middle", "another entry host suspects it")
+	<-e.ordered
+	qt.Check(t, m.State.View().ByAddress("middle").Suspected, qt.IsTrue)
+	e.mu.Lock()
+	defer e.mu.Unlock()
+	qt.Assert(t, e.timeouts, qt.HasLen, probe.FailureThreshold)
+	for _, wait := range e.timeouts {
+		qt.Check(t, wait <= probe.MinTimeout, qt.IsTrue, qt.Commentf("%v", wait))
+	}
+}
+
+// Guards against rerouting streams that still get events through a server that this
+// entry host cannot reach but its peers can: all their tokens would be read again
+// for nothing.
+func TestActiveStreamsStayOnUnreachableServer(t *testing.T) {
+	e := &fakeEngines{reportErrors: map[string]error{"middle": context.DeadlineExceeded}}
+	m, servers := newMonitor(e, 1)
+	m.addStream(servers, "silent", silentTimeout(testRoute)+time.Millisecond)
+	m.addStream(servers, "still-comes", 0)
+	m.sweep(t.Context(), time.Now())
+	<-e.ordered
+	qt.Check(t, e.rerouted["silent"].String(), qt.Equals, "first=0-4 other-0=4-12")
+	qt.Check(t, e.rerouted["still-comes"], qt.IsNil)
+}
+
+// Guards against rerouting streams because of one lost probe. A stream with an event
+// every 80 ms, whose last event came 50 ms ago, is not due yet: nothing says that
+// the server is dead, and a reroute would read all its tokens again.
+func TestStreamsWithinMeanGapStay(t *testing.T) {
+	e := &fakeEngines{}
+	m, servers := newMonitor(e, 1)
+	due, early := m.addStream(servers, "due", 90*time.Millisecond), m.addStream(servers, "early", 50*time.Millisecond)
+	due.meanGap.Store(int64(80 * time.Millisecond))
+	early.meanGap.Store(int64(80 * time.Millisecond))
+	m.evacuate("middle", probe.Suspected)
+	<-e.ordered
+	qt.Check(t, e.rerouted["due"].String(), qt.Equals, "first=0-4 other-0=4-12")
+	qt.Check(t, e.rerouted["early"], qt.IsNil)
+}
+
+// Guards against ending streams on a first server that is shutting down: it accepts
+// no more connections but still serves the streams that it has.
+func TestActiveStreamsStayOnEndingFirstServer(t *testing.T) {
+	e := &fakeEngines{}
+	m, servers := newMonitor(e, 1)
+	active, silent := m.addStream(servers, "comes", 0), m.addStream(servers, "silent", silentTimeout(testRoute)+time.Millisecond)
+	var ended []string
+	active.cancel = func(error) { ended = append(ended, "comes") }
+	silent.cancel = func(error) { ended = append(ended, "silent") }
+	m.evacuate("first", probe.Gone)
+	qt.Assert(t, ended, qt.DeepEquals, []string{"silent"})
+}
+
+// Guards against many streams moving from a dead server to the same alternative.
+// They choose within a millisecond, while nothing shows that the first order will
+// make its server read a whole prompt; the last stream would wait for all others.
+func TestReroutedStreamsSpreadOverServers(t *testing.T) {
+	e := &fakeEngines{reportErrors: map[string]error{"middle": syscall.ECONNREFUSED}, block: make(chan struct{})}
+	m, servers := newMonitor(e, 2)
+	const streams = 8
+	for i := range streams {
+		m.addStream(servers, fmt.Sprintf("r%d", i), silentTimeout(testRoute)+time.Millisecond)
+	}
+	m.evacuate("middle", probe.Gone)
+	waitFor(t, func() bool { return m.Ledger.Used("middle").Requests == 0 })
+	close(e.block)
+	for range streams {
+		<-e.ordered
+	}
+	first, second := m.Ledger.Used("other-0").Requests, m.Ledger.Used("other-1").Requests
+	qt.Assert(t, first >= 2 && second >= 2, qt.IsTrue, qt.Commentf("%v and %v", first, second))
+}
+
+// Guards against streams that block the load of missing layers: a server that is to
+// load them waits for the streams that use the layers it gives up. Streams on a
+// server that only gives up replicated layers must stay: otherwise all their tokens
+// would be read again for nothing.
+func TestStreamsAreDrainedOnlyForMissingLayers(t *testing.T) {
+	e := &fakeEngines{}
+	m, servers := newMonitor(e, 1)
+	m.addStream(servers, "r", 0)
+	expiry := time.Now().Add(time.Hour)
+	m.State.Assign(state.Assignment{ID: "middle", First: 6, End: 12, Until: expiry}, time.Now())
+	m.drainStreams(time.Now())
+	qt.Assert(t, m.lastDrain.IsZero(), qt.IsTrue)
+	m.State.Assign(state.Assignment{ID: "middle", First: 0, End: 6, Until: expiry}, time.Now())
+	m.drainStreams(time.Now())
+	<-e.ordered
+	qt.Assert(t, e.rerouted["r"].String(), qt.Equals, "first=0-4 other-0=4-12")
+}
+
+// Guards against a deadlock after the death of a server of a chain: the next server
+// of the chain is ordered to load its layers and waits for a stream that uses the
+// layers it gives up, while the stream waits for the layers of the dead server.
+func TestStreamBlockingALoadRestarts(t *testing.T) {
+	e := &fakeEngines{reportErrors: map[string]error{"middle": syscall.ECONNREFUSED}}
+	m, servers := newMonitor(e, 0)
+	next := servers["middle"]
+	next.ID, next.Address, next.First, next.End = "next", "next", 8, 12
+	servers["next"] = next
+	m.State.Servers.Merge(mirror.Batch{After: 1, Cursor: 2, Items: []mirror.Object{{Name: "next", Revision: 2}}})
+	m.State.ReadServers(time.Now())
+	stream := m.addStream(servers, "r", silentTimeout(testRoute)+time.Millisecond)
+	first, middle := servers["first"], servers["middle"]
+	stream.chain = router.Chain{{Server: &first, First: 0, End: 4}, {Server: &middle, First: 4, End: 8}, {Server: &next, First: 8, End: 12}}
+	ended := make(chan error, 1)
+	stream.cancel = func(cause error) { ended <- cause }
+	m.rerouteStream(stream, "middle")
+	qt.Assert(t, ended, qt.HasLen, 0)
+	stream.lastReroute = time.Time{}
+	m.State.Assign(state.Assignment{ID: "next", First: 4, End: 10, Until: time.Now().Add(time.Hour)}, time.Now())
+	m.rerouteStream(stream, "middle")
+	qt.Assert(t, <-ended, qt.Equals, errNoChain)
+}
+
+// Guards against retries that use up the retry budget shared by all entry hosts on a
+// request that no server completes. A route allows two attempts on servers that stay
+// alive; an attempt on a server that died does not count.
+func TestOnlyLiveServersCountAsAttempts(t *testing.T) {
+	m, servers := newMonitor(&fakeEngines{}, 1)
+	first, middle := servers["first"], servers["middle"]
+	old := middle
+	old.ID = "middle-before"
+	r := &request{Forwarder: &Forwarder{State: m.State}, mayHaveRun: []*fleet.Server{&first, &middle, &old}}
+	qt.Assert(t, r.countAttempts(r.mayHaveRun), qt.Equals, 2)
+	now := time.Now()
+	m.State.Suspect("first", now.Add(time.Hour), now)
+	qt.Assert(t, r.countAttempts(r.mayHaveRun), qt.Equals, 1)
+}
+
+// Guards against suspecting a plain server that responds to a probe without a
+// report. It would be avoided for two seconds, and the few others would refuse
+// requests that it could have served.
+func TestServerWithoutReportIsNotSuspected(t *testing.T) {
+	e := &fakeEngines{reportErrors: map[string]error{"middle": &call.NoReportError{Status: 400}}}
+	m, _ := newMonitor(e, 1)
+	m.Probe("middle", "it failed a payment")
+	waitFor(t, func() bool {
+		m.mu.Lock()
+		defer m.mu.Unlock()
+		return !m.lastAnswer["middle"].IsZero()
+	})
+	qt.Assert(t, m.State.View().ByAddress("middle").Suspected, qt.IsFalse)
+}
+
+// waitFor waits until a condition holds.
+func waitFor(t *testing.T, condition func() bool) {
+	t.Helper()
+	ticker := time.NewTicker(time.Millisecond)
+	defer ticker.Stop()
+	for !condition() {
+		select {
+		case <-t.Context().Done():
+			t.Fatal("the condition was not met before the test ended")
+		case <-ticker.C:
+		}
+	}
+}
--- /dev/null
+++ b/entry/stream/probe.go
@@ -0,0 +1,215 @@
+package stream
+
+import (
+	"context"
+	"errors"
+	"syscall"
+	"time"
+
+	"fuchsiashelf.dev/entry/call"
+	"fuchsiashelf.dev/entry/state"
+	"fuchsiashelf.dev/parts/poison"
+	"fuchsiashelf.dev/parts/probe"
+)
+
+// Probe checks whether a server that seems to have failed still answers. If it does
+// not, it is suspected, and probed again until it answers or its entry is gone.
+func (m *Monitor) Probe(address, reason string) {
+	m.probeServer(address, reason, link{})
+}
+
+// ProbeFor is like Probe for a server that failed while it ran a request. If the
+// server died, the crash is recorded against the request.
+func (m *Monitor) ProbeFor(job *call.Job, address, reason string) {
+	s := m.State.View().ByAddress(address)
+	if s == nil {
+		return
+	}
+	m.mu.Lock()
+	if m.failedRequests == nil {
+		m.failedRequests = map[string]map[poison.Fingerprint]bool{}
+	}
+	if m.failedRequests[s.ID] == nil {
+		m.failedRequests[s.ID] = map[poison.Fingerprint]bool{}
+	}
+	m.failedRequests[s.ID][job.Fingerprint] = true
+	m.mu.Unlock()
+	m.probeServer(address, reason, link{})
+}
+
+// resolveFailures ends the probe of a server. If the server died, the crash is
+// recorded against all requests that failed on it.
+func (m *Monitor) resolveFailures(id string, died bool, now time.Time) {
+	m.mu.Lock()
+	fingerprints := m.failedRequests[id]
+	delete(m.failedRequests, id)
+	m.mu.Unlock()
+	if !died {
+		return
+	}
+	for fingerprint := range fingerprints {
+		m.Crashes.RecordCrash(fingerprint, id, now)
+	}
+}
+
+// probeServer starts to probe a server, unless it has answered recently or is being
+// probed already. via is the link over which another server of a chain waits for
+// this one, if any. If the server answers this entry host and the link connects two
+// failure domains, the link is marked as broken. Without the probe, a crash of the
+// server would look the same, and no chain could cross to the domain that holds its
+// layers.
+func (m *Monitor) probeServer(address, reason string, via link) {
+	s := m.State.View().ByAddress(address)
+	if s == nil {
+		return
+	}
+	m.mu.Lock()
+	healthy := time.Since(m.lastAnswer[address]) < healthyProbeInterval
+	m.mu.Unlock()
+	if !healthy && m.claimProbe(address) {
+		go m.probeSuspect(s.ID, address, reason, via)
+	}
+}
+
+// claimProbe reports whether the caller is to probe a server. Each server is probed
+// by one goroutine at a time.
+func (m *Monitor) claimProbe(address string) bool {
+	m.mu.Lock()
+	defer m.mu.Unlock()
+	if m.probing == nil {
+		m.probing = map[string]bool{}
+	}
+	if m.probing[address] {
+		return false
+	}
+	m.probing[address] = true
+	return true
+}
+
+// suspect avoids a server that did not answer probes, and probes it again until it
+// answers or its entry is gone.
+func (m *Monitor) suspect(address, reason string, err error) {
+	s := m.State.View().ByAddress(address)
+	if s == nil {
+		return
+	}
+	m.markSuspected(s.ID, address, reason, err, time.Now())
+	if m.claimProbe(address) {
+		go m.probeSuspect(s.ID, address, reason, link{})
+	}
+}
+
+// markSuspected records that a server did not answer. It reports whether the entry
+// of the server still exists.
+func (m *Monitor) markSuspected(id, address, reason string, err error, now time.Time) bool {
+	// Only a process that has ended refuses connections at once. A server behind a
+	// broken link does not answer either, but no request caused that.
+	m.resolveFailures(id, probeOutcome(err) == probe.Gone, now)
+	if s := m.State.View().ByAddress(address); s == nil || s.ID != id {
+		return false
+	}
+	if m.State.Suspect(id, now.Add(state.SuspectFor), now) {
+		m.Log.Warn("servers: suspected", "server", id, "address", address, "why", reason, "error", err)
+		m.Broadcast()
+	}
+	return true
+}
+
+// probeSuspect probes a server until it answers or its entry is gone. The first
+// probes, up to the number of misses that count as dead, have a short timeout: until
+// the death is known, requests are sent to the server, and no other server loads its
+// layers.
+func (m *Monitor) probeSuspect(id, address, reason string, via link) {
+	defer func() {
+		m.mu.Lock()
+		delete(m.probing, address)
+		m.mu.Unlock()
+	}()
+	misses := 0
+	for range maxSuspectProbes {
+		timeout := call.ReportTimeout
+		if misses < probe.FailureThreshold {
+			timeout = m.probeTimeout()
+		}
+		err := m.probeOnce(address, timeout)
+		now := time.Now()
+		switch {
+		case errors.Is(err, errHostDelayed):
+			time.Sleep(reprobeDelay)
+			continue
+		case err == nil:
+			if misses < probe.FailureThreshold && via.from != via.to {
+				m.State.MarkUnreachable(via.from, via.to, now)
+			}
+			m.markHealthy(id, address, now)
+			return
+		}
+		misses++
+		if misses < probe.FailureThreshold && probeOutcome(err) != probe.Gone {
+			continue
+		}
+		if !m.markSuspected(id, address, reason, err, now) {
+			return
+		}
+		delay := m.probeInterval(address)
+		if misses <= probe.FailureThreshold {
+			m.evacuate(address, probeOutcome(err))
+			delay = reprobeDelay
+		}
+		time.Sleep(delay)
+	}
+}
+
+// probeInterval returns the interval between probes of a suspected server. Every
+// entry host probes on its own, so servers of other failure domains that serve none
+// of its streams are probed only as often as it takes to keep them suspected.
+func (m *Monitor) probeInterval(address string) time.Duration {
+	s := m.State.View().ByAddress(address)
+	if s == nil || s.Domain == m.LocalDomain {
+		return suspectProbeInterval
+	}
+	m.mu.Lock()
+	defer m.mu.Unlock()
+	for stream := range m.streams {
+		if stream.uses(address) {
+			return suspectProbeInterval
+		}
+	}
+	return remoteProbeInterval
+}
+
+// probeOnce asks a server for its report. A response without a report counts as an
+// answer.
+func (m *Monitor) probeOnce(address string, timeout time.Duration) error {
+	if _, err := m.fetchReport(context.Background(), address, timeout); !isAlive(err) {
+		return err
+	}
+	return nil
+}
+
+// markHealthy ends the suspicion of a server that answered.
+func (m *Monitor) markHealthy(id, address string, now time.Time) {
+	m.State.ClearSuspicion(id, now)
+	m.resolveFailures(id, false, now)
+	m.mu.Lock()
+	defer m.mu.Unlock()
+	if m.lastAnswer == nil {
+		m.lastAnswer = map[string]time.Time{}
+	}
+	m.lastAnswer[address] = now
+}
+
+// probeOutcome returns the state of a server that a failed probe indicates.
+func probeOutcome(err error) probe.State {
+	if errors.Is(err, syscall.ECONNREFUSED) {
+		return probe.Gone
+	}
+	return probe.Unreachable
+}
+
+// isAlive reports whether a server answered a request for its report. Plain servers
+// answer that they have none.
+func isAlive(err error) bool {
+	var noReport *call.NoReportError
+	return err == nil || errors.As(err, &noReport)
+}
