--- a/entry/prog/admit.go
+++ b/entry/prog/admit.go
@@ -8,12 +8,13 @@
 	"fuchsiashelf.dev/parts/view"
 )
 
-// admission makes the part that holds requests back when their pool is full,
-// and lets it tell the other entry hosts what each team uses here.
-func (d *daemon) admission(holder *view.Publisher, line *trace.Recorder, peers *mesh.Mesh) *edge.Admission {
+// newAdmission creates the admission control, which queues requests while their
+// pool is full, and connects it to the entry hosts that share the usage of each
+// team.
+func (d *daemon) newAdmission(publisher *view.Publisher, recorder *trace.Recorder, peers *mesh.Mesh) *edge.Admission {
 	s := &d.settings.Admit
 	a := &edge.Admission{
-		View: holder, Trace: line, TargetWait: s.TargetWait,
+		View: publisher, Trace: recorder, TargetWait: s.TargetWait,
 		Limits:      admit.Limits{MaxWait: s.MaxWait, MaxRequests: s.MaxRequests, MaxBytes: s.MaxBytes, Headroom: s.Reserve, MaxCredit: s.Credit},
 		RemoteUsage: peers.TeamRates,
 	}
--- a/entry/prog/calls.go
+++ b/entry/prog/calls.go
@@ -14,11 +14,11 @@
 	"fuchsiashelf.dev/parts/view"
 )
 
-// calls makes the parts that hand calls through to plain services.
-func (d *daemon) calls(holder *view.Publisher, line *trace.Recorder, api store.API, peers *mesh.Mesh) *invoke.Forwarder {
-	others := &owner.Client{View: holder, Secret: d.settings.PeerSecret, Client: peers.Client}
+// newForwarder creates the components that forward calls to plain services.
+func (d *daemon) newForwarder(publisher *view.Publisher, recorder *trace.Recorder, api store.API, peers *mesh.Mesh) *invoke.Forwarder {
+	owners := &owner.Client{View: publisher, Secret: d.settings.PeerSecret, Client: peers.Client}
 	p := &invoke.Forwarder{
-		View: holder, Trace: line, Log: d.log,
+		View: publisher, Trace: recorder, Log: d.log,
 		Claims: &claim.Writer{
 			Store: api, Log: d.log, Writes: d.settings.Claims.WriteRate, Done: make(chan struct{}),
 		},
@@ -26,10 +26,10 @@
 		Holder:     claim.Holder{Entry: d.settings.Name, Incarnation: rand.Uint64()},
 		Started:    time.Now(),
 		Signer:     ticket.Signer{Secret: d.settings.PeerSecret},
-		Peers:      others,
+		Peers:      owners,
 		Done:       make(chan struct{}),
 	}
-	others.Pass = p
-	peers.Calls = others
+	owners.Pass = p
+	peers.Calls = owners
 	return p
 }
--- a/entry/prog/guard.go
+++ b/entry/prog/guard.go
@@ -8,9 +8,10 @@
 	"fuchsiashelf.dev/parts/view"
 )
 
-// guard makes the part that stops requests which crash backend servers.
-func (d *daemon) guard(holder *view.Publisher, line *trace.Recorder, peers *mesh.Mesh) *crash.Guard {
-	g := &crash.Guard{View: holder, Mesh: peers, Engine: &engine.Client{}, Trace: line, Log: d.log}
-	peers.HandlePoison = g.HandlePoison
-	return g
+// newGuard creates the component that blocks requests which crash backend
+// servers.
+func (d *daemon) newGuard(publisher *view.Publisher, recorder *trace.Recorder, peers *mesh.Mesh) *crash.Guard {
+	guard := &crash.Guard{View: publisher, Mesh: peers, Engine: &engine.Client{}, Trace: recorder, Log: d.log}
+	peers.HandlePoison = guard.HandlePoison
+	return guard
 }
--- a/entry/prog/mesh.go
+++ b/entry/prog/mesh.go
@@ -9,23 +9,23 @@
 	"fuchsiashelf.dev/parts/view"
 )
 
-// mesh makes the part that joins this entry host to the others.
-func (d *daemon) mesh(holder *view.Publisher, line *trace.Recorder, feeder *watch.Watcher) (*mesh.Mesh, error) {
+// newMesh creates the connections to the other entry hosts.
+func (d *daemon) newMesh(publisher *view.Publisher, recorder *trace.Recorder, watcher *watch.Watcher) (*mesh.Mesh, error) {
 	config, err := d.settings.Certs.Client()
 	if err != nil {
 		return nil, err
 	}
 	m := &mesh.Mesh{
-		View: holder, Trace: line, Log: d.log, Secret: d.settings.PeerSecret, TLS: config,
+		View: publisher, Trace: recorder, Log: d.log, Secret: d.settings.PeerSecret, TLS: config,
 		Address: d.peers.Addr().String(), Domain: d.settings.LocalDomain(),
-		Offer: func(value []byte, _ uint64) { feeder.ApplyEncoded(value) },
-		Local: mesh.LocalState{StoreSilence: feeder.Staleness, StoreSeen: feeder.EverConnected, Synced: feeder.HasSynced, Apply: feeder.ApplyEncoded},
+		Offer: func(value []byte, _ uint64) { watcher.ApplyEncoded(value) },
+		Local: mesh.LocalState{StoreSilence: watcher.Staleness, StoreSeen: watcher.EverConnected, Synced: watcher.HasSynced, Apply: watcher.ApplyEncoded},
 	}
 	if d.settings.Seeds != "" {
 		m.Seeds = strings.Split(d.settings.Seeds, ",")
-		feeder.Seeds = m.Seeds
+		watcher.Seeds = m.Seeds
 	}
 	m.Init()
-	feeder.Peers = m
+	watcher.Peers = m
 	return m, nil
 }
--- /dev/null
+++ b/entry/prog/modelpath.go
@@ -0,0 +1,59 @@
+package prog
+
+import (
+	"github.com/panjf2000/ants/v2"
+
+	"fuchsiashelf.dev/entry/internal/poll"
+	"fuchsiashelf.dev/entry/internal/relay"
+	"fuchsiashelf.dev/parts/engine"
+	"fuchsiashelf.dev/parts/pick"
+	"fuchsiashelf.dev/parts/trace"
+	"fuchsiashelf.dev/parts/view"
+)
+
+// Sizes of the goroutine pools. Probes are short and come in bursts, when a
+// server with many streams freezes; polls are rate limited.
+const (
+	probeWorkers = 256
+	pollWorkers  = 32
+)
+
+// modelPath holds the components that forward model requests.
+type modelPath struct {
+	forwarder           *relay.Forwarder
+	poller              *poll.Poller
+	probePool, pollPool *ants.Pool
+}
+
+// newModelPath creates the components that forward model requests.
+func (d *daemon) newModelPath(publisher *view.Publisher, recorder *trace.Recorder) (*modelPath, error) {
+	policy, err := pick.ParsePolicy(d.settings.Policy)
+	if err != nil {
+		return nil, err
+	}
+	probePool, err := ants.NewPool(probeWorkers, ants.WithNonblocking(true))
+	if err != nil {
+		return nil, err
+	}
+	pollPool, err := ants.NewPool(pollWorkers)
+	if err != nil {
+		return nil, err
+	}
+	client := &engine.Client{}
+	return &modelPath{
+		forwarder: &relay.Forwarder{
+			View: publisher, Engine: client, Trace: recorder, Log: d.log, Policy: policy, ProbePool: probePool,
+		},
+		poller: &poll.Poller{
+			View: publisher, Engine: client, Trace: recorder, Log: d.log, Workers: pollPool,
+			Interval: d.settings.Poll, MaxRate: d.settings.PollRate, Done: make(chan struct{}),
+		},
+		probePool: probePool, pollPool: pollPool,
+	}, nil
+}
+
+// release stops the goroutine pools.
+func (p *modelPath) release() {
+	p.probePool.Release()
+	p.pollPool.Release()
+}
--- a/entry/prog/order.go
+++ b/entry/prog/order.go
@@ -8,10 +8,10 @@
 	"fuchsiashelf.dev/parts/view"
 )
 
-// orders makes the part that gives engines their orders.
-func (d *daemon) orders(holder *view.Publisher, line *trace.Recorder, api store.API) *order.Controller {
+// newOrderController creates the component that sends orders to engines.
+func (d *daemon) newOrderController(publisher *view.Publisher, recorder *trace.Recorder, api store.API) *order.Controller {
 	return &order.Controller{
-		View: holder, Store: api, Engine: &engine.Client{}, Trace: line, Log: d.log,
+		View: publisher, Store: api, Engine: &engine.Client{}, Trace: recorder, Log: d.log,
 		Term: d.settings.OrderTerm,
 	}
 }
--- a/entry/prog/prog.go
+++ b/entry/prog/prog.go
@@ -1,4 +1,4 @@
-// Package prog is the program fsentry: the router on each entry host.
+// Package prog implements the command fsentry, the router of an entry host.
 package prog
 
 import (
@@ -41,18 +41,19 @@
 	d := &daemon{settings: settings, stdout: stdout}
 	d.log = slog.New(slog.NewTextHandler(stderr, nil)).With("entry", settings.Name)
 	if err := d.run(ctx); err != nil {
-		d.log.Error("prog: stopped", "err", err)
+		d.log.Error("prog: failed", "err", err)
 		return boot.ExitFailed
 	}
 	return 0
 }
 
-// watchWait is how long one watch of the object API waits. It bounds how late
-// an entry host notices a watch that was cut without a sign, or a store that
-// went back; at 320 entry hosts two watches each are 128 calls a second.
-const watchWait = 5 * time.Second
+// watchTimeout is the timeout of one watch of the object API. It bounds how
+// late an entry host notices a watch that was cut off silently, or a store that
+// went back to an older state. At 320 entry hosts with two watches each, it
+// causes 128 calls a second.
+const watchTimeout = 5 * time.Second
 
-// daemon is one running entry host.
+// daemon is a running entry host.
 type daemon struct {
 	settings *setup.Settings
 	stdout   io.Writer
@@ -62,6 +63,7 @@
 	callers, peers, desk, ops net.Listener
 }
 
+// listen opens the listeners.
 func (d *daemon) listen() error {
 	for _, l := range []struct {
 		flag, address string
@@ -78,89 +80,92 @@
 		}
 		*l.into = listener
 	}
-	return d.secure()
+	return d.enableTLS()
 }
 
-// run starts the parts and, when the context ends, stops them in order: no
-// new callers, requests in flight to their end, then the rest.
+// run runs the components. When the context ends, it stops accepting callers,
+// waits for active requests, and then stops the components.
 func (d *daemon) run(ctx context.Context) error {
 	if err := d.listen(); err != nil {
 		return err
 	}
-	holder := view.New(d.settings.Name, d.settings.LocalDomain())
-	line := &trace.Recorder{Process: d.settings.Name}
-	api := &store.Client{Address: d.settings.Store, Entry: d.settings.Name, Wait: watchWait}
-	feeder, peers, desk, err := d.deskParts(holder, line, api)
+	publisher := view.New(d.settings.Name, d.settings.LocalDomain())
+	recorder := &trace.Recorder{Process: d.settings.Name}
+	api := &store.Client{Address: d.settings.Store, Entry: d.settings.Name, Wait: watchTimeout}
+	watcher, peers, adminServer, err := d.newAdmin(publisher, recorder, api)
 	if err != nil {
 		return err
 	}
-	defer desk.Workers.Release()
-	path, err := d.path(holder, line)
+	defer adminServer.Workers.Release()
+	models, err := d.newModelPath(publisher, recorder)
 	if err != nil {
 		return err
 	}
-	defer path.release()
-	path.relay.Guard = d.guard(holder, line, peers)
-	calls := d.calls(holder, line, api, peers)
-	door := &edge.Handler{
-		View:  holder,
-		Relay: path.relay,
-		Pass:  calls, Admission: d.admission(holder, line, peers),
-		Trace: line, Log: d.log, MaxBody: d.settings.MaxBody,
-		Ready: d.ready(feeder),
+	defer models.release()
+	models.forwarder.Guard = d.newGuard(publisher, recorder, peers)
+	calls := d.newForwarder(publisher, recorder, api, peers)
+	handler := &edge.Handler{
+		View:  publisher,
+		Relay: models.forwarder,
+		Pass:  calls, Admission: d.newAdmission(publisher, recorder, peers),
+		Trace: recorder, Log: d.log, MaxBody: d.settings.MaxBody,
+		Ready: d.readyFunc(watcher),
 	}
-	peers.Local.Ready = door.Ready
-	inner, stopInner := context.WithCancel(context.Background())
-	defer stopInner()
-	var parts sync.WaitGroup
-	start := func(what string, run func(context.Context) error) {
-		parts.Go(func() {
-			if err := run(inner); err != nil && inner.Err() == nil {
-				d.log.Error("prog: part failed", "part", what, "err", err)
+	peers.Local.Ready = handler.Ready
+	runCtx, stopRun := context.WithCancel(context.Background())
+	defer stopRun()
+	var components sync.WaitGroup
+	start := func(name string, run func(context.Context) error) {
+		components.Go(func() {
+			if err := run(runCtx); err != nil && runCtx.Err() == nil {
+				d.log.Error("prog: component failed", "part", name, "err", err)
 			}
 		})
 	}
-	start("watch", func(ctx context.Context) error { feeder.Run(ctx); return nil })
-	start("poll", func(ctx context.Context) error { path.poll.Run(ctx); return nil })
+	start("watch", func(ctx context.Context) error { watcher.Run(ctx); return nil })
+	start("poll", func(ctx context.Context) error { models.poller.Run(ctx); return nil })
 	start("mesh", func(ctx context.Context) error { return peers.Run(ctx, d.peers) })
-	start("seat", func(ctx context.Context) error { return desk.Run(ctx, d.desk) })
+	start("seat", func(ctx context.Context) error { return adminServer.Run(ctx, d.desk) })
 	start("claims", calls.Claims.Run)
 	start("calls", calls.Run)
-	start("order", d.orders(holder, line, api).Run)
-	start("ops", func(ctx context.Context) error { return d.serveOps(ctx, door) })
+	start("order", d.newOrderController(publisher, recorder, api).Run)
+	start("ops", func(ctx context.Context) error { return d.serveOps(ctx, handler) })
 	fmt.Fprintf(d.stdout, "ready callers=%s peers=%s desk=%s ops=%s\n",
 		d.callers.Addr(), d.peers.Addr(), d.desk.Addr(), d.ops.Addr())
-	err = d.serveCallers(ctx, door)
-	stopInner()
-	parts.Wait()
+	err = d.serveCallers(ctx, handler)
+	stopRun()
+	components.Wait()
 	return err
 }
 
-func (d *daemon) serveCallers(ctx context.Context, door *edge.Handler) error {
-	front := &httpd.Server{
-		Listener: d.callers, MaxBody: d.settings.MaxBody, TooLarge: door.RejectTooLarge,
-		DrainDelay: d.settings.Linger, Draining: door.RejectDraining,
+// serveCallers serves callers until the context ends, and then waits for active
+// requests, at most for the grace period.
+func (d *daemon) serveCallers(ctx context.Context, handler *edge.Handler) error {
+	server := &httpd.Server{
+		Listener: d.callers, MaxBody: d.settings.MaxBody, TooLarge: handler.RejectTooLarge,
+		DrainDelay: d.settings.Linger, Draining: handler.RejectDraining,
 	}
-	front.Init()
-	door.RegisterRoutes(front.Hertz)
+	server.Init()
+	handler.RegisterRoutes(server.Hertz)
 	go func() {
 		<-ctx.Done()
 		d.stopping.Store(true)
 		d.log.Info("prog: stopping")
 	}()
-	return front.Run(ctx, d.settings.Grace)
+	return server.Run(ctx, d.settings.Grace)
 }
 
-// opsGrace is how long the metrics page waits for its readers at a stop.
-const opsGrace = 200 * time.Millisecond
+// opsShutdownTimeout bounds how long a stop waits for active metrics requests.
+const opsShutdownTimeout = 200 * time.Millisecond
 
-func (d *daemon) serveOps(ctx context.Context, door *edge.Handler) error {
-	page := &httpd.Server{Listener: d.ops}
-	page.Init()
-	door.RegisterHealth(page.Hertz)
-	page.Hertz.GET("/metrics", func(_ context.Context, c *app.RequestContext) {
+// serveOps serves health checks and metrics.
+func (d *daemon) serveOps(ctx context.Context, handler *edge.Handler) error {
+	server := &httpd.Server{Listener: d.ops}
+	server.Init()
+	handler.RegisterHealth(server.Hertz)
+	server.Hertz.GET("/metrics", func(_ context.Context, c *app.RequestContext) {
 		c.Header("Content-Type", "application/json")
 		metrics.WriteJSONOnce(metrics.DefaultRegistry, c)
 	})
-	return page.Run(ctx, opsGrace)
+	return server.Run(ctx, opsShutdownTimeout)
 }
--- a/entry/prog/secure.go
+++ b/entry/prog/tls.go
@@ -7,8 +7,9 @@
 	"fuchsiashelf.dev/parts/certs"
 )
 
-// secure puts TLS on the listeners of peers and operators, if it is set.
-func (d *daemon) secure() error {
+// enableTLS wraps the listeners for peers and operators in TLS if certificates
+// are configured.
+func (d *daemon) enableTLS() error {
 	for _, l := range []struct {
 		from     certs.Role
 		listener *net.Listener
