--- a/entry/call/call.go
+++ b/entry/call/call.go
@@ -120,9 +120,9 @@
 	Busy bool
 	// First and End bound the range of layers that it holds, [First, End).
 	First, End int
-	// Slowness is how many times as long as usual its work takes; zero if it did not
+	// SlowdownFactor is how many times as long as usual its work takes; zero if it did not
 	// say.
-	Slowness float64
+	SlowdownFactor float64
 	// Stalled holds the requests of which it is the first server, and that wait for
 	// another one.
 	Stalled []Stalled
--- a/entry/front/front.go
+++ b/entry/front/front.go
@@ -36,8 +36,8 @@
 	Streams, Plain Forwarder
 	Log            *slog.Logger
 	Meter          *Meter
-	// Tally counts the crashes of servers per request.
-	Tally *poison.Counter
+	// Crashes counts the crashes of servers per request.
+	Crashes *poison.Counter
 	// CloseConns is set when the process is about to stop: connections are closed
 	// after their responses.
 	CloseConns atomic.Bool
@@ -83,7 +83,7 @@
 	}
 	out := forwarder.Serve(r.Context(), w, j)
 	if out.Error == nil && !out.Truncated {
-		h.Tally.RecordSuccess(j.Fingerprint, time.Now())
+		h.Crashes.RecordSuccess(j.Fingerprint, time.Now())
 	}
 	h.record(j, r, out, start)
 	if out.Truncated {
@@ -133,7 +133,7 @@
 		return j, err
 	}
 	j.Fingerprint = poison.NewFingerprint(j.Team, req.Method, req.Host, req.Target, string(req.Body))
-	if h.Tally.Blocked(j.Fingerprint, start) {
+	if h.Crashes.Blocked(j.Fingerprint, start) {
 		return j, &fault.Error{Code: fault.ServerFailed, Verdict: fault.MayHaveRun, Message: "each server that ran the request died"}
 	}
 	return j, nil
--- a/entry/gossip/gossip.go
+++ b/entry/gossip/gossip.go
@@ -60,11 +60,11 @@
 	// Seeds are the addresses of the first exchanges; they may be out of date.
 	Seeds   []string
 	Mirrors []*mirror.Mirror
-	Ledger  *router.LoadTracker
-	// Starts holds how long requests wait at the first servers of chains.
-	Starts *router.StartLatency
-	Tally  *poison.Counter
-	Log    *slog.Logger
+	Load    *router.LoadTracker
+	// StartLatency holds how long requests wait at the first servers of chains.
+	StartLatency *router.StartLatency
+	Crashes      *poison.Counter
+	Log          *slog.Logger
 	// Suspects returns the suspected servers; OnSuspect handles those of other hosts.
 	Suspects  func() []Suspect
 	OnSuspect func(Suspect)
--- a/entry/gossip/gossip_test.go
+++ b/entry/gossip/gossip_test.go
@@ -20,7 +20,7 @@
 	name := fmt.Sprintf("entry-%03d", n)
 	return &gossip.Peer{
 		Self: gossip.Member{Name: name, Address: name + ":1", Domain: domain.Name(fmt.Sprint(n % 5)), Boot: 1}, Mirrors: mirrors,
-		Ledger: &router.LoadTracker{}, Starts: &router.StartLatency{}, Tally: &poison.Counter{}, Log: slog.New(slog.DiscardHandler),
+		Load: &router.LoadTracker{}, StartLatency: &router.StartLatency{}, Crashes: &poison.Counter{}, Log: slog.New(slog.DiscardHandler),
 		Suspects: func() []gossip.Suspect { return nil }, OnSuspect: func(gossip.Suspect) {},
 		SlowServers: func() []gossip.SlowServer { return nil }, OnSlow: func(gossip.SlowServer) {},
 		Assignments: func() []gossip.Assignment { return nil }, OnAssignment: func(gossip.Assignment) {},
--- a/entry/gossip/leader_test.go
+++ b/entry/gossip/leader_test.go
@@ -19,8 +19,8 @@
 func newPeer(n int) *Peer {
 	name := fmt.Sprintf("entry-%03d", n)
 	return &Peer{
-		Self:   Member{Name: name, Address: name, Domain: domain.Name(fmt.Sprint(n % 5)), Boot: 1},
-		Ledger: &router.LoadTracker{}, Starts: &router.StartLatency{}, Tally: &poison.Counter{}, Log: slog.New(slog.DiscardHandler),
+		Self: Member{Name: name, Address: name, Domain: domain.Name(fmt.Sprint(n % 5)), Boot: 1},
+		Load: &router.LoadTracker{}, StartLatency: &router.StartLatency{}, Crashes: &poison.Counter{}, Log: slog.New(slog.DiscardHandler),
 		Suspects: func() []Suspect { return nil }, OnSuspect: func(Suspect) {},
 		SlowServers: func() []SlowServer { return nil }, OnSlow: func(SlowServer) {},
 		Assignments: func() []Assignment { return nil }, OnAssignment: func(Assignment) {},
--- a/entry/gossip/member.go
+++ b/entry/gossip/member.go
@@ -42,7 +42,7 @@
 		c.close()
 		delete(p.clients, address)
 	}
-	p.Ledger.SetRemote(name, nil)
+	p.Load.SetRemote(name, nil)
 	p.Log.Info("peers: removed", "peer", name, "address", address)
 }
 
@@ -123,7 +123,7 @@
 		return
 	}
 	if m.Leaving && !known.Leaving {
-		p.Ledger.SetRemote(m.Name, nil)
+		p.Load.SetRemote(m.Name, nil)
 	}
 	known.Member = m
 	known.lastHeard = lastHeard
--- a/entry/gossip/message.go
+++ b/entry/gossip/message.go
@@ -62,8 +62,8 @@
 func (p *Peer) message(cursors map[string]uint64) *Message {
 	m := &Message{
 		From: p.self(), Cursors: map[string]uint64{}, Members: p.sample(),
-		Load: p.Ledger.Local(), Waits: p.Starts.Waits(time.Now()), Full: p.Ledger.Saturated(time.Now()),
-		Suspects: p.Suspects(), Slows: p.SlowServers(), Orders: p.Assignments(), Marks: p.Tally.Suspects(time.Now()),
+		Load: p.Load.Local(), Waits: p.StartLatency.Waits(time.Now()), Full: p.Load.Saturated(time.Now()),
+		Suspects: p.Suspects(), Slows: p.SlowServers(), Orders: p.Assignments(), Marks: p.Crashes.Suspects(time.Now()),
 	}
 	for _, local := range p.Mirrors {
 		m.Cursors[local.Kind] = local.Cursor()
@@ -152,11 +152,11 @@
 	p.init()
 	p.mergeMembers(m)
 	if m.From.Name != p.Self.Name {
-		p.Ledger.SetRemote(m.From.Name, m.Load)
+		p.Load.SetRemote(m.From.Name, m.Load)
 	}
-	p.Starts.Merge(m.Waits, time.Now())
+	p.StartLatency.Merge(m.Waits, time.Now())
 	for id, left := range m.Full {
-		p.Ledger.RecordRemoteRefusal(id, left, time.Now())
+		p.Load.RecordRemoteRefusal(id, left, time.Now())
 	}
 	for _, s := range m.Suspects {
 		p.OnSuspect(s)
@@ -168,7 +168,7 @@
 		p.OnAssignment(a)
 	}
 	for _, suspect := range m.Marks {
-		p.Tally.Merge(suspect, time.Now())
+		p.Crashes.Merge(suspect, time.Now())
 	}
 	for _, batch := range m.Changes {
 		p.mergeChanges(batch, m.Whole[batch.Kind], m.From.Name)
--- a/entry/placer/placer.go
+++ b/entry/placer/placer.go
@@ -67,7 +67,7 @@
 type Placer struct {
 	State  *state.Local
 	Engine call.EngineClient
-	Ledger *router.LoadTracker
+	Load   *router.LoadTracker
 	// Broadcast sends a new assignment to other entry hosts.
 	Broadcast func()
 	// IsLeader reports whether this entry host is the one that places layers.
@@ -205,7 +205,7 @@
 		Stable:      func(dom domain.Name) bool { return !moving[dom] && now.Sub(p.lastChange[dom]) >= domainCalmTime },
 		Idle:        p.idle,
 		JustStarted: func(id string) bool { return now.Sub(p.firstSeen[id]) < newServerTime },
-		Reserved:    func(id string) float64 { return p.Ledger.Used(id).TokenLayers },
+		Reserved:    func(id string) float64 { return p.Load.Used(id).TokenLayers },
 	}
 	for _, a := range place.Plan(engine, expected, conditions) {
 		if now.Sub(p.lastReturn[a.Server.Domain]) < returnHoldOff {
@@ -218,7 +218,7 @@
 
 // idle reports whether few requests use a server.
 func (p *Placer) idle(id string) bool {
-	return p.Ledger.Used(id).Requests <= maxIdleRequests
+	return p.Load.Used(id).Requests <= maxIdleRequests
 }
 
 // maxIdleRequests is the number of requests up to which a server counts as idle.
--- a/entry/placer/placer_test.go
+++ b/entry/placer/placer_test.go
@@ -71,7 +71,7 @@
 	state.ReadServers(time.Now())
 	engines := fakeEngines{servers, make(chan [2]int, 16)}
 	p := &placer.Placer{
-		State: state, Engine: engines, Ledger: &router.LoadTracker{}, Broadcast: func() {}, IsLeader: func() bool { return true }, Log: log, Interval: time.Hour,
+		State: state, Engine: engines, Load: &router.LoadTracker{}, Broadcast: func() {}, IsLeader: func() bool { return true }, Log: log, Interval: time.Hour,
 	}
 	ctx, cancel := context.WithCancel(t.Context())
 	done := make(chan struct{})
--- a/entry/stream/active_test.go
+++ b/entry/stream/active_test.go
@@ -17,7 +17,7 @@
 // request would be refused.
 func TestEndedStreamReservesNothing(t *testing.T) {
 	ledger := &router.LoadTracker{}
-	m := &Monitor{Ledger: ledger}
+	m := &Monitor{Load: ledger}
 	chain := router.Chain{{Server: &fleet.Server{ID: "i-1"}, First: 0, End: 4}}
 	j := &call.Job{Request: &call.Request{PromptTokens: 10, TokensHint: 5}, Route: testRoute, Service: &route.Service{Engine: &route.Engine{}}}
 	_, cancel := context.WithCancelCause(context.Background())
--- a/entry/stream/choose.go
+++ b/entry/stream/choose.go
@@ -20,7 +20,7 @@
 // startDelay returns the cost, in seconds, of starting a chain at a server where
 // requests wait or fail.
 func (f *Forwarder) startDelay(job *call.Job, id string) float64 {
-	return router.StartCost(f.Monitor.Starts.Wait(id, time.Now()), firstEventTarget(job.Route)) + f.Failures.ExpectedDelay(id)
+	return router.StartCost(f.Monitor.StartLatency.Wait(id, time.Now()), firstEventTarget(job.Route)) + f.Failures.ExpectedDelay(id)
 }
 
 // chooseChain returns a chain for the next attempt. A request for which there is no
--- a/entry/stream/failure.go
+++ b/entry/stream/failure.go
@@ -32,7 +32,7 @@
 	server := ""
 	if s := r.State.View().ByAddress(address); s != nil {
 		server = s.ID
-		if r.Ledger.RecordRefusal(s.ID, time.Now()) {
+		if r.Load.RecordRefusal(s.ID, time.Now()) {
 			r.Monitor.Broadcast()
 		}
 	}
--- a/entry/stream/forwarder.go
+++ b/entry/stream/forwarder.go
@@ -48,7 +48,7 @@
 	Codec   call.Codec
 	Pool    *conns.Pool
 	State   *state.Local
-	Ledger  *router.LoadTracker
+	Load    *router.LoadTracker
 	Monitor *Monitor
 	Queue   *prio.Queue
 	// Failures holds the failure rates of servers.
@@ -111,8 +111,8 @@
 	defer cancel(nil)
 	stream := r.Monitor.add(r.job, chain, cancel, r.restartReservation(first))
 	defer r.Monitor.remove(stream)
-	pending := r.Monitor.Starts.Track(first.ID, notableWait(r.job.Route), time.Now())
-	defer r.Monitor.Starts.Untrack(pending)
+	pending := r.Monitor.StartLatency.Track(first.ID, notableWait(r.job.Route), time.Now())
+	defer r.Monitor.StartLatency.Untrack(pending)
 	var reply call.Reply
 	options := conns.Options{MaxIdle: maxIdleReuse, Inspect: func(resp *http.Response) conns.ResponseInfo {
 		reply = r.Codec.ParseReply(resp)
@@ -160,8 +160,8 @@
 		n, err := resp.Read(buffer)
 		if n > 0 {
 			if stream.recordEvent() {
-				r.Monitor.Starts.RecordFirstEvent(pending, time.Now())
-				r.Ledger.RecordAccepted(stream.currentChain())
+				r.Monitor.StartLatency.RecordFirstEvent(pending, time.Now())
+				r.Load.RecordAccepted(stream.currentChain())
 			}
 			if whole := r.events.add(buffer[:n]); len(whole) > 0 {
 				if e := r.sendEvents(whole, controller); e != nil {
--- a/entry/stream/monitor.go
+++ b/entry/stream/monitor.go
@@ -71,11 +71,11 @@
 type Monitor struct {
 	Engine call.EngineClient
 	State  *state.Local
-	Ledger *router.LoadTracker
-	// Starts holds how long requests wait for their first event at a server.
-	Starts      *router.StartLatency
-	LocalDomain domain.Name
-	Log         *slog.Logger
+	Load   *router.LoadTracker
+	// StartLatency holds how long requests wait for their first event at a server.
+	StartLatency *router.StartLatency
+	LocalDomain  domain.Name
+	Log          *slog.Logger
 	// Crashes counts the servers that died under each request.
 	Crashes *poison.Counter
 	// Broadcast sends a new suspicion or a long wait to other entry hosts.
@@ -110,7 +110,7 @@
 }
 
 func (m *Monitor) add(job *call.Job, chain router.Chain, cancel context.CancelCauseFunc, reserveRestart func() bool) *activeStream {
-	stream := &activeStream{job: job, chain: chain, cancel: cancel, reserveRestart: reserveRestart, releaseChain: m.Ledger.Reserve(chain, totalTokens(job))}
+	stream := &activeStream{job: job, chain: chain, cancel: cancel, reserveRestart: reserveRestart, releaseChain: m.Load.Reserve(chain, totalTokens(job))}
 	stream.lastActivity.Store(time.Now().UnixNano())
 	m.mu.Lock()
 	defer m.mu.Unlock()
@@ -150,8 +150,8 @@
 			now := time.Now()
 			m.sweep(ctx, now)
 			m.drainStreams(now)
-			if m.Starts.ShouldBroadcast(now) {
-				m.Log.Info("watch: requests wait for their first event", "waits", m.Starts.Waits(now))
+			if m.StartLatency.ShouldBroadcast(now) {
+				m.Log.Info("watch: requests wait for their first event", "waits", m.StartLatency.Waits(now))
 				m.Broadcast()
 			}
 		}
@@ -260,7 +260,7 @@
 		m.evacuate(address, probe.Gone)
 		return
 	}
-	if m.State.RecordSlowness(s.ID, report.Slowness, now) {
+	if m.State.RecordSlowness(s.ID, report.SlowdownFactor, now) {
 		m.Broadcast()
 	}
 	m.rerouteStalled(address, report.Stalled)
--- a/entry/stream/monitor_test.go
+++ b/entry/stream/monitor_test.go
@@ -109,7 +109,7 @@
 	s := &state.Local{Decoder: servers, Log: log, LocalDomain: "a", Servers: serverMirror}
 	s.ReadServers(time.Now())
 	return &Monitor{
-		Engine: engines, State: s, Ledger: &router.LoadTracker{}, Starts: &router.StartLatency{}, LocalDomain: "a", Log: log, Crashes: &poison.Counter{},
+		Engine: engines, State: s, Load: &router.LoadTracker{}, StartLatency: &router.StartLatency{}, LocalDomain: "a", Log: log, Crashes: &poison.Counter{},
 		Broadcast: func() {}, EntryHosts: func() int { return 1 }, DropConns: func(string) {},
 	}, servers
 }
@@ -242,12 +242,12 @@
 		m.addStream(servers, fmt.Sprintf("r%d", i), silentTimeout(testRoute)+time.Millisecond)
 	}
 	m.evacuate("middle", probe.Gone)
-	waitFor(t, func() bool { return m.Ledger.Used("middle").Requests == 0 })
+	waitFor(t, func() bool { return m.Load.Used("middle").Requests == 0 })
 	close(e.block)
 	for range streams {
 		<-e.ordered
 	}
-	first, second := m.Ledger.Used("other-0").Requests, m.Ledger.Used("other-1").Requests
+	first, second := m.Load.Used("other-0").Requests, m.Load.Used("other-1").Requests
 	qt.Assert(t, first >= 2 && second >= 2, qt.IsTrue, qt.Commentf("%v and %v", first, second))
 }
 
--- a/entry/stream/reroute.go
+++ b/entry/stream/reroute.go
@@ -90,12 +90,12 @@
 		}
 		// The chain is reserved before it is ordered: many streams leave a dead
 		// server at the same moment, and would all choose the same alternative.
-		stream.switchChain(m.Ledger, next)
+		stream.switchChain(m.Load, next)
 		result, refusedBy := m.orderReroute(stream, next)
 		if result == call.OrderStarted {
 			return true
 		}
-		stream.switchChain(m.Ledger, chain)
+		stream.switchChain(m.Load, chain)
 		if result != call.OrderConflict || refusedBy == "" {
 			// The first server does not answer, or does not know the request.
 			return false
@@ -160,7 +160,7 @@
 func (m *Monitor) chainQuery(job *call.Job) *router.Query {
 	return &router.Query{
 		Engine: job.Service.Engine, Servers: m.State.View().Service(job.Service.Name), LocalDomain: m.LocalDomain,
-		Prompt: job.PromptTokens, Answer: job.ExpectedTokens(job.Service.Engine), Used: m.Ledger.Used, Partitioned: m.State.Unreachable,
+		Prompt: job.PromptTokens, Answer: job.ExpectedTokens(job.Service.Engine), Used: m.Load.Used, Partitioned: m.State.Unreachable,
 	}
 }
 
--- a/entry/stream/reroute_test.go
+++ b/entry/stream/reroute_test.go
@@ -105,7 +105,7 @@
 func TestFullQueueDoesNotRefuseUsableRoom(t *testing.T) {
 	m, servers := newMonitor(&fakeEngines{}, 1)
 	job := m.addStream(servers, "other", 0).job
-	f := &Forwarder{State: m.State, Ledger: m.Ledger, Monitor: m, Queue: &prio.Queue{}, Failures: &Failures{}, LocalDomain: "a"}
+	f := &Forwarder{State: m.State, Load: m.Load, Monitor: m, Queue: &prio.Queue{}, Failures: &Failures{}, LocalDomain: "a"}
 	for {
 		if waiter, _ := f.Queue.Enqueue(0, time.Second); waiter == nil {
 			break
@@ -115,7 +115,7 @@
 	chain, e := r.chooseChain(t.Context())
 	qt.Assert(t, e == nil, qt.IsTrue, qt.Commentf("%v", e))
 	qt.Assert(t, chain.Complete(testLayers), qt.IsTrue)
-	m.Ledger.SetRemote("full", map[string]router.Usage{"middle": {TokenLayers: 1e12, Requests: 1}, "other-0": {TokenLayers: 1e12, Requests: 1}})
+	m.Load.SetRemote("full", map[string]router.Usage{"middle": {TokenLayers: 1e12, Requests: 1}, "other-0": {TokenLayers: 1e12, Requests: 1}})
 	_, e = r.chooseChain(t.Context())
 	qt.Assert(t, e, qt.IsNotNil)
 	qt.Assert(t, e.Code, qt.Equals, fault.Overloaded)
--- a/entry/unary/unary.go
+++ b/entry/unary/unary.go
@@ -58,8 +58,8 @@
 	LocalDomain domain.Name
 	// Probe probes a server that failed during a request.
 	Probe func(j *call.Job, address, reason string)
-	// Budget returns the retry budget of a service.
-	Budget func(service string) *retry.WindowBudget
+	// RetryBudget returns the retry budget of a service.
+	RetryBudget func(service string) *retry.WindowBudget
 }
 
 // attempt is the outcome of sending a request to one server.
@@ -77,7 +77,7 @@
 // Serve forwards a request and writes the response to the caller.
 func (f *Forwarder) Serve(ctx context.Context, w http.ResponseWriter, j *call.Job) call.Outcome {
 	out := call.Outcome{}
-	budget := f.Budget(j.Service.Name)
+	budget := f.RetryBudget(j.Service.Name)
 	budget.Record(time.Now())
 	ctx, cancel := context.WithDeadlineCause(ctx, j.Deadline, context.DeadlineExceeded)
 	defer cancel()
