--- a/parts/probe/probe.go
+++ b/parts/probe/probe.go
@@ -1,15 +1,17 @@
-// Package probe decides which backend servers are asked whether they live when
-// streams fall silent, and what follows from their answers.
+// Package probe schedules probes of the backend servers of silent streams and
+// interprets the results.
 //
-// A stream passes through several servers, and a dead one shows by silence only.
-// The first server reports which server it waits for, but its reports are too
-// old. So the servers of a silent stream are probed as soon as the pause is longer
-// than usual: a process that is gone refuses the connection, one that is cut off
-// or frozen does not answer a short probe. Servers with the largest share of
-// silent streams are probed first.
+// A stream passes through several servers, and a dead one shows only as
+// silence. The first server of the chain reports which server it waits for, but
+// these reports are too old to act on. So the servers of a silent stream are
+// probed as soon as the gap is longer than usual: a process that has ended
+// refuses the connection, and a server that is cut off or frozen does not
+// answer within a short timeout. The servers with the largest share of silent
+// streams are probed first.
 //
-// A single stream must be silent for several of its usual pauses. All streams of
-// a server being silent at the same time is a much earlier sign.
+// A single stream counts as silent only after several of its typical gaps. That
+// all streams of a server are silent at the same time shows a failure much
+// earlier.
 //
 // A [Scheduler] is a pure state machine: times are arguments.
 package probe
@@ -21,57 +23,61 @@
 )
 
 const (
-	// Interval is the interval between probes of a server that has not answered, and
-	// Later of one whose state is known.
+	// Interval is the interval between probes of a suspected server, and
+	// RecheckInterval that of a server whose state is known.
 	Interval        = 20 * time.Millisecond
 	RecheckInterval = 300 * time.Millisecond
-	// MaxPerSecond bounds the probes of one entry host: where everything is slow, all
-	// streams are silent at times.
+	// MaxPerSecond limits the probes of one entry host: when every server is
+	// slow, all streams are silent at times.
 	MaxPerSecond = 60
-	// Burst is how many probes may be sent at once.
+	// Burst is the number of probes that may be sent at once.
 	Burst = 24
-	// FailureThreshold is how many unanswered probes in a row mean that a server is
-	// dead. A single one may be a lost packet.
+	// FailureThreshold is the number of unanswered probes in a row after which
+	// a server is dead. A single one may be a lost packet.
 	FailureThreshold = 2
-	// forget is how long after its last probe a server's misses count.
-	forget = time.Second
-	// leastTogether is from how many streams on their silence together counts.
-	leastTogether = 3
-	// leastPause is the shortest common silence that counts: a stall of the entry
-	// host itself silences all streams for a moment.
-	leastPause = 40 * time.Millisecond
+	// forgetAfter is the time after its last probe at which the state of a
+	// server is dropped.
+	forgetAfter = time.Second
+	// minCommonStreams is the least number of streams whose common silence
+	// counts.
+	minCommonStreams = 3
+	// minCommonPause is the shortest common silence that counts: a stall of the
+	// entry host itself silences all streams for a moment.
+	minCommonPause = 40 * time.Millisecond
 )
 
-// Stream is a stream under way.
+// Stream is a stream in progress.
 type Stream struct {
-	// Servers are the addresses of its chain.
+	// Servers are the addresses of the backend servers in its chain.
 	Servers []string
-	// Silent says that its pause alone is longer than usual.
+	// Silent reports that the pause alone is longer than usual.
 	Silent bool
-	// Pause is the time since its last event, and TypicalGap the time that usually
-	// lies between two; it is zero until there were two.
+	// Pause is the time since the last event, and TypicalGap the usual time
+	// between two events; it is zero until there were two.
 	Pause, TypicalGap time.Duration
 }
 
-// State is what is believed of a server that was asked.
+// State is the state of a probed server.
 type State uint8
 
-// The findings, from the best to the worst.
+// The states, from best to worst.
 const (
-	// Alive means that it answered.
+	// Alive means that the server answered.
 	Alive State = iota
-	// Suspected means that one probe was not answered. Silent streams avoid it.
+	// Suspected means that one probe was not answered. Silent streams avoid the
+	// server.
 	Suspected
-	// Unreachable means that several were not answered: it is cut off from this
-	// entry host, frozen or without power. Its peers may still reach it.
+	// Unreachable means that several probes were not answered: the server is
+	// cut off from this entry host, frozen or without power. Its peers may
+	// still reach it.
 	Unreachable
-	// Gone means that its process has ended: the address refuses connections.
+	// Gone means that the process has ended: the address refuses connections.
 	Gone
 )
 
-// String returns the name of the finding.
-func (f State) String() string {
-	switch f {
+// String returns the name of the state.
+func (s State) String() string {
+	switch s {
 	case Alive:
 		return "alive"
 	case Suspected:
@@ -84,166 +90,173 @@
 	return "unknown"
 }
 
-// Dead reports whether a new run must not begin at the server.
-func (f State) Dead() bool {
-	return f == Unreachable || f == Gone
+// Dead reports whether no new attempt may start at the server.
+func (s State) Dead() bool {
+	return s == Unreachable || s == Gone
 }
 
-// Scheduler holds what is known of the servers that were asked. The zero value is
-// ready. It is not safe for concurrent use.
+// Scheduler decides which servers to probe and keeps the state of those it has
+// probed. The zero value is ready to use. It is not safe for concurrent use.
 type Scheduler struct {
-	asked map[string]*entry
-	// left is the number of questions that may be asked now, as of filled.
-	left   float64
-	filled time.Time
+	servers map[string]*serverState
+	// tokens is the number of probes that may be sent now, as of refilledAt.
+	tokens     float64
+	refilledAt time.Time
 }
 
-type entry struct {
-	last   time.Time
-	under  bool
-	misses int
-	found  State
+// serverState is the state of one probed server.
+type serverState struct {
+	lastProbe time.Time
+	inFlight  bool
+	failures  int
+	state     State
 }
 
-// Next returns the addresses to be asked now, and notes that they are. Each
-// must be followed by one call of Answer.
-func (b *Scheduler) Next(streams []Stream, now time.Time) []string {
-	b.fill(now)
+// Next returns the addresses to probe now and marks the probes as in flight.
+// Each must be followed by one call of Record or Discard.
+func (s *Scheduler) Next(streams []Stream, now time.Time) []string {
+	s.refill(now)
 	var list []string
-	for _, c := range b.candidates(streams) {
-		if b.left < 1 {
+	for _, c := range s.candidates(streams) {
+		if s.tokens < 1 {
 			break
 		}
-		if b.due(c.address, now) {
-			b.asked[c.address].last = now
-			b.asked[c.address].under = true
-			b.left--
+		if s.due(c.address, now) {
+			s.servers[c.address].lastProbe = now
+			s.servers[c.address].inFlight = true
+			s.tokens--
 			list = append(list, c.address)
 		}
 	}
 	return list
 }
 
-// Record notes the outcome of a question: whether the server answered, and if
-// not, whether its address refuses connections.
-func (b *Scheduler) Record(address string, answered, refused bool) State {
-	e := b.entry(address)
-	e.under = false
+// Record records the result of a probe: whether the server answered and, if it
+// did not, whether its address refuses connections.
+func (s *Scheduler) Record(address string, answered, refused bool) State {
+	st := s.server(address)
+	st.inFlight = false
 	switch {
 	case answered:
-		e.misses, e.found = 0, Alive
+		st.failures, st.state = 0, Alive
 	case refused:
-		e.misses, e.found = e.misses+1, Gone
-	case e.misses+1 < FailureThreshold:
-		e.misses, e.found = e.misses+1, Suspected
+		st.failures, st.state = st.failures+1, Gone
+	case st.failures+1 < FailureThreshold:
+		st.failures, st.state = st.failures+1, Suspected
 	default:
-		e.misses, e.found = e.misses+1, Unreachable
+		st.failures, st.state = st.failures+1, Unreachable
 	}
-	return e.found
+	return st.state
 }
 
-// Discard ends a question from which nothing follows.
-func (b *Scheduler) Discard(address string) {
-	b.entry(address).under = false
+// Discard ends a probe without a result.
+func (s *Scheduler) Discard(address string) {
+	s.server(address).inFlight = false
 }
 
-// fill adds the questions that time has earned, and forgets old ones.
-func (b *Scheduler) fill(now time.Time) {
-	if b.filled.IsZero() {
-		b.left, b.filled = Burst, now
+// refill adds the tokens for the time that has passed and drops the state of
+// servers that were not probed lately.
+func (s *Scheduler) refill(now time.Time) {
+	if s.refilledAt.IsZero() {
+		s.tokens, s.refilledAt = Burst, now
 	}
-	b.left = min(Burst, b.left+MaxPerSecond*now.Sub(b.filled).Seconds())
-	b.filled = now
-	for address, e := range b.asked {
-		if !e.under && now.Sub(e.last) > forget {
-			delete(b.asked, address)
+	s.tokens = min(Burst, s.tokens+MaxPerSecond*now.Sub(s.refilledAt).Seconds())
+	s.refilledAt = now
+	for address, st := range s.servers {
+		if !st.inFlight && now.Sub(st.lastProbe) > forgetAfter {
+			delete(s.servers, address)
 		}
 	}
 }
 
-func (b *Scheduler) due(address string, now time.Time) bool {
-	e := b.entry(address)
-	every := RecheckInterval
-	if e.found == Suspected {
-		every = Interval
+// due reports whether a server may be probed now.
+func (s *Scheduler) due(address string, now time.Time) bool {
+	st := s.server(address)
+	interval := RecheckInterval
+	if st.state == Suspected {
+		interval = Interval
 	}
-	return !e.under && now.Sub(e.last) >= every
+	return !st.inFlight && now.Sub(st.lastProbe) >= interval
 }
 
-func (b *Scheduler) entry(address string) *entry {
-	if b.asked == nil {
-		b.asked = map[string]*entry{}
+// server returns the state of a server, adding it if needed.
+func (s *Scheduler) server(address string) *serverState {
+	if s.servers == nil {
+		s.servers = map[string]*serverState{}
 	}
-	e := b.asked[address]
-	if e == nil {
-		e = &entry{}
-		b.asked[address] = e
+	st := s.servers[address]
+	if st == nil {
+		st = &serverState{}
+		s.servers[address] = st
 	}
-	return e
+	return st
 }
 
-// candidate is a server through which streams pass.
+// candidate is a server with the streams that pass through it.
 type candidate struct {
-	address     string
-	silent, all int
-	// rank orders candidates: those of whom nothing is known first, and of these
-	// those whose streams are silent together.
+	address       string
+	silent, total int
+	// rank orders candidates: servers without a known state come first, and of
+	// these the ones whose streams are all silent at once.
 	rank int
-	// paced counts the streams whose usual pause is known. Usual is the sum of
-	// these pauses, and freshest the shortest time since an event of any.
-	paced    int
-	usual    time.Duration
-	freshest time.Duration
+	// gapCount is the number of streams whose typical gap is known, gapSum the
+	// sum of these gaps, and shortestPause the shortest time since an event of
+	// any of them.
+	gapCount      int
+	gapSum        time.Duration
+	shortestPause time.Duration
 }
 
+// add counts a stream that passes through the server.
 func (c *candidate) add(s Stream) {
-	c.all++
+	c.total++
 	if s.Silent {
 		c.silent++
 	}
 	if s.TypicalGap <= 0 {
 		return
 	}
-	if c.paced == 0 || s.Pause < c.freshest {
-		c.freshest = s.Pause
+	if c.gapCount == 0 || s.Pause < c.shortestPause {
+		c.shortestPause = s.Pause
 	}
-	c.paced++
-	c.usual += s.TypicalGap
+	c.gapCount++
+	c.gapSum += s.TypicalGap
 }
 
-// together reports whether the streams of the server are silent together: the
-// freshest is later than all of them usually are, by the more the fewer they are.
-func (c *candidate) together() bool {
-	if c.paced < leastTogether {
+// commonSilence reports whether all streams of the server are silent at once:
+// even the shortest pause exceeds the mean typical gap. The fewer the streams,
+// the larger the margin.
+func (c *candidate) commonSilence() bool {
+	if c.gapCount < minCommonStreams {
 		return false
 	}
-	mean := c.usual / time.Duration(c.paced)
-	return c.freshest > max(leastPause, mean+mean/time.Duration(c.paced))
+	mean := c.gapSum / time.Duration(c.gapCount)
+	return c.shortestPause > max(minCommonPause, mean+mean/time.Duration(c.gapCount))
 }
 
-// candidates lists the servers of silent streams: first those of which nothing
-// is known yet, and of these the most suspicious.
-func (b *Scheduler) candidates(streams []Stream) []candidate {
+// candidates returns the servers of silent streams: those without a known state
+// first, and of these the most suspicious.
+func (s *Scheduler) candidates(streams []Stream) []candidate {
 	counts := map[string]*candidate{}
-	for _, s := range streams {
-		for _, address := range s.Servers {
+	for _, stream := range streams {
+		for _, address := range stream.Servers {
 			c := counts[address]
 			if c == nil {
 				c = &candidate{address: address}
 				counts[address] = c
 			}
-			c.add(s)
+			c.add(stream)
 		}
 	}
 	var list []candidate
 	for _, c := range counts {
-		if c.silent == 0 && !c.together() {
+		if c.silent == 0 && !c.commonSilence() {
 			continue
 		}
-		if e := b.asked[c.address]; e != nil && e.found != Suspected {
+		if st := s.servers[c.address]; st != nil && st.state != Suspected {
 			c.rank += 2
 		}
-		if !c.together() {
+		if !c.commonSilence() {
 			c.rank++
 		}
 		list = append(list, *c)
@@ -251,7 +264,7 @@
 	slices.SortFunc(list, func(a, b candidate) int {
 		return cmp.Or(
 			cmp.Compare(a.rank, b.rank),
-			-cmp.Compare(a.silent*b.all, b.silent*a.all),
+			-cmp.Compare(a.silent*b.total, b.silent*a.total),
 			-cmp.Compare(a.silent, b.silent),
 			cmp.Compare(a.address, b.address),
 		)
--- /dev/null
+++ b/parts/probe/timeout.go
@@ -0,0 +1,51 @@
+package probe
+
+import "time"
+
+const (
+	// MinTimeout and MaxTimeout bound the timeout of a probe. An answer usually
+	// takes one to three milliseconds.
+	MinTimeout = 40 * time.Millisecond
+	MaxTimeout = 300 * time.Millisecond
+	// meanWeight and deviationWeight are the weights of a new answer in the
+	// moving averages of the response time and of its deviation. The timeout is
+	// the mean plus maxDeviations deviations.
+	meanWeight      = 0.125
+	deviationWeight = 0.25
+	maxDeviations   = 4
+	// stallThreshold is how late a timer fires when the process itself was
+	// stalled: answers that came meanwhile were not read.
+	stallThreshold = 25 * time.Millisecond
+)
+
+// Timeout adapts the timeout of probes to the measured response times. An entry
+// host that is short of processor time, or whose link is slow, gets late
+// answers from healthy servers; if it took them for dead, they would lose all
+// their streams. The zero value is ready to use. It is not safe for concurrent
+// use.
+type Timeout struct {
+	mean, deviation time.Duration
+}
+
+// Current returns the timeout of the next probe.
+func (t *Timeout) Current() time.Duration {
+	return min(max(MinTimeout, t.mean+maxDeviations*t.deviation), MaxTimeout)
+}
+
+// Record records how long an answer took. First reports whether it answered the
+// first probe; an answer to a later one counts as at least twice the current
+// timeout.
+func (t *Timeout) Record(took time.Duration, first bool) {
+	if !first {
+		took = max(took, 2*t.Current())
+	}
+	diff := took - t.mean
+	t.mean += time.Duration(meanWeight * float64(diff))
+	t.deviation += time.Duration(deviationWeight * float64(max(diff, -diff)-t.deviation))
+}
+
+// Stalled reports whether a probe with the given timeout ended so late that the
+// process itself was stalled. Its result is then meaningless.
+func Stalled(timeout, took time.Duration) bool {
+	return took > timeout+stallThreshold
+}
