--- a/parts/poison/counter.go
+++ b/parts/poison/counter.go
@@ -6,125 +6,128 @@
 	"time"
 )
 
-// Suspect is what is known against a request: the servers that died under it.
+// Suspect is a suspected request with the servers that died while they ran it.
 type Suspect struct {
 	Print   Fingerprint
 	Servers []string
-	// Left is how long the mark lasts.
+	// Left is how long the suspicion lasts.
 	Left time.Duration
 }
 
-// The bounds of a tally.
+// The limits of a counter.
 const (
-	// CounterMaxCrashes is how many servers must have died under a request before it
-	// is refused. One that is hit by two deaths within a minute by chance is
-	// not rare on a bad day; one hit by three has caused them.
+	// CounterMaxCrashes is the number of servers that must have died under a
+	// request before it is blocked. On a bad day two unrelated deaths within a
+	// minute are not rare for one request; three are caused by it.
 	CounterMaxCrashes = 3
-	// tallyFor is how long a death is remembered. A request that crashes
+	// counterTTL is how long a crash is remembered. A request that crashes
 	// servers comes again within seconds.
-	tallyFor = time.Minute
-	// maxTally bounds the requests that are remembered. The death of one server
-	// marks some hundred.
-	maxTally = 4096
+	counterTTL = time.Minute
+	// maxCounted limits the number of requests that are remembered. The death
+	// of one server makes some hundred requests suspected.
+	maxCounted = 4096
 )
 
-// Counter counts the servers that died under requests, where entry hosts only
-// tell each other and no one keeps a [Tracker]. The zero value is ready.
+// Counter counts the servers that died under requests where entry hosts only
+// gossip and no host keeps a [Tracker]. The zero value is ready to use. It is
+// safe for concurrent use.
 type Counter struct {
-	mu    sync.Mutex
-	marks map[Fingerprint]*tallied
-	// cleared holds requests that were served lately, until when that counts.
+	mu      sync.Mutex
+	crashes map[Fingerprint]*crashRecord
+	// cleared holds requests that succeeded lately, with the time until which
+	// they count as harmless.
 	cleared map[Fingerprint]time.Time
 }
 
-type tallied struct {
+// crashRecord holds the servers that died under one request.
+type crashRecord struct {
 	servers []string
-	until   time.Time
+	expiry  time.Time
 }
 
-// RecordCrash notes that a server died while it ran a request.
-func (t *Counter) RecordCrash(print Fingerprint, server string, now time.Time) {
-	t.Merge(Suspect{Print: print, Servers: []string{server}, Left: tallyFor}, now)
+// RecordCrash records that a server died while it ran a request.
+func (c *Counter) RecordCrash(f Fingerprint, server string, now time.Time) {
+	c.Merge(Suspect{Print: f, Servers: []string{server}, Left: counterTTL}, now)
 }
 
-// RecordSuccess notes that a request was served: it crashes nothing. Many callers may
-// send the same one, and servers die under any of them on a bad day; without
-// this, all would be refused for a minute.
-func (t *Counter) RecordSuccess(print Fingerprint, now time.Time) {
-	t.mu.Lock()
-	defer t.mu.Unlock()
-	if t.cleared == nil {
-		t.cleared = map[Fingerprint]time.Time{}
+// RecordSuccess records that a request succeeded and thus crashes no servers.
+// Many callers may send the same request, and on a bad day servers die under
+// any of them; without this, all of them would be blocked for a minute.
+func (c *Counter) RecordSuccess(f Fingerprint, now time.Time) {
+	c.mu.Lock()
+	defer c.mu.Unlock()
+	if c.cleared == nil {
+		c.cleared = map[Fingerprint]time.Time{}
 	}
-	if len(t.cleared) >= maxTally {
-		t.forget(now)
+	if len(c.cleared) >= maxCounted {
+		c.expire(now)
 	}
-	if len(t.cleared) < maxTally {
-		t.cleared[print] = now.Add(tallyFor)
+	if len(c.cleared) < maxCounted {
+		c.cleared[f] = now.Add(counterTTL)
 	}
-	delete(t.marks, print)
+	delete(c.crashes, f)
 }
 
-// Merge takes over what another entry host knows.
-func (t *Counter) Merge(m Suspect, now time.Time) {
-	t.mu.Lock()
-	defer t.mu.Unlock()
-	if now.Before(t.cleared[m.Print]) {
+// Merge adds the crashes that another entry host knows of.
+func (c *Counter) Merge(s Suspect, now time.Time) {
+	c.mu.Lock()
+	defer c.mu.Unlock()
+	if now.Before(c.cleared[s.Print]) {
 		return
 	}
-	if t.marks == nil {
-		t.marks = map[Fingerprint]*tallied{}
+	if c.crashes == nil {
+		c.crashes = map[Fingerprint]*crashRecord{}
 	}
-	t.forget(now)
-	known := t.marks[m.Print]
-	if known == nil {
-		if len(t.marks) >= maxTally {
+	c.expire(now)
+	record := c.crashes[s.Print]
+	if record == nil {
+		if len(c.crashes) >= maxCounted {
 			return
 		}
-		known = &tallied{}
-		t.marks[m.Print] = known
+		record = &crashRecord{}
+		c.crashes[s.Print] = record
 	}
-	for _, server := range m.Servers {
-		if !slices.Contains(known.servers, server) {
-			known.servers = append(known.servers, server)
+	for _, server := range s.Servers {
+		if !slices.Contains(record.servers, server) {
+			record.servers = append(record.servers, server)
 		}
 	}
-	if until := now.Add(min(m.Left, tallyFor)); until.After(known.until) {
-		known.until = until
+	if until := now.Add(min(s.Left, counterTTL)); until.After(record.expiry) {
+		record.expiry = until
 	}
 }
 
-// forget drops what is over. The mutex is held.
-func (t *Counter) forget(now time.Time) {
-	for print, known := range t.marks {
-		if now.After(known.until) {
-			delete(t.marks, print)
+// expire drops entries whose time is over. The mutex is held.
+func (c *Counter) expire(now time.Time) {
+	for f, record := range c.crashes {
+		if now.After(record.expiry) {
+			delete(c.crashes, f)
 		}
 	}
-	for print, until := range t.cleared {
+	for f, until := range c.cleared {
 		if now.After(until) {
-			delete(t.cleared, print)
+			delete(c.cleared, f)
 		}
 	}
 }
 
 // Blocked reports whether a request must not run any more.
-func (t *Counter) Blocked(print Fingerprint, now time.Time) bool {
-	t.mu.Lock()
-	defer t.mu.Unlock()
-	known := t.marks[print]
-	return known != nil && !now.After(known.until) && len(known.servers) >= CounterMaxCrashes
+func (c *Counter) Blocked(f Fingerprint, now time.Time) bool {
+	c.mu.Lock()
+	defer c.mu.Unlock()
+	record := c.crashes[f]
+	return record != nil && !now.After(record.expiry) && len(record.servers) >= CounterMaxCrashes
 }
 
-// Suspects returns the marks to tell others: those of requests under which two
-// servers died at least. One death marks too many to tell.
-func (t *Counter) Suspects(now time.Time) []Suspect {
-	t.mu.Lock()
-	defer t.mu.Unlock()
+// Suspects returns the requests to gossip: those under which at least two
+// servers died. A single death makes too many requests suspected to send.
+func (c *Counter) Suspects(now time.Time) []Suspect {
+	c.mu.Lock()
+	defer c.mu.Unlock()
 	var list []Suspect
-	for print, known := range t.marks {
-		if len(known.servers) > 1 && known.until.After(now) {
-			list = append(list, Suspect{Print: print, Servers: slices.Clone(known.servers), Left: known.until.Sub(now)})
+	for f, record := range c.crashes {
+		if len(record.servers) > 1 && record.expiry.After(now) {
+			list = append(list, Suspect{Print: f, Servers: slices.Clone(record.servers), Left: record.expiry.Sub(now)})
 		}
 	}
 	return list
--- a/parts/poison/poison.go
+++ b/parts/poison/poison.go
@@ -1,19 +1,18 @@
-// Package poison decides what becomes of a request that ran on a backend
-// server when it died, so that one request that crashes each server that runs
-// it takes down two of them at most, and others none of their callers'
-// answers.
+// Package poison detects requests that crash the backend servers that run them.
+// It limits the damage of such a request to two servers, and keeps it from
+// costing the callers of other requests their responses.
 //
-// A [Fingerprint] names a request over all its copies and resends. The death
-// of a server makes every request that ran on it a suspect. One that had got
-// tokens from the dead server only counts the death and goes on at once; one
-// that had not is restricted: it is tried again alone, which means that no
-// other restricted request is on any server of its chain meanwhile. A token
-// beyond the step at which the server died clears the request. A second death
-// before that convicts it.
+// A [Fingerprint] identifies a request across all its copies and retries. When
+// a server dies, every request that ran on it becomes suspected. A request that
+// had received tokens from the dead server only has the crash counted and
+// continues at once; one that had not is isolated: it is retried alone, which
+// means that no other isolated request uses any server of its chain meanwhile.
+// A token beyond the step at which the server died clears the request. A second
+// crash before that blocks it.
 //
-// A [Tracker] holds the cases of one pool, for all entry hosts that ask it. It is
-// a pure state machine: times are arguments, and it is not safe for
-// concurrent use.
+// A [Tracker] holds the suspected requests of one pool, for all entry hosts
+// that consult it. It is a pure state machine: times are arguments, and it is
+// not safe for concurrent use.
 package poison
 
 import (
@@ -23,14 +22,15 @@
 	"time"
 )
 
-// Fingerprint names a request: its team and the digest of its body.
+// Fingerprint identifies a request by its team and the digest of its body.
 type Fingerprint string
 
-// fingerprintBytes is enough to tell the requests of a few minutes apart.
+// fingerprintBytes is enough to distinguish the requests of a few minutes.
 const fingerprintBytes = 8
 
-// NewFingerprint returns the fingerprint of a request. The digest is cryptographic, since
-// a caller could otherwise make another team's request look guilty.
+// NewFingerprint returns the fingerprint of a request. The digest is
+// cryptographic; otherwise a caller could forge the fingerprint of another
+// team's request and have it blocked.
 func NewFingerprint(team string, body ...string) Fingerprint {
 	h := sha256.New()
 	h.Write([]byte(team))
@@ -41,35 +41,39 @@
 	return Fingerprint(hex.EncodeToString(h.Sum(nil)[:fingerprintBytes]))
 }
 
-// The times and bounds of a book.
+// The limits of a tracker.
 const (
-	// MaxCrashes is how many servers a request may take down.
+	// MaxCrashes is the number of servers that a request may crash before it is
+	// blocked.
 	MaxCrashes = 2
-	// BlockFor is how long a convicted request is refused. A mended engine
-	// or a changed prompt is the way out, and neither comes in seconds.
+	// BlockFor is how long a blocked request is refused. Only a fixed engine or
+	// a changed prompt helps, and neither comes within seconds.
 	BlockFor = 10 * time.Minute
-	// suspectFor is how long a suspicion lasts without anything new.
-	suspectFor = time.Minute
-	// trialFor bounds a trial whose entry host is never heard of again.
-	trialFor = 10 * time.Second
-	// explainFor is how long the death of a server is laid to the request
-	// that was convicted by it. Others that ran on it report it late.
-	explainFor = time.Minute
-	// maxCases bounds the book; the oldest cases go first.
-	maxCases = 4096
+	// suspectTTL is how long a request stays suspected without another crash.
+	suspectTTL = time.Minute
+	// isolatedRunTimeout ends an isolated run whose entry host has disappeared.
+	isolatedRunTimeout = 10 * time.Second
+	// attributionTTL is how long the death of a server stays attributed to the
+	// request that was blocked for it. Other requests that ran on the server
+	// report its death late.
+	attributionTTL = time.Minute
+	// maxRequests limits the size of a tracker; the entries that expire first
+	// are evicted.
+	maxRequests = 4096
 )
 
-// Outcome is the answer of a book.
+// Outcome is a decision of a tracker.
 type Outcome uint8
 
 // The outcomes.
 const (
-	// Allowed: nothing speaks against the request; it may run.
+	// Allowed: the request is not suspected; it may run.
 	Allowed Outcome = iota
-	// Isolated: the request may run on the servers named, which are kept free
-	// of other restricted requests until it is cleared or convicted.
+	// Isolated: the request may run on the given servers, which no other
+	// isolated request may use until it is cleared or blocked.
 	Isolated
-	// Wait: a trial of this request, or one on these servers, is under way.
+	// Wait: an isolated run of this request, or one on these servers, is in
+	// progress.
 	Wait
 	// Blocked: the request must not run.
 	Blocked
@@ -90,200 +94,209 @@
 	return "unknown"
 }
 
-// record is what is known against one request.
-type record struct {
-	// dead holds the servers that died under it.
-	dead []string
-	// restricted says that it may only run alone.
-	restricted bool
-	// until ends the suspicion or the conviction.
-	until time.Time
-	// holder has the trial, on servers, until trialEnd.
-	holder   string
-	servers  []string
-	trialEnd time.Time
+// requestState is the state of one suspected or blocked request.
+type requestState struct {
+	// crashed holds the servers that died while they ran the request.
+	crashed []string
+	// isolated reports that the request may only run alone.
+	isolated bool
+	// expiry is when the suspicion or the block ends.
+	expiry time.Time
+	// holder has the isolated run, on servers, until runEnd.
+	holder  string
+	servers []string
+	runEnd  time.Time
 }
 
-func (r *record) onTrial(now time.Time) bool {
-	return r.holder != "" && now.Before(r.trialEnd)
+// running reports whether an isolated run of the request is in progress.
+func (r *requestState) running(now time.Time) bool {
+	return r.holder != "" && now.Before(r.runEnd)
 }
 
-// Tracker holds the cases of one pool. The zero value is empty.
+// Tracker holds the suspected and blocked requests of one pool. The zero value
+// is empty and ready to use.
 type Tracker struct {
-	cases map[Fingerprint]*record
-	// explained holds servers whose death was laid to a request.
-	explained map[string]time.Time
+	requests map[Fingerprint]*requestState
+	// attributed holds servers whose death is attributed to a blocked request,
+	// with the time until which that holds.
+	attributed map[string]time.Time
 }
 
-// RecordCrash notes that a server died under a request. Progressed says that the
-// request had got a token from a chain with that server, so that the death is
-// likely another's doing. The outcome is Convicted, Alone (it may only run
-// alone from now on) or Free.
-func (b *Tracker) RecordCrash(f Fingerprint, server string, progressed bool, now time.Time) Outcome {
-	b.sweep(now)
-	r := b.cases[f]
-	if r != nil && len(r.dead) >= MaxCrashes {
+// RecordCrash records that a server died while it ran a request. Progressed
+// reports that the request had received a token from a chain with that server,
+// which makes another request the likely cause. The outcome is Blocked,
+// Isolated (from now on the request may only run alone) or Allowed.
+func (t *Tracker) RecordCrash(f Fingerprint, server string, progressed bool, now time.Time) Outcome {
+	t.expire(now)
+	r := t.requests[f]
+	if r != nil && len(r.crashed) >= MaxCrashes {
 		return Blocked
 	}
-	if r != nil && slices.Contains(r.dead, server) {
+	if r != nil && slices.Contains(r.crashed, server) {
 		return r.outcome()
 	}
-	if b.laidToAnother(f, server, now) {
+	if t.causedByOther(f, server, now) {
 		if r == nil {
 			return Allowed
 		}
 		return r.outcome()
 	}
 	if r == nil {
-		r = b.open(f)
+		r = t.add(f)
 	}
-	r.dead = append(r.dead, server)
-	r.until = now.Add(suspectFor)
-	r.restricted = r.restricted || !progressed
+	r.crashed = append(r.crashed, server)
+	r.expiry = now.Add(suspectTTL)
+	r.isolated = r.isolated || !progressed
 	r.holder = ""
-	if len(r.dead) >= MaxCrashes {
-		r.until = now.Add(BlockFor)
-		b.explain(server, now)
+	if len(r.crashed) >= MaxCrashes {
+		r.expiry = now.Add(BlockFor)
+		t.attribute(server, now)
 	}
 	return r.outcome()
 }
 
-func (r *record) outcome() Outcome {
+// outcome returns the decision that follows from the recorded crashes.
+func (r *requestState) outcome() Outcome {
 	switch {
-	case len(r.dead) >= MaxCrashes:
+	case len(r.crashed) >= MaxCrashes:
 		return Blocked
-	case r.restricted:
+	case r.isolated:
 		return Isolated
 	}
 	return Allowed
 }
 
-// laidToAnother reports whether the death of a server is another request's
-// doing: one that was tried on it alone, or was convicted by it.
-func (b *Tracker) laidToAnother(f Fingerprint, server string, now time.Time) bool {
-	if now.Before(b.explained[server]) {
+// causedByOther reports whether the death of a server is attributed to another
+// request: one that ran isolated on it, or was blocked for it.
+func (t *Tracker) causedByOther(f Fingerprint, server string, now time.Time) bool {
+	if now.Before(t.attributed[server]) {
 		return true
 	}
-	for other, r := range b.cases {
-		if other != f && r.onTrial(now) && slices.Contains(r.servers, server) {
+	for other, r := range t.requests {
+		if other != f && r.running(now) && slices.Contains(r.servers, server) {
 			return true
 		}
 	}
 	return false
 }
 
-func (b *Tracker) explain(server string, now time.Time) {
-	if b.explained == nil {
-		b.explained = map[string]time.Time{}
+// attribute attributes the death of a server to a request that is now blocked.
+func (t *Tracker) attribute(server string, now time.Time) {
+	if t.attributed == nil {
+		t.attributed = map[string]time.Time{}
 	}
-	b.explained[server] = now.Add(explainFor)
+	t.attributed[server] = now.Add(attributionTTL)
 }
 
-func (b *Tracker) open(f Fingerprint) *record {
-	if b.cases == nil {
-		b.cases = map[Fingerprint]*record{}
+// add adds a request, evicting the oldest if the tracker is full.
+func (t *Tracker) add(f Fingerprint) *requestState {
+	if t.requests == nil {
+		t.requests = map[Fingerprint]*requestState{}
 	}
-	if len(b.cases) >= maxCases {
-		b.evict()
+	if len(t.requests) >= maxRequests {
+		t.evictOldest()
 	}
-	r := &record{}
-	b.cases[f] = r
+	r := &requestState{}
+	t.requests[f] = r
 	return r
 }
 
-func (b *Tracker) evict() {
-	var first Fingerprint
-	for f, r := range b.cases {
-		if first == "" || r.until.Before(b.cases[first].until) {
-			first = f
+// evictOldest removes the request that expires first.
+func (t *Tracker) evictOldest() {
+	var oldest Fingerprint
+	for f, r := range t.requests {
+		if oldest == "" || r.expiry.Before(t.requests[oldest].expiry) {
+			oldest = f
 		}
 	}
-	delete(b.cases, first)
+	delete(t.requests, oldest)
 }
 
-// Acquire asks whether a request may run now on the given servers. The holder
-// names the copy of the request that asks; with Alone, it has the trial.
-func (b *Tracker) Acquire(f Fingerprint, holder string, servers []string, now time.Time) Outcome {
-	b.sweep(now)
-	r := b.cases[f]
+// Acquire decides whether a request may run now on the given servers. The
+// holder identifies the copy of the request that asks; with Isolated it holds
+// the isolated run.
+func (t *Tracker) Acquire(f Fingerprint, holder string, servers []string, now time.Time) Outcome {
+	t.expire(now)
+	r := t.requests[f]
 	if r == nil {
 		return Allowed
 	}
 	if o := r.outcome(); o != Isolated {
 		return o
 	}
-	if r.onTrial(now) && r.holder != holder {
+	if r.running(now) && r.holder != holder {
 		return Wait
 	}
-	for other, o := range b.cases {
-		if other != f && o.onTrial(now) && overlap(o.servers, servers) {
+	for other, rival := range t.requests {
+		if other != f && rival.running(now) && overlap(rival.servers, servers) {
 			return Wait
 		}
 	}
-	r.holder, r.servers, r.trialEnd = holder, slices.Clone(servers), now.Add(trialFor)
+	r.holder, r.servers, r.runEnd = holder, slices.Clone(servers), now.Add(isolatedRunTimeout)
 	return Isolated
 }
 
-// Merge takes the deaths that an entry host knows of. A book that has just
-// begun, since the one that kept it before is gone, learns them so that no
-// death is forgotten.
-func (b *Tracker) Merge(f Fingerprint, dead []string, now time.Time) {
-	if len(dead) == 0 {
+// Merge adds the crashes of a request that an entry host knows of, so that no
+// crash is lost when a new tracker takes over from one that is gone.
+func (t *Tracker) Merge(f Fingerprint, crashed []string, now time.Time) {
+	if len(crashed) == 0 {
 		return
 	}
-	r := b.cases[f]
+	r := t.requests[f]
 	if r == nil {
-		r = b.open(f)
-		r.restricted = true
-		r.until = now.Add(suspectFor)
+		r = t.add(f)
+		r.isolated = true
+		r.expiry = now.Add(suspectTTL)
 	}
-	for _, server := range dead {
-		if len(r.dead) < MaxCrashes && !slices.Contains(r.dead, server) {
-			r.dead = append(r.dead, server)
+	for _, server := range crashed {
+		if len(r.crashed) < MaxCrashes && !slices.Contains(r.crashed, server) {
+			r.crashed = append(r.crashed, server)
 		}
 	}
-	if len(r.dead) >= MaxCrashes {
-		r.until = now.Add(BlockFor)
+	if len(r.crashed) >= MaxCrashes {
+		r.expiry = now.Add(BlockFor)
 	}
 }
 
-// Clear clears a request that got a token beyond the step at which a server
-// had died under it. A conviction stays.
-func (b *Tracker) Clear(f Fingerprint) {
-	if r := b.cases[f]; r != nil && len(r.dead) < MaxCrashes {
-		delete(b.cases, f)
+// Clear clears a request that received a token beyond the step at which a
+// server died under it. A blocked request stays blocked.
+func (t *Tracker) Clear(f Fingerprint) {
+	if r := t.requests[f]; r != nil && len(r.crashed) < MaxCrashes {
+		delete(t.requests, f)
 	}
 }
 
-// Release ends the trial of a holder that did not come to a result, for example
-// since its caller went away.
-func (b *Tracker) Release(f Fingerprint, holder string) {
-	if r := b.cases[f]; r != nil && r.holder == holder {
+// Release ends the isolated run of a holder that reached no result, for example
+// because its caller disconnected.
+func (t *Tracker) Release(f Fingerprint, holder string) {
+	if r := t.requests[f]; r != nil && r.holder == holder {
 		r.holder = ""
 	}
 }
 
-// Crashes returns how many deaths are laid to a request.
-func (b *Tracker) Crashes(f Fingerprint) int {
-	if r := b.cases[f]; r != nil {
-		return len(r.dead)
+// Crashes returns the number of crashes that are attributed to a request.
+func (t *Tracker) Crashes(f Fingerprint) int {
+	if r := t.requests[f]; r != nil {
+		return len(r.crashed)
 	}
 	return 0
 }
 
-func (b *Tracker) sweep(now time.Time) {
-	for f, r := range b.cases {
-		if !now.Before(r.until) && !r.onTrial(now) {
-			delete(b.cases, f)
+// expire drops requests and attributions whose time is over.
+func (t *Tracker) expire(now time.Time) {
+	for f, r := range t.requests {
+		if !now.Before(r.expiry) && !r.running(now) {
+			delete(t.requests, f)
 		}
 	}
-	for server, until := range b.explained {
+	for server, until := range t.attributed {
 		if !now.Before(until) {
-			delete(b.explained, server)
+			delete(t.attributed, server)
 		}
 	}
 }
 
+// overlap reports whether two lists share a name.
 func overlap(a, b []string) bool {
 	for _, name := range a {
 		if slices.Contains(b, name) {
--- a/parts/poison/poison_test.go
+++ b/parts/poison/poison_test.go
@@ -11,197 +11,200 @@
 
 var start = time.UnixMilli(1_800_000_000_000)
 
-// A request takes down a server before it got a token, is tried alone, and
-// takes down that one too. The caller has to be told at once, and no third
-// server may be lost.
-func TestSecondDeathConvicts(t *testing.T) {
+// A request crashes a server before its first token, is retried alone, and
+// crashes that server too. Its caller must be told at once, and no third server
+// may be lost.
+func TestSecondCrashBlocks(t *testing.T) {
 	c := qt.New(t)
-	var b Tracker
-	c.Assert(b.Acquire("f", "e1/1", []string{"a1"}, start), qt.Equals, Allowed)
-	c.Assert(b.RecordCrash("f", "a1", false, start), qt.Equals, Isolated)
-	c.Assert(b.RecordCrash("f", "a1", false, start), qt.Equals, Isolated)
-	c.Assert(b.Acquire("f", "e1/1", []string{"b1"}, start), qt.Equals, Isolated)
-	c.Assert(b.Acquire("f", "e2/1", []string{"c1"}, start), qt.Equals, Wait)
-	c.Assert(b.RecordCrash("f", "b1", false, start), qt.Equals, Blocked)
-	b.Clear("f")
-	c.Assert(b.Acquire("f", "e2/1", []string{"c1"}, start), qt.Equals, Blocked)
-	c.Assert(b.Acquire("f", "e2/1", []string{"c1"}, start.Add(BlockFor)), qt.Equals, Allowed)
+	var tracker Tracker
+	c.Assert(tracker.Acquire("f", "e1/1", []string{"a1"}, start), qt.Equals, Allowed)
+	c.Assert(tracker.RecordCrash("f", "a1", false, start), qt.Equals, Isolated)
+	c.Assert(tracker.RecordCrash("f", "a1", false, start), qt.Equals, Isolated)
+	c.Assert(tracker.Acquire("f", "e1/1", []string{"b1"}, start), qt.Equals, Isolated)
+	c.Assert(tracker.Acquire("f", "e2/1", []string{"c1"}, start), qt.Equals, Wait)
+	c.Assert(tracker.RecordCrash("f", "b1", false, start), qt.Equals, Blocked)
+	tracker.Clear("f")
+	c.Assert(tracker.Acquire("f", "e2/1", []string{"c1"}, start), qt.Equals, Blocked)
+	c.Assert(tracker.Acquire("f", "e2/1", []string{"c1"}, start.Add(BlockFor)), qt.Equals, Allowed)
 }
 
-// Others ran on the server that died. One that had got tokens goes on at
-// once; one that had not waits until the suspect's trial is over, and neither
-// is blamed for the trial's death.
-func TestInnocentsAreNotBlamed(t *testing.T) {
+// Other requests ran on the server that died. One that had received tokens
+// continues at once; one that had not waits until the isolated run of the
+// suspected request is over. Neither is blocked for the crash in that run.
+func TestHarmlessRequestsAreNotBlocked(t *testing.T) {
 	c := qt.New(t)
-	var b Tracker
-	b.RecordCrash("bad", "a1", false, start)
-	c.Assert(b.RecordCrash("young", "a1", false, start), qt.Equals, Isolated)
-	c.Assert(b.RecordCrash("old", "a1", true, start), qt.Equals, Allowed)
-	c.Assert(b.Acquire("bad", "e1/1", []string{"b1", "b2"}, start), qt.Equals, Isolated)
-	c.Assert(b.Acquire("young", "e2/1", []string{"c1", "b2"}, start), qt.Equals, Wait)
-	c.Assert(b.Acquire("old", "e2/2", []string{"b1"}, start), qt.Equals, Allowed)
-	c.Assert(b.RecordCrash("old", "b1", false, start), qt.Equals, Allowed)
-	c.Assert(b.RecordCrash("bad", "b1", false, start), qt.Equals, Blocked)
-	c.Assert(b.RecordCrash("late", "b1", false, start), qt.Equals, Allowed)
-	c.Assert(b.Acquire("young", "e2/1", []string{"c1", "b2"}, start), qt.Equals, Isolated)
-	b.Clear("young")
-	c.Assert(b.Crashes("young"), qt.Equals, 0)
+	var tracker Tracker
+	tracker.RecordCrash("bad", "a1", false, start)
+	c.Assert(tracker.RecordCrash("young", "a1", false, start), qt.Equals, Isolated)
+	c.Assert(tracker.RecordCrash("old", "a1", true, start), qt.Equals, Allowed)
+	c.Assert(tracker.Acquire("bad", "e1/1", []string{"b1", "b2"}, start), qt.Equals, Isolated)
+	c.Assert(tracker.Acquire("young", "e2/1", []string{"c1", "b2"}, start), qt.Equals, Wait)
+	c.Assert(tracker.Acquire("old", "e2/2", []string{"b1"}, start), qt.Equals, Allowed)
+	c.Assert(tracker.RecordCrash("old", "b1", false, start), qt.Equals, Allowed)
+	c.Assert(tracker.RecordCrash("bad", "b1", false, start), qt.Equals, Blocked)
+	c.Assert(tracker.RecordCrash("late", "b1", false, start), qt.Equals, Allowed)
+	c.Assert(tracker.Acquire("young", "e2/1", []string{"c1", "b2"}, start), qt.Equals, Isolated)
+	tracker.Clear("young")
+	c.Assert(tracker.Crashes("young"), qt.Equals, 0)
 }
 
-// The entry host that holds a trial is gone, or its caller is. The trial must
-// not keep the servers for ever.
-func TestTrialEnds(t *testing.T) {
+// The entry host that holds an isolated run disappears, or its caller does. The
+// run must not reserve the servers for ever.
+func TestIsolatedRunEnds(t *testing.T) {
 	c := qt.New(t)
-	var b Tracker
-	b.RecordCrash("f", "a1", false, start)
-	b.RecordCrash("g", "a1", false, start)
-	c.Assert(b.Acquire("f", "e1/1", []string{"b1"}, start), qt.Equals, Isolated)
-	c.Assert(b.Acquire("g", "e2/1", []string{"b1"}, start), qt.Equals, Wait)
-	c.Assert(b.Acquire("g", "e2/1", []string{"b1"}, start.Add(trialFor)), qt.Equals, Isolated)
-	b.Release("g", "e2/1")
-	c.Assert(b.Acquire("f", "e1/1", []string{"b1"}, start.Add(trialFor)), qt.Equals, Isolated)
+	var tracker Tracker
+	tracker.RecordCrash("f", "a1", false, start)
+	tracker.RecordCrash("g", "a1", false, start)
+	c.Assert(tracker.Acquire("f", "e1/1", []string{"b1"}, start), qt.Equals, Isolated)
+	c.Assert(tracker.Acquire("g", "e2/1", []string{"b1"}, start), qt.Equals, Wait)
+	c.Assert(tracker.Acquire("g", "e2/1", []string{"b1"}, start.Add(isolatedRunTimeout)), qt.Equals, Isolated)
+	tracker.Release("g", "e2/1")
+	c.Assert(tracker.Acquire("f", "e1/1", []string{"b1"}, start.Add(isolatedRunTimeout)), qt.Equals, Isolated)
 }
 
-// The entry host that kept the book is gone. The next one learns what the
-// asker knows, or the request would have two more servers to take down.
-func TestNextBookLearns(t *testing.T) {
+// The entry host that kept the tracker is gone. The new tracker merges what the
+// asking entry host knows; otherwise the request could crash two more servers.
+func TestNewTrackerMergesCrashes(t *testing.T) {
 	c := qt.New(t)
-	var b Tracker
-	b.Merge("f", []string{"a1"}, start)
-	c.Assert(b.RecordCrash("f", "b1", false, start), qt.Equals, Blocked)
-	for i := range maxCases + 5 {
-		b.Merge(Fingerprint(fmt.Sprint(i)), []string{"x"}, start.Add(time.Duration(i)))
+	var tracker Tracker
+	tracker.Merge("f", []string{"a1"}, start)
+	c.Assert(tracker.RecordCrash("f", "b1", false, start), qt.Equals, Blocked)
+	for i := range maxRequests + 5 {
+		tracker.Merge(Fingerprint(fmt.Sprint(i)), []string{"x"}, start.Add(time.Duration(i)))
 	}
-	c.Assert(len(b.cases), qt.Equals, maxCases)
+	c.Assert(len(tracker.requests), qt.Equals, maxRequests)
 }
 
-func TestFingerprintTellsTeamsApart(t *testing.T) {
+func TestFingerprintDependsOnTeam(t *testing.T) {
 	c := qt.New(t)
 	c.Assert(NewFingerprint("a", "bc"), qt.Not(qt.Equals), NewFingerprint("ab", "c"))
 	c.Assert(NewFingerprint("a", "x", "y"), qt.Equals, NewFingerprint("a", "x", "y"))
 }
 
-// world is a model of servers, entry hosts and callers round one book.
-type world struct {
-	book    Tracker
+// model is a model of servers, entry hosts and callers around one tracker.
+type model struct {
+	tracker Tracker
 	now     time.Time
 	servers []string
 	dead    map[string]bool
-	// known holds the entry hosts that know of the conviction.
-	known map[int]bool
-	runs  []*run
-	// reports are deaths that have not reached the book yet.
+	// informed holds the entry hosts that know that the request is blocked.
+	informed map[int]bool
+	runs     []*run
+	// reports are deaths that have not reached the tracker yet.
 	reports []report
-	// lost counts the servers that the crasher took down, unaware the copies
-	// that began where the conviction was not known.
-	lost, unaware int
-	convicted     bool
-	innocentGone  bool
+	// lost counts the servers that the poisoned request crashed, uninformed the
+	// copies that were sent through an entry host that did not know of the
+	// block.
+	lost, uninformed int
+	blocked          bool
+	harmlessBlocked  bool
 }
 
-// run is one copy of a request on a server.
+// run is one copy of a request.
 type run struct {
-	mark       Fingerprint
-	holder     string
-	entry      int
-	server     string
-	crasher    bool
-	progressed bool
-	waiting    bool
-	dead       []string
+	fingerprint Fingerprint
+	holder      string
+	entry       int
+	server      string
+	poisoned    bool
+	progressed  bool
+	waiting     bool
+	crashes     []string
 }
 
+// report is the death of a server under a run.
 type report struct {
 	run    *run
 	server string
 }
 
-func (w *world) alive() []string {
+func (m *model) alive() []string {
 	var all []string
-	for _, s := range w.servers {
-		if !w.dead[s] {
+	for _, s := range m.servers {
+		if !m.dead[s] {
 			all = append(all, s)
 		}
 	}
 	return all
 }
 
-// admit lets a waiting copy begin on a server if the book says so.
-func (w *world) admit(r *run, server string) {
-	w.book.Merge(r.mark, r.dead, w.now)
-	switch w.book.Acquire(r.mark, r.holder, []string{server}, w.now) {
+// admit starts a waiting copy on a server if the tracker allows it.
+func (m *model) admit(r *run, server string) {
+	m.tracker.Merge(r.fingerprint, r.crashes, m.now)
+	switch m.tracker.Acquire(r.fingerprint, r.holder, []string{server}, m.now) {
 	case Allowed, Isolated:
 		r.server, r.waiting, r.progressed = server, false, false
 	case Blocked:
-		w.end(r)
+		m.end(r)
 	case Wait:
 	}
 }
 
-func (w *world) end(r *run) {
-	for i, other := range w.runs {
+func (m *model) end(r *run) {
+	for i, other := range m.runs {
 		if other == r {
-			w.runs = append(w.runs[:i], w.runs[i+1:]...)
+			m.runs = append(m.runs[:i], m.runs[i+1:]...)
 		}
 	}
-	if !r.crasher {
-		w.innocentGone = true
+	if !r.poisoned {
+		m.harmlessBlocked = true
 	}
 }
 
-// crash lets the crasher run: its server dies under all that run there.
-func (w *world) crash(r *run) {
+// crash lets the poisoned request run: its server dies under all requests that
+// run there.
+func (m *model) crash(r *run) {
 	server := r.server
-	w.dead[server] = true
-	w.lost++
-	for _, other := range w.runs {
+	m.dead[server] = true
+	m.lost++
+	for _, other := range m.runs {
 		if other.server == server {
 			other.server, other.waiting = "", false
-			w.reports = append(w.reports, report{other, server})
+			m.reports = append(m.reports, report{other, server})
 		}
 	}
 }
 
-// deliver brings one report to the book.
-func (w *world) deliver(i int) {
-	p := w.reports[i]
-	w.reports = append(w.reports[:i], w.reports[i+1:]...)
-	before := w.book.Crashes(p.run.mark)
-	outcome := w.book.RecordCrash(p.run.mark, p.server, p.run.progressed, w.now)
-	if w.book.Crashes(p.run.mark) > before {
-		p.run.dead = append(p.run.dead, p.server)
+// deliver delivers one report to the tracker.
+func (m *model) deliver(i int) {
+	rep := m.reports[i]
+	m.reports = append(m.reports[:i], m.reports[i+1:]...)
+	before := m.tracker.Crashes(rep.run.fingerprint)
+	outcome := m.tracker.RecordCrash(rep.run.fingerprint, rep.server, rep.run.progressed, m.now)
+	if m.tracker.Crashes(rep.run.fingerprint) > before {
+		rep.run.crashes = append(rep.run.crashes, rep.server)
 	}
 	if outcome == Blocked {
-		w.convicted = w.convicted || p.run.crasher
-		w.end(p.run)
+		m.blocked = m.blocked || rep.run.poisoned
+		m.end(rep.run)
 		return
 	}
-	p.run.waiting = true
+	rep.run.waiting = true
 }
 
-// One request crashes each server that runs it. Its caller sends it through
-// one entry host after the other, some of which the conviction has not
-// reached; reports of deaths arrive in any order, while other requests come
-// and go. Two servers are lost, and one more for each entry host that had not
-// heard. No other request is refused while all have heard.
-func TestExploreCrasher(t *testing.T) {
+// One request crashes each server that runs it. Its caller sends it through one
+// entry host after another, some of which do not know of the block yet; reports
+// of deaths arrive in any order, while other requests come and go. Two servers
+// are lost, and one more for each copy sent through an uninformed entry host.
+// No other request is blocked while all entry hosts are informed.
+func TestPoisonedRequestModel(t *testing.T) {
 	const entries = 4
 	rapid.Check(t, func(t *rapid.T) {
-		w := &world{now: start, dead: map[string]bool{}, known: map[int]bool{}}
+		m := &model{now: start, dead: map[string]bool{}, informed: map[int]bool{}}
 		for i := range 9 {
-			w.servers = append(w.servers, fmt.Sprintf("s%d", i))
+			m.servers = append(m.servers, fmt.Sprintf("s%d", i))
 		}
 		pickServer := func(t *rapid.T) string {
-			alive := w.alive()
+			alive := m.alive()
 			if len(alive) == 0 {
 				t.Skip("no server")
 			}
 			return rapid.SampledFrom(alive).Draw(t, "server")
 		}
-		pickRun := func(t *rapid.T, fits func(*run) bool) *run {
+		pickRun := func(t *rapid.T, match func(*run) bool) *run {
 			var found []*run
-			for _, r := range w.runs {
-				if fits(r) {
+			for _, r := range m.runs {
+				if match(r) {
 					found = append(found, r)
 				}
 			}
@@ -211,64 +214,64 @@
 			return rapid.SampledFrom(found).Draw(t, "run")
 		}
 		next := 0
-		begin := func(t *rapid.T, mark Fingerprint, entry int, crasher bool) {
+		begin := func(t *rapid.T, fingerprint Fingerprint, entry int, poisoned bool) {
 			next++
-			r := &run{mark: mark, holder: fmt.Sprint(next), entry: entry, crasher: crasher, server: pickServer(t)}
-			w.runs = append(w.runs, r)
+			r := &run{fingerprint: fingerprint, holder: fmt.Sprint(next), entry: entry, poisoned: poisoned, server: pickServer(t)}
+			m.runs = append(m.runs, r)
 		}
 		t.Repeat(map[string]func(*rapid.T){
-			"innocent begins": func(t *rapid.T) {
+			"regular starts": func(t *rapid.T) {
 				begin(t, Fingerprint(fmt.Sprintf("good-%d", next)), 0, false)
 			},
-			"crasher is sent": func(t *rapid.T) {
-				for _, r := range w.runs {
-					if r.crasher {
-						t.Skip("its caller waits for the answer")
+			"poisoned starts": func(t *rapid.T) {
+				for _, r := range m.runs {
+					if r.poisoned {
+						t.Skip("its caller waits for the response")
 					}
 				}
-				for _, p := range w.reports {
-					if p.run.crasher {
-						t.Skip("its caller waits for the answer")
+				for _, rep := range m.reports {
+					if rep.run.poisoned {
+						t.Skip("its caller waits for the response")
 					}
 				}
 				entry := rapid.IntRange(0, entries-1).Draw(t, "entry")
-				if w.known[entry] {
+				if m.informed[entry] {
 					t.Skip("refused")
 				}
-				if w.convicted {
-					w.unaware++
+				if m.blocked {
+					m.uninformed++
 				}
-				w.known[entry] = true
+				m.informed[entry] = true
 				begin(t, "bad", entry, true)
 			},
-			"conviction reaches": func(t *rapid.T) {
-				if w.convicted {
-					w.known[rapid.IntRange(0, entries-1).Draw(t, "entry")] = true
+			"block reaches": func(t *rapid.T) {
+				if m.blocked {
+					m.informed[rapid.IntRange(0, entries-1).Draw(t, "entry")] = true
 				}
 			},
-			"crash": func(t *rapid.T) { w.crash(pickRun(t, func(r *run) bool { return r.crasher && r.server != "" })) },
+			"crash": func(t *rapid.T) { m.crash(pickRun(t, func(r *run) bool { return r.poisoned && r.server != "" })) },
 			"report": func(t *rapid.T) {
-				if len(w.reports) == 0 {
+				if len(m.reports) == 0 {
 					t.Skip("no report")
 				}
-				w.deliver(rapid.IntRange(0, len(w.reports)-1).Draw(t, "report"))
+				m.deliver(rapid.IntRange(0, len(m.reports)-1).Draw(t, "report"))
 			},
 			"try": func(t *rapid.T) {
 				r := pickRun(t, func(r *run) bool { return r.waiting })
-				w.admit(r, pickServer(t))
+				m.admit(r, pickServer(t))
 			},
 			"token": func(t *rapid.T) {
-				r := pickRun(t, func(r *run) bool { return !r.crasher && r.server != "" })
-				r.progressed, r.dead = true, nil
-				w.book.Clear(r.mark)
+				r := pickRun(t, func(r *run) bool { return !r.poisoned && r.server != "" })
+				r.progressed, r.crashes = true, nil
+				m.tracker.Clear(r.fingerprint)
 			},
-			"time": func(*rapid.T) { w.now = w.now.Add(100 * time.Millisecond) },
+			"time": func(*rapid.T) { m.now = m.now.Add(100 * time.Millisecond) },
 			"": func(t *rapid.T) {
-				if w.lost > MaxCrashes+w.unaware {
-					t.Fatalf("%d servers lost, %d sent where it was not known", w.lost, w.unaware)
+				if m.lost > MaxCrashes+m.uninformed {
+					t.Fatalf("%d servers lost, %d copies sent through uninformed entry hosts", m.lost, m.uninformed)
 				}
-				if w.innocentGone && w.unaware == 0 {
-					t.Fatal("an innocent request was convicted")
+				if m.harmlessBlocked && m.uninformed == 0 {
+					t.Fatal("a harmless request was blocked")
 				}
 			},
 		})
