--- a/parts/admit/admit.go
+++ b/parts/admit/admit.go
@@ -1,19 +1,19 @@
-// Package admit decides which requests of a pool run now, which wait, and
-// which are refused.
+// Package admit implements admission control for a pool: it decides which
+// requests run now, which wait, and which are refused.
 //
-// A [Queue] lets as many requests run at once as its limit says. Beyond it
-// they wait, each team in a line of its own, and the lines are served by
+// A [Queue] runs as many requests concurrently as its limit allows. Further
+// requests wait in one queue for each team, and these queues are served by
 // weighted fair queueing: a team's share of the pool is its weight among the
-// teams that want to run, however many requests it sends. A request that
+// teams with waiting requests, however many requests it sends. A request that
 // would wait too long, or could not meet its deadline, is refused on arrival.
-// So a refusal costs the caller no time, and a refused request has never left
-// for a backend server.
+// So a refusal costs the caller no time, and a refused request was never sent
+// to a backend server.
 //
-// A [Limiter] follows what the engines report on each token: how long it waited
-// for its turn against how long it ran.
+// A [Limiter] adapts the limit to what the engines report for each token: how
+// long it waited for its step compared to how long it ran.
 //
-// Queue and Limit are pure state machines that get the time as an argument; a
-// [Controller] is the shell that the request path calls.
+// Queue and Limiter are pure state machines that take the time as an argument;
+// a [Controller] makes them safe for concurrent use on the request path.
 package admit
 
 import (
@@ -22,55 +22,58 @@
 	"fuchsiashelf.dev/parts/fault"
 )
 
-// Request is a request that asks to run.
+// Request describes a request to admit.
 type Request struct {
-	// Team is who asks.
+	// Team is the team that sends the request.
 	Team string
-	// Weight is the team's share when the pool is full; at least 1.
+	// Weight is the team's weight in the fair queueing; at least 1.
 	Weight float64
-	// Cost is the work that the request asks for, in tokens; at least 1.
+	// Cost is the estimated work of the request, in tokens; at least 1.
 	Cost float64
 	// Bytes is the memory that the request holds while it waits.
 	Bytes int
 	// Deadline is when the caller stops waiting.
 	Deadline time.Time
-	// RunTime is how long the request runs by current figures, or zero if that
-	// is not known.
+	// RunTime is the estimated run time of the request; zero if it is not
+	// known.
 	RunTime time.Duration
 }
 
-// Limits are the bounds of one queue. The zero value bounds nothing and lets
-// no request wait.
+// Limits are the limits of one queue. With the zero value no request may wait.
 type Limits struct {
-	// MaxWait is the longest time that a request is let wait for its turn.
+	// MaxWait is the longest expected time that a request may wait for its
+	// turn.
 	MaxWait time.Duration
-	// MaxRequests is the most requests that wait.
+	// MaxRequests is the maximum number of waiting requests.
 	MaxRequests int
-	// MaxBytes is the most memory that waiting requests hold.
+	// MaxBytes is the maximum memory that waiting requests hold.
 	MaxBytes int
-	// Headroom is the room above the limit, as a part of it, for teams with
-	// credit left. Without it they would wait until a request of a team that
-	// uses more than its share comes to its end.
+	// Headroom is the capacity above the limit, as a fraction of it, for teams
+	// with credit. Without it they would wait until a request of a team above
+	// its share ends.
 	Headroom float64
 	// MaxCredit is how much work a team may save up for each unit of its weight
 	// while it uses less than its share. Requests come in bursts; without
-	// credit a team that keeps to its share on average waits behind one that
-	// always sends too much.
+	// credit a team that stays within its share on average would wait behind
+	// one that constantly exceeds its own.
 	MaxCredit float64
 }
 
-// retryFloor is the least time after which a refused caller may come back.
-// Sooner, a crowd of refused callers would itself be the load.
-const retryFloor = 200 * time.Millisecond
+// minRetryAfter is the shortest time after which a refused caller may return.
+// With a shorter one, the retries of many refused callers would overload the
+// entry host.
+const minRetryAfter = 200 * time.Millisecond
 
+// overloaded returns the error of a request that finds the queue full.
 func overloaded(message string, wait time.Duration) *fault.Error {
 	return &fault.Error{
 		Code: fault.Overloaded, Verdict: fault.NotRun, Message: message,
-		RetryAfter: max(wait, retryFloor),
+		RetryAfter: max(wait, minRetryAfter),
 	}
 }
 
-func tooLate(message string, wait time.Duration) *fault.Error {
+// deadlineExceeded returns the error of a request that can't meet its deadline.
+func deadlineExceeded(message string, wait time.Duration) *fault.Error {
 	e := overloaded(message, wait)
 	e.Code = fault.Deadline
 	return e
--- a/parts/admit/controller_test.go
+++ b/parts/admit/controller_test.go
@@ -14,24 +14,26 @@
 	"fuchsiashelf.dev/parts/fault"
 )
 
-func newDoor(limit float64) *admit.Controller {
+// newController returns a controller with a fixed limit.
+func newController(limit float64) *admit.Controller {
 	return &admit.Controller{
 		Limits:  admit.Limits{MaxWait: time.Hour, MaxRequests: 1000, MaxBytes: 1 << 20},
 		Limiter: admit.Limiter{Target: 1.5, Min: limit, Max: limit, Value: limit},
 	}
 }
 
-func soon(team string) admit.Request {
+// newRequest returns a request with a distant deadline.
+func newRequest(team string) admit.Request {
 	return admit.Request{Team: team, Weight: 1, Cost: 1, Deadline: time.Now().Add(time.Hour)}
 }
 
-// Many callers at once, some of which give up while they wait. Never do more
-// than the limit run, and at the end no place is lost.
-func TestDoorKeepsTheLimit(t *testing.T) {
+// Many callers send requests at once, and some of them give up while they wait.
+// Never more than the limit may run, and at the end every slot must be free.
+func TestControllerEnforcesLimit(t *testing.T) {
 	defer goleak.VerifyNone(t)
 	c := qt.New(t)
-	d := newDoor(3)
-	var running, most, ran atomic.Int64
+	ctl := newController(3)
+	var running, peak, ran atomic.Int64
 	var callers sync.WaitGroup
 	for i := range 200 {
 		callers.Go(func() {
@@ -40,7 +42,7 @@
 			if i%5 == 0 {
 				go cancel()
 			}
-			grant, e := d.Admit(ctx, soon("a"))
+			grant, e := ctl.Admit(ctx, newRequest("a"))
 			if e != nil {
 				c.Check(e.Verdict, qt.Equals, fault.NotRun)
 				return
@@ -48,38 +50,38 @@
 			defer grant.Release()
 			now := running.Add(1)
 			defer running.Add(-1)
-			for old := most.Load(); now > old && !most.CompareAndSwap(old, now); old = most.Load() {
+			for old := peak.Load(); now > old && !peak.CompareAndSwap(old, now); old = peak.Load() {
 			}
 			ran.Add(1)
 		})
 	}
 	callers.Wait()
-	c.Assert(most.Load() <= 3, qt.IsTrue)
+	c.Assert(peak.Load() <= 3, qt.IsTrue)
 	c.Assert(ran.Load() >= 160, qt.IsTrue)
-	c.Assert(d.Stats(), qt.Equals, admit.Stats{Limit: 3})
+	c.Assert(ctl.Stats(), qt.Equals, admit.Stats{Limit: 3})
 }
 
-func TestDoorRefusesAtTheDeadline(t *testing.T) {
+func TestControllerRefusesAtDeadline(t *testing.T) {
 	c := qt.New(t)
-	d := newDoor(1)
-	grant, e := d.Admit(context.Background(), soon("a"))
+	ctl := newController(1)
+	grant, e := ctl.Admit(context.Background(), newRequest("a"))
 	c.Assert(e == nil, qt.IsTrue)
 	defer grant.Release()
-	late := soon("b")
+	late := newRequest("b")
 	late.Deadline = time.Now().Add(time.Millisecond)
-	_, e = d.Admit(context.Background(), late)
+	_, e = ctl.Admit(context.Background(), late)
 	c.Assert(e.Code, qt.Equals, fault.Deadline)
 	c.Assert(e.Verdict, qt.Equals, fault.NotRun)
-	c.Assert(d.Stats(), qt.Equals, admit.Stats{Limit: 1, Running: 1})
+	c.Assert(ctl.Stats(), qt.Equals, admit.Stats{Limit: 1, Running: 1})
 }
 
-func BenchmarkDoor(b *testing.B) {
-	d := newDoor(1000)
-	a := soon("a")
+func BenchmarkController(b *testing.B) {
+	ctl := newController(1000)
+	req := newRequest("a")
 	b.ReportAllocs()
 	b.RunParallel(func(pb *testing.PB) {
 		for pb.Next() {
-			grant, e := d.Admit(context.Background(), a)
+			grant, e := ctl.Admit(context.Background(), req)
 			if e != nil {
 				b.Error(e)
 				return
--- a/parts/admit/limiter_test.go
+++ b/parts/admit/limiter_test.go
@@ -10,32 +10,32 @@
 	"fuchsiashelf.dev/parts/admit"
 )
 
-// pool is what a limit meets: up to full requests the wait is half a step,
-// and beyond it each further one adds to the wait of all.
-func waitAt(running, full float64) float64 {
-	return 0.5 + max(0, running/full-1)
+// tokenWait models the wait of a token: half a step up to the capacity of the
+// pool, and more with each further request.
+func tokenWait(running, capacity float64) float64 {
+	return 0.5 + max(0, running/capacity-1)
 }
 
-func TestLimitFindsTheCapacity(t *testing.T) {
+func TestLimiterConvergesToCapacity(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
-		full := rapid.Float64Range(4, 400).Draw(t, "full")
+		capacity := rapid.Float64Range(4, 400).Draw(t, "capacity")
 		l := &admit.Limiter{Target: 1.5, Min: 1, Max: 1e4, Value: rapid.Float64Range(1, 1000).Draw(t, "start")}
 		now := start
 		for range 400 {
 			now = now.Add(admit.MinAdaptInterval)
-			l.Adapt(now, waitAt(l.Value, full), int(l.Value))
+			l.Adapt(now, tokenWait(l.Value, capacity), int(l.Value))
 		}
-		got := waitAt(l.Value, full)
+		got := tokenWait(l.Value, capacity)
 		if got < 1.25 || got > 1.75 {
-			t.Fatalf("limit %v of %v, wait %v", l.Value, full, got)
+			t.Fatalf("limit %v, capacity %v, wait %v", l.Value, capacity, got)
 		}
 	})
 }
 
-// Callers that send little keep the pool idle. If that made the limit grow,
-// the first crowd after a quiet night would all be let in at once; if it made
-// the limit shrink, they would be refused while there is room.
-func TestLimitOfAnIdlePoolStays(t *testing.T) {
+// Callers that send little leave the pool idle. If the limit grew meanwhile,
+// the first burst after a quiet night would be admitted all at once; if it
+// shrank, requests would be refused despite free capacity.
+func TestLimitOfIdlePoolStays(t *testing.T) {
 	c := qt.New(t)
 	l := &admit.Limiter{Target: 1.5, Min: 1, Max: 100, Value: 50}
 	for i := range 100 {
@@ -45,25 +45,26 @@
 	c.Assert(l.Value, qt.Equals, 50.0)
 }
 
-// A new entry host starts with a limit above what the pool carries. Its
-// callers never reach the limit, and all of them get slow answers, until it
-// comes down to where it holds the pool at its target.
-func TestLimitAboveTheCapacityComesDown(t *testing.T) {
+// A new entry host starts with a limit above the capacity of the pool. The
+// requests never reach the limit, and all of them are slow until it decreases
+// to a value that holds the pool at its target.
+func TestLimitAboveCapacityDecreases(t *testing.T) {
 	c := qt.New(t)
 	l := &admit.Limiter{Target: 1.5, Min: 1, Max: 1000, Value: 1000}
-	const demand, full = 100, 20
+	const demand, capacity = 100, 20
 	now := start
 	for range 100 {
 		now = now.Add(admit.MinAdaptInterval)
 		running := min(int(l.Value), demand)
-		l.Adapt(now, waitAt(float64(running), full), running)
+		l.Adapt(now, tokenWait(float64(running), capacity), running)
 	}
 	c.Assert(l.Value > 30 && l.Value < 50, qt.IsTrue, qt.Commentf("%v", l.Value))
 }
 
-// After a cut, requests that run already still hold the pool for a while. If
-// each report of them cut again, the limit would fall far below the capacity.
-func TestLimitIsCutOnceForTheSameRequests(t *testing.T) {
+// After a decrease, the requests that already run keep the pool overloaded for
+// a while. If each of their reports decreased the limit again, it would fall
+// far below the capacity.
+func TestLimitDecreasesOnceForTheSameRequests(t *testing.T) {
 	c := qt.New(t)
 	l := &admit.Limiter{Target: 1.5, Min: 1, Max: 1000, Value: 100}
 	for i := range 50 {
--- a/parts/admit/localrate.go
+++ b/parts/admit/localrate.go
@@ -5,85 +5,87 @@
 	"time"
 )
 
-// Peers is what one entry host knows of the others when it divides a team's
-// limit.
+// Peers is what one entry host knows of all entry hosts when it divides the
+// rate limit of a team.
 type Peers struct {
-	// Listed is the number of entry hosts that the platform lists, this one
-	// included.
+	// Listed is the number of entry hosts in the host list, including this one.
 	Listed int
-	// Alive is how many of them are known to be alive, this one included.
+	// Alive is the number of entry hosts that are known to be alive, including
+	// this one.
 	Alive int
-	// Rate returns the requests per second of a team that the other entry
-	// hosts have told of; nil if nothing is told.
+	// Rate returns the requests per second of a team at the other entry hosts,
+	// as they reported them; nil if there are no reports.
 	Rate func(team string) float64
 }
 
-// idleShare is the part of an even share that is added to what each entry host
-// is asked for, so that one that was asked for nothing lets the first requests
-// through before the others have heard of them.
-const idleShare = 0.1
+// idleDemand is the fraction of an even share that is added to the demand of
+// each entry host, so that a host without demand admits the first requests
+// before the others have heard of them.
+const idleDemand = 0.1
 
-// LocalRate returns how much of a team's limit one entry host lets through, in
-// requests per second. Own and others are what is asked for here and on all
-// others that can be reached, refused requests included.
+// LocalRate returns the part of a team's rate limit that one entry host
+// applies, in requests per second. Own and others are the demand at this entry
+// host and at all other reachable ones, refused requests included.
 //
-// The platform's balancer may send most of a team's requests to few entry
-// hosts. With an even division they would be refused there while the team is
-// far below its limit. So the limit is divided as the requests are; the parts
-// of hosts that know the same add up to the limit. Hosts that can't be reached
-// keep their even part, so that the two sides of a partition stay within the
-// limit together.
-func LocalRate(limit, own, others float64, reached, listed int) float64 {
+// The platform's load balancer may send most requests of a team to few entry
+// hosts. If the limit were divided evenly, they would be refused there while
+// the team is far below it. So the limit is divided in proportion to the
+// demand; the parts of entry hosts with the same information add up to the
+// limit. Unreachable entry hosts keep their even part, so that the two sides of
+// a partition together stay within the limit.
+func LocalRate(limit, own, others float64, alive, listed int) float64 {
 	listed = max(listed, 1)
-	reached = min(max(reached, 1), listed)
+	alive = min(max(alive, 1), listed)
 	even := limit / float64(listed)
-	floor := idleShare * even
-	mine := own + floor
-	theirs := others + floor*float64(reached-1)
-	return even * float64(reached) * mine / (mine + theirs)
+	floor := idleDemand * even
+	local := own + floor
+	remote := others + floor*float64(alive-1)
+	return even * float64(alive) * local / (local + remote)
 }
 
-// demand is the rate at which a team's requests come, refused ones included.
-// The request path only counts; whoever comes first after demandStep folds
-// the count into the rate.
+// demand measures the rate at which a team sends requests, including refused
+// ones. The request path only increments the count; the first call after
+// demandInterval updates the rate from it.
 type demand struct {
 	count atomic.Int64
 	state atomic.Pointer[demandState]
 }
 
+// demandState is the rate as of one update.
 type demandState struct {
 	at   time.Time
 	rate float64
 }
 
-// The meter of a demand. The step is the time between two exchanges with
-// other entry hosts, and the weight follows a change within some three.
+// The parameters of the moving average of a demand. The interval is that of
+// gossip rounds between entry hosts, and the weight follows a change within
+// about three of them.
 const (
-	demandStep   = time.Second
-	demandWeight = 0.5
+	demandInterval = time.Second
+	demandWeight   = 0.5
 )
 
-// fold brings the rate up to date, and reports whether this call did.
-func (d *demand) fold(now time.Time) bool {
+// update updates the rate if it is due, and reports whether this call did so.
+func (d *demand) update(now time.Time) bool {
 	old := d.state.Load()
 	if old == nil {
 		return d.state.CompareAndSwap(nil, &demandState{at: now})
 	}
-	passed := now.Sub(old.at)
-	if passed < demandStep {
+	elapsed := now.Sub(old.at)
+	if elapsed < demandInterval {
 		return false
 	}
 	next := &demandState{at: now, rate: old.rate}
 	if !d.state.CompareAndSwap(old, next) {
 		return false
 	}
-	came := float64(d.count.Swap(0)) / passed.Seconds()
-	folded := &demandState{at: now, rate: old.rate + demandWeight*(came-old.rate)}
-	d.state.CompareAndSwap(next, folded)
+	observed := float64(d.count.Swap(0)) / elapsed.Seconds()
+	updated := &demandState{at: now, rate: old.rate + demandWeight*(observed-old.rate)}
+	d.state.CompareAndSwap(next, updated)
 	return true
 }
 
-// rate returns the rate as last folded, in requests per second.
+// rate returns the rate of the last update, in requests per second.
 func (d *demand) rate() float64 {
 	if s := d.state.Load(); s != nil {
 		return s.rate
--- a/parts/admit/localrate_test.go
+++ b/parts/admit/localrate_test.go
@@ -11,16 +11,16 @@
 	"fuchsiashelf.dev/parts/quota"
 )
 
-// Whatever the hosts of a fleet are asked for, the parts of those that know
-// the same never add up to more than the limit, on both sides of a partition
-// taken together too.
-func TestPartsStayWithinTheLimit(t *testing.T) {
+// Whatever the demand at the entry hosts, the parts of those with the same
+// information never add up to more than the limit, nor do the parts on both
+// sides of a partition together.
+func TestLocalRatesStayWithinLimit(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		limit := rapid.Float64Range(0.1, 1000).Draw(t, "limit")
 		demands := rapid.SliceOfN(rapid.Float64Range(0, 2000), 1, 12).Draw(t, "demands")
-		cut := rapid.IntRange(0, len(demands)).Draw(t, "cut")
+		split := rapid.IntRange(0, len(demands)).Draw(t, "split")
 		sum := 0.0
-		for _, side := range [][]float64{demands[:cut], demands[cut:]} {
+		for _, side := range [][]float64{demands[:split], demands[split:]} {
 			total := 0.0
 			for _, d := range side {
 				total += d
@@ -30,38 +30,39 @@
 			}
 		}
 		if sum > limit*1.000001 {
-			t.Fatalf("parts add up to %v of %v", sum, limit)
+			t.Fatalf("local rates add up to %v, limit %v", sum, limit)
 		}
 	})
 }
 
-// The balancer sends all requests of a team to one of four entry hosts. They
-// are within the team's limit, and yet most would be refused if each host let
-// a fourth of the limit through.
-func TestLimitFollowsTheRequests(t *testing.T) {
+// The load balancer sends all requests of a team to one of four entry hosts.
+// They are within the team's limit, but most would be refused if each entry
+// host applied a fourth of it.
+func TestLocalRateFollowsDemand(t *testing.T) {
 	c := qt.New(t)
-	d := quota.Quota{Rate: 100, Burst: 10}
+	q := quota.Quota{Rate: 100, Burst: 10}
 	count := func(others func(string) float64) int {
 		r := &admit.RateLimiter{}
-		fleet := admit.Peers{Listed: 4, Alive: 4, Rate: others}
+		peers := admit.Peers{Listed: 4, Alive: 4, Rate: others}
 		now := time.Now()
-		passed := 0
+		allowed := 0
 		for i := range 800 {
-			if r.Allow(now.Add(time.Duration(i)*time.Second/80), "cantata", d, fleet) == nil && i >= 400 {
-				passed++
+			if r.Allow(now.Add(time.Duration(i)*time.Second/80), "cantata", q, peers) == nil && i >= 400 {
+				allowed++
 			}
 		}
-		return passed
+		return allowed
 	}
 	c.Assert(count(func(string) float64 { return 0 }), qt.Equals, 400)
-	// The others are asked for as much as their whole part: little is left.
+	// The demand at the others takes up their whole parts: little is left.
 	busy := count(func(string) float64 { return 240 })
 	c.Assert(busy >= 100 && busy <= 140, qt.IsTrue, qt.Commentf("%d", busy))
 }
 
-// A team goes quiet. Were its last rate told on for good, the other hosts
-// would leave room for requests that never come.
-func TestUsageOfAQuietTeamEnds(t *testing.T) {
+// A team stops sending requests. If its last rate were reported for ever, the
+// other entry hosts would reserve part of its limit for requests that never
+// come.
+func TestUsageOfQuietTeamEnds(t *testing.T) {
 	c := qt.New(t)
 	r := &admit.RateLimiter{}
 	now := time.Now()
--- a/parts/admit/queue.go
+++ b/parts/admit/queue.go
@@ -6,260 +6,265 @@
 	"fuchsiashelf.dev/parts/fault"
 )
 
-// Queue decides for one pool. Set the exported fields before first use. It
-// is not safe for several goroutines.
+// Queue admits the requests of one pool. Set the exported fields before first
+// use. It is not safe for concurrent use.
 type Queue struct {
 	Limits Limits
-	// Limit is how many requests run at once.
+	// Limit is the maximum number of requests that run concurrently.
 	Limit float64
 
-	teams   map[string]*line
+	teams   map[string]*teamQueue
 	running int
 	waiting int
 	bytes   int
-	// virtual is the virtual time: the start tag of the last request that
-	// was let run.
-	virtual float64
-	pace    pace
+	// virtualTime is the virtual time of the fair queueing: the start tag of
+	// the last request that was started.
+	virtualTime float64
+	runTimes    runTimes
 }
 
-// line is the line of one team.
-type line struct {
+// teamQueue holds the waiting requests of one team.
+type teamQueue struct {
 	weight float64
-	// finish is the finish tag of the last request that joined.
-	finish  float64
-	running int
-	items   []*Item
+	// finishTag is the finish tag of the last request of the team.
+	finishTag float64
+	running   int
+	items     []*Item
 }
 
-// Item is a request that waits or runs.
+// Item is a waiting or running request.
 type Item struct {
 	Request
-	// Running says that the request was let run.
+	// Running reports that the request was started.
 	Running bool
-	// Credit says that its team had credit left when it was let run.
+	// Credit reports that its team had credit left when it was started.
 	Credit bool
 
-	arrived, began time.Time
-	start          float64
-	wake           chan struct{}
+	arrivedAt, startedAt time.Time
+	startTag             float64
+	wake                 chan struct{}
 }
 
-// Running returns how many requests run.
+// Running returns the number of running requests.
 func (q *Queue) Running() int { return q.running }
 
-// Waiting returns how many requests wait.
+// Waiting returns the number of waiting requests.
 func (q *Queue) Waiting() int { return q.waiting }
 
-// Submit takes a request in, running or waiting, or refuses it.
-func (q *Queue) Submit(now time.Time, ask Request) (*Item, *fault.Error) {
-	ask.Weight, ask.Cost = max(ask.Weight, 1), max(ask.Cost, 1)
-	l := q.line(&ask)
-	left := ask.Deadline.Sub(now)
-	if ask.RunTime > left {
-		q.forget(ask.Team)
-		return nil, tooLate("runs longer than its deadline allows", 0)
+// Submit starts a request, queues it, or refuses it.
+func (q *Queue) Submit(now time.Time, req Request) (*Item, *fault.Error) {
+	req.Weight, req.Cost = max(req.Weight, 1), max(req.Cost, 1)
+	tq := q.teamQueue(&req)
+	left := req.Deadline.Sub(now)
+	if req.RunTime > left {
+		q.dropIdle(req.Team)
+		return nil, deadlineExceeded("the expected run time exceeds the deadline", 0)
 	}
-	item := &Item{Request: ask, arrived: now}
-	if len(l.items) == 0 && q.room(q.start(l)) {
-		q.tag(l, item)
-		q.run(now, l, item)
+	item := &Item{Request: req, arrivedAt: now}
+	if len(tq.items) == 0 && q.hasCapacity(q.startTag(tq)) {
+		q.assignTags(tq, item)
+		q.begin(now, tq, item)
 		return item, nil
 	}
-	if e := q.refuse(l, &ask, left); e != nil {
-		q.forget(ask.Team)
+	if e := q.rejection(tq, &req, left); e != nil {
+		q.dropIdle(req.Team)
 		return nil, e
 	}
-	q.tag(l, item)
-	l.items = append(l.items, item)
+	q.assignTags(tq, item)
+	tq.items = append(tq.items, item)
 	q.waiting++
-	q.bytes += ask.Bytes
+	q.bytes += req.Bytes
 	return item, nil
 }
 
-// refuse returns why a request must not wait, or nil.
-func (q *Queue) refuse(l *line, ask *Request, left time.Duration) *fault.Error {
-	wait := q.wait(l)
+// rejection returns why a request must not wait, or nil.
+func (q *Queue) rejection(tq *teamQueue, req *Request, left time.Duration) *fault.Error {
+	wait := q.expectedWait(tq)
 	switch {
 	case wait > q.Limits.MaxWait:
-		return overloaded("too many requests of the team wait", wait)
-	case wait+ask.RunTime > left:
-		return tooLate("waits longer than its deadline allows", wait)
+		return overloaded("the expected wait of the team's requests exceeds the limit", wait)
+	case wait+req.RunTime > left:
+		return deadlineExceeded("the expected wait exceeds the deadline", wait)
 	case q.waiting >= q.Limits.MaxRequests:
-		return overloaded("too many requests wait", wait)
-	case q.bytes+ask.Bytes > q.Limits.MaxBytes:
+		return overloaded("too many requests are waiting", wait)
+	case q.bytes+req.Bytes > q.Limits.MaxBytes:
 		return overloaded("the waiting requests hold too much memory", wait)
 	}
 	return nil
 }
 
-// wait returns how long a request that joins a line now is going to wait, if
-// the running requests end as those before them did. A team with credit left
-// is served in the order of tags; another one at the rate of its share.
-func (q *Queue) wait(l *line) time.Duration {
-	start, ahead, share := q.start(l), 0.0, 1.0
-	lines := q.teams
-	if start > q.virtual {
-		lines, share = map[string]*line{"": l}, l.weight/q.weights(l)
+// expectedWait returns how long a request that joins a team's queue now is
+// expected to wait, if the running requests end at the same rate as before.
+// Requests of a team with credit are served in the order of their start tags;
+// those of another team at the rate of its share.
+func (q *Queue) expectedWait(tq *teamQueue) time.Duration {
+	start, ahead, share := q.startTag(tq), 0.0, 1.0
+	queues := q.teams
+	if start > q.virtualTime {
+		queues, share = map[string]*teamQueue{"": tq}, tq.weight/q.activeWeight(tq)
 	}
-	for _, other := range lines {
+	for _, other := range queues {
 		for _, item := range other.items {
-			if item.start <= start {
+			if item.startTag <= start {
 				ahead += item.Cost
 			}
 		}
 	}
-	return q.pace.wait(ahead, share, q.running)
+	return q.runTimes.expectedWait(ahead, share, q.running)
 }
 
-// start returns the start tag of a request that joins a line now. A line that
-// was empty starts at the virtual time, less the credit: a team saves up no
+// startTag returns the start tag of a request that joins a team's queue now. An
+// idle team starts at the virtual time less the maximum credit: it saves up no
 // more than that while it sends little.
-func (q *Queue) start(l *line) float64 {
-	return max(q.virtual-q.Limits.MaxCredit, l.finish)
+func (q *Queue) startTag(tq *teamQueue) float64 {
+	return max(q.virtualTime-q.Limits.MaxCredit, tq.finishTag)
 }
 
-// weights returns the weight of all lines in which requests wait, with l.
-func (q *Queue) weights(l *line) float64 {
+// activeWeight returns the total weight of the teams with waiting requests,
+// including the given one.
+func (q *Queue) activeWeight(tq *teamQueue) float64 {
 	sum := 0.0
 	for _, other := range q.teams {
-		if len(other.items) > 0 || other == l {
+		if len(other.items) > 0 || other == tq {
 			sum += other.weight
 		}
 	}
 	return sum
 }
 
-// line returns the line of a team, with its weight up to date.
-func (q *Queue) line(ask *Request) *line {
+// teamQueue returns the queue of a team, with its weight up to date.
+func (q *Queue) teamQueue(req *Request) *teamQueue {
 	if q.teams == nil {
-		q.teams = map[string]*line{}
+		q.teams = map[string]*teamQueue{}
 	}
-	l := q.teams[ask.Team]
-	if l == nil {
-		l = &line{finish: q.virtual - q.Limits.MaxCredit}
-		q.teams[ask.Team] = l
+	tq := q.teams[req.Team]
+	if tq == nil {
+		tq = &teamQueue{finishTag: q.virtualTime - q.Limits.MaxCredit}
+		q.teams[req.Team] = tq
 	}
-	l.weight = ask.Weight
-	return l
+	tq.weight = req.Weight
+	return tq
 }
 
-// tag gives a request its place.
-func (q *Queue) tag(l *line, item *Item) {
-	item.start = q.start(l)
-	l.finish = item.start + item.Cost/l.weight
+// assignTags sets the start tag of a request and the finish tag of its team.
+func (q *Queue) assignTags(tq *teamQueue, item *Item) {
+	item.startTag = q.startTag(tq)
+	tq.finishTag = item.startTag + item.Cost/tq.weight
 }
 
-// room reports whether a request with a start tag may run now. Up to the
-// limit any may; above it, within the reserve, those of a team with credit
-// left.
-func (q *Queue) room(start float64) bool {
+// hasCapacity reports whether a request with a start tag may run now. Below the
+// limit any request may; within the headroom above it, those of teams with
+// credit.
+func (q *Queue) hasCapacity(start float64) bool {
 	running := float64(q.running)
-	return running < q.Limit || running < q.Limit*(1+q.Limits.Headroom) && start < q.virtual
+	return running < q.Limit || running < q.Limit*(1+q.Limits.Headroom) && start < q.virtualTime
 }
 
-func (q *Queue) run(now time.Time, l *line, item *Item) {
-	item.Credit = item.start < q.virtual
-	q.virtual = max(q.virtual, item.start)
+// begin starts a request.
+func (q *Queue) begin(now time.Time, tq *teamQueue, item *Item) {
+	item.Credit = item.startTag < q.virtualTime
+	q.virtualTime = max(q.virtualTime, item.startTag)
 	q.running++
-	l.running++
-	item.Running, item.began = true, now
+	tq.running++
+	item.Running, item.startedAt = true, now
 }
 
-// Done notes that a request that ran has ended, and returns the requests that
+// Done records that a request that ran has ended, and returns the requests that
 // may run now.
 func (q *Queue) Done(now time.Time, item *Item) []*Item {
-	q.pace.add(now.Sub(item.began), item.Cost)
+	q.runTimes.observe(now.Sub(item.startedAt), item.Cost)
 	return q.Abort(now, item)
 }
 
-// Abort is Done for a request that was let run and was not started, so that
-// its time tells nothing.
+// Abort is like Done for a request that was started but did not run, so that
+// its time is not observed.
 func (q *Queue) Abort(now time.Time, item *Item) []*Item {
 	q.running--
 	q.teams[item.Team].running--
 	next := q.Dispatch(now)
-	q.forget(item.Team)
+	q.dropIdle(item.Team)
 	return next
 }
 
-// Dispatch lets waiting requests run while there is room, lowest start tag
+// Dispatch starts waiting requests while there is capacity, lowest start tag
 // first. Call it after Limit has grown.
 func (q *Queue) Dispatch(now time.Time) []*Item {
 	var next []*Item
 	for q.waiting > 0 {
-		l := q.first()
-		if l == nil {
+		tq := q.next()
+		if tq == nil {
 			break
 		}
-		item := l.items[0]
-		q.leave(l, 0)
-		q.run(now, l, item)
+		item := tq.items[0]
+		q.remove(tq, 0)
+		q.begin(now, tq, item)
 		next = append(next, item)
 	}
 	return next
 }
 
-// first returns the line to serve next, or nil if there is no room. Lines
-// with equal tags are served by arrival, so that the choice never hangs on
+// next returns the team queue to serve next, or nil if there is no capacity.
+// Equal start tags are served by arrival, so that the choice never depends on
 // the order of a map.
-func (q *Queue) first() *line {
-	var best *line
-	for _, l := range q.teams {
-		if len(l.items) == 0 || !q.room(l.items[0].start) {
+func (q *Queue) next() *teamQueue {
+	var best *teamQueue
+	for _, tq := range q.teams {
+		if len(tq.items) == 0 || !q.hasCapacity(tq.items[0].startTag) {
 			continue
 		}
-		if best == nil || l.items[0].before(best.items[0]) {
-			best = l
+		if best == nil || tq.items[0].less(best.items[0]) {
+			best = tq
 		}
 	}
 	return best
 }
 
-func (i *Item) before(other *Item) bool {
-	if i.start != other.start {
-		return i.start < other.start
+// less reports whether an item is served before another one.
+func (i *Item) less(other *Item) bool {
+	if i.startTag != other.startTag {
+		return i.startTag < other.startTag
 	}
-	if !i.arrived.Equal(other.arrived) {
-		return i.arrived.Before(other.arrived)
+	if !i.arrivedAt.Equal(other.arrivedAt) {
+		return i.arrivedAt.Before(other.arrivedAt)
 	}
 	return i.Team < other.Team
 }
 
-// Cancel takes a waiting request out, and reports whether it still waited. One
-// that was let run meanwhile stays in, until Done.
+// Cancel removes a waiting request, and reports whether it was still waiting. A
+// request that was started meanwhile stays until Done.
 func (q *Queue) Cancel(item *Item) bool {
 	if item.Running {
 		return false
 	}
-	l := q.teams[item.Team]
-	if l == nil {
+	tq := q.teams[item.Team]
+	if tq == nil {
 		return false
 	}
-	for i, other := range l.items {
+	for i, other := range tq.items {
 		if other == item {
-			q.leave(l, i)
-			q.forget(item.Team)
+			q.remove(tq, i)
+			q.dropIdle(item.Team)
 			return true
 		}
 	}
 	return false
 }
 
-func (q *Queue) leave(l *line, i int) {
+// remove removes the item at an index from a team's queue.
+func (q *Queue) remove(tq *teamQueue, i int) {
 	q.waiting--
-	q.bytes -= l.items[i].Bytes
-	copy(l.items[i:], l.items[i+1:])
-	l.items[len(l.items)-1] = nil
-	l.items = l.items[:len(l.items)-1]
+	q.bytes -= tq.items[i].Bytes
+	copy(tq.items[i:], tq.items[i+1:])
+	tq.items[len(tq.items)-1] = nil
+	tq.items = tq.items[:len(tq.items)-1]
 }
 
-// forget drops the line of a team that has nothing in the queue and no finish
-// tag ahead of the virtual time. Otherwise lines of teams that no longer call
-// would pile up.
-func (q *Queue) forget(team string) {
-	l := q.teams[team]
-	if l != nil && l.running == 0 && len(l.items) == 0 && l.finish <= q.virtual-q.Limits.MaxCredit {
+// dropIdle removes the queue of a team that has no requests and no finish tag
+// ahead of the virtual time less the credit. Otherwise the queues of teams that
+// no longer send requests would accumulate.
+func (q *Queue) dropIdle(team string) {
+	tq := q.teams[team]
+	if tq != nil && tq.running == 0 && len(tq.items) == 0 && tq.finishTag <= q.virtualTime-q.Limits.MaxCredit {
 		delete(q.teams, team)
 	}
 }
--- a/parts/admit/queue_test.go
+++ b/parts/admit/queue_test.go
@@ -14,31 +14,33 @@
 
 var start = time.Unix(1000, 0)
 
-func bounds() admit.Limits {
+// limits returns limits that the tests do not reach.
+func limits() admit.Limits {
 	return admit.Limits{MaxWait: time.Hour, MaxRequests: 1000, MaxBytes: 1 << 20}
 }
 
-func ask(team string, cost float64) admit.Request {
+// newRequestWithCost returns a request with a distant deadline.
+func newRequestWithCost(team string, cost float64) admit.Request {
 	return admit.Request{Team: team, Weight: 1, Cost: cost, Deadline: start.Add(24 * time.Hour)}
 }
 
-// A request that can't be answered before its caller gives up would hold a
-// place for nothing, and the caller would learn of it only at the deadline.
-func TestRequestsThatCannotMeetTheirDeadlineAreRefused(t *testing.T) {
+// A request that can't end before its deadline would use a slot in vain, and
+// its caller would learn of it only at the deadline.
+func TestUnmeetableDeadlineIsRefused(t *testing.T) {
 	c := qt.New(t)
-	q := &admit.Queue{Limits: bounds(), Limit: 1}
-	late := ask("a", 10)
+	q := &admit.Queue{Limits: limits(), Limit: 1}
+	late := newRequestWithCost("a", 10)
 	late.Deadline, late.RunTime = start.Add(time.Second), 2*time.Second
 	_, e := q.Submit(start, late)
 	c.Assert(e.Code, qt.Equals, fault.Deadline)
 	c.Assert(e.Verdict, qt.Equals, fault.NotRun)
 
-	// One that ran for 4 s and one that runs show that the next waits 4 s.
-	first, e := q.Submit(start, ask("a", 10))
+	// One request ran for 4 s and another one is running: the next waits 4 s.
+	first, e := q.Submit(start, newRequestWithCost("a", 10))
 	c.Assert(e == nil, qt.IsTrue)
 	now := start.Add(4 * time.Second)
 	q.Done(now, first)
-	_, e = q.Submit(now, ask("a", 10))
+	_, e = q.Submit(now, newRequestWithCost("a", 10))
 	c.Assert(e == nil, qt.IsTrue)
 	late.Deadline, late.RunTime = now.Add(3*time.Second), time.Second
 	_, e = q.Submit(now, late)
@@ -46,29 +48,29 @@
 	c.Assert(e.RetryAfter, qt.Equals, 4*time.Second)
 }
 
-// Waiting requests hold memory. Without bounds a flood of them would take the
-// host down and with it the requests that run.
-func TestQueueIsBounded(t *testing.T) {
+// Waiting requests hold memory. Without limits a flood of them would take down
+// the entry host, and the running requests with it.
+func TestQueueLimits(t *testing.T) {
 	for _, test := range []struct {
-		name   string
-		bounds admit.Limits
-		why    string
+		name    string
+		limits  admit.Limits
+		message string
 	}{
-		{"requests", admit.Limits{MaxWait: time.Hour, MaxRequests: 2, MaxBytes: 100}, "too many requests wait"},
+		{"requests", admit.Limits{MaxWait: time.Hour, MaxRequests: 2, MaxBytes: 100}, "too many requests are waiting"},
 		{"bytes", admit.Limits{MaxWait: time.Hour, MaxRequests: 9, MaxBytes: 25}, ".*too much memory"},
-		{"none wait", admit.Limits{}, "too many requests wait"},
+		{"none wait", admit.Limits{}, "too many requests are waiting"},
 	} {
 		t.Run(test.name, func(t *testing.T) {
 			c := qt.New(t)
-			q := &admit.Queue{Limits: test.bounds, Limit: 1}
-			a := ask("a", 1)
-			a.Bytes = 10
+			q := &admit.Queue{Limits: test.limits, Limit: 1}
+			req := newRequestWithCost("a", 1)
+			req.Bytes = 10
 			var e *fault.Error
 			for i := 0; i < 4 && e == nil; i++ {
-				_, e = q.Submit(start, a)
+				_, e = q.Submit(start, req)
 			}
 			c.Assert(e != nil, qt.IsTrue)
-			c.Assert(e.Message, qt.Matches, test.why)
+			c.Assert(e.Message, qt.Matches, test.message)
 			c.Assert(e.Code, qt.Equals, fault.Overloaded)
 			c.Assert(e.Verdict, qt.Equals, fault.NotRun)
 			c.Assert(e.RetryAfter > 0, qt.IsTrue)
@@ -76,36 +78,36 @@
 	}
 }
 
-// One team sends ten times its share and fills the limit. Another, below its
-// share, must not wait until one of those comes to its end.
-func TestReserveIsForTeamsBelowTheirShare(t *testing.T) {
+// One team sends ten times its share and fills the limit. Another team, below
+// its share, must not wait until one of these requests ends.
+func TestHeadroomIsForTeamsBelowTheirShare(t *testing.T) {
 	c := qt.New(t)
-	b := bounds()
-	b.Headroom, b.MaxCredit = 0.2, 5
-	q := &admit.Queue{Limits: b, Limit: 10}
+	lim := limits()
+	lim.Headroom, lim.MaxCredit = 0.2, 5
+	q := &admit.Queue{Limits: lim, Limit: 10}
 	for range 12 {
-		_, e := q.Submit(start, ask("loud", 1))
+		_, e := q.Submit(start, newRequestWithCost("loud", 1))
 		c.Assert(e == nil, qt.IsTrue)
 	}
 	c.Assert(q.Running(), qt.Equals, 10)
-	item, e := q.Submit(start, ask("quiet", 1))
+	item, e := q.Submit(start, newRequestWithCost("quiet", 1))
 	c.Assert(e == nil, qt.IsTrue)
 	c.Assert(item.Running, qt.IsTrue)
 	c.Assert(q.Waiting(), qt.Equals, 2)
 }
 
-// A team keeps to its share on average, but its requests come in bursts.
-// Another sends ten times its share all the time. The burst goes first, since
-// its team has left so much unused before.
-func TestBurstsOfTeamsWithCreditGoFirst(t *testing.T) {
-	first := func(credit float64) int {
+// A team stays within its share on average, but its requests come in bursts,
+// while another team constantly sends ten times its share. The burst runs
+// first, since its team left so much capacity unused before.
+func TestBurstsOfTeamsWithCreditRunFirst(t *testing.T) {
+	quietStarted := func(credit float64) int {
 		c := qt.New(t)
-		b := bounds()
-		b.MaxCredit = credit
-		q := &admit.Queue{Limits: b, Limit: 1}
-		running, _ := q.Submit(start, ask("loud", 10))
+		lim := limits()
+		lim.MaxCredit = credit
+		q := &admit.Queue{Limits: lim, Limit: 1}
+		running, _ := q.Submit(start, newRequestWithCost("loud", 10))
 		for range 30 {
-			_, e := q.Submit(start, ask("loud", 10))
+			_, e := q.Submit(start, newRequestWithCost("loud", 10))
 			c.Assert(e == nil, qt.IsTrue)
 		}
 		for range 20 {
@@ -113,7 +115,7 @@
 		}
 		quiet := 0
 		for range 6 {
-			_, e := q.Submit(start, ask("quiet", 10))
+			_, e := q.Submit(start, newRequestWithCost("quiet", 10))
 			c.Assert(e == nil, qt.IsTrue)
 		}
 		for range 6 {
@@ -125,46 +127,47 @@
 		return quiet
 	}
 	c := qt.New(t)
-	c.Assert(first(0) <= 4, qt.IsTrue)
-	c.Assert(first(100), qt.Equals, 6)
+	c.Assert(quietStarted(0) <= 4, qt.IsTrue)
+	c.Assert(quietStarted(100), qt.Equals, 6)
 }
 
-// world drives a queue at random and keeps its own account of it.
-type world struct {
+// model drives a queue with random operations and tracks the expected state.
+type model struct {
 	queue   admit.Queue
 	now     time.Time
 	running []*admit.Item
 	waiting []*admit.Item
 }
 
-func (w *world) arrive(t *rapid.T) {
+func (m *model) submit(t *rapid.T) {
 	team := rapid.SampledFrom([]string{"a", "b", "c"}).Draw(t, "team")
-	a := admit.Request{
+	req := admit.Request{
 		Team: team, Weight: map[string]float64{"a": 1, "b": 2, "c": 5}[team],
 		Cost:     float64(rapid.IntRange(1, 9).Draw(t, "cost")),
 		Bytes:    rapid.IntRange(0, 20).Draw(t, "bytes"),
-		Deadline: w.now.Add(time.Duration(rapid.IntRange(1, 1000).Draw(t, "left")) * time.Millisecond),
+		Deadline: m.now.Add(time.Duration(rapid.IntRange(1, 1000).Draw(t, "left")) * time.Millisecond),
 		RunTime:  time.Duration(rapid.IntRange(0, 100).Draw(t, "needs")) * time.Millisecond,
 	}
-	room := float64(w.queue.Running()) < w.queue.Limit && w.queue.Waiting() == 0
-	item, e := w.queue.Submit(w.now, a)
+	hasCapacity := float64(m.queue.Running()) < m.queue.Limit && m.queue.Waiting() == 0
+	item, e := m.queue.Submit(m.now, req)
 	if e != nil {
 		if e.Verdict != fault.NotRun || e.RetryAfter <= 0 {
-			t.Fatalf("refused with %v, come back after %v", e.Verdict, e.RetryAfter)
+			t.Fatalf("refused with %v, retry after %v", e.Verdict, e.RetryAfter)
 		}
-		if room && a.RunTime <= a.Deadline.Sub(w.now) {
-			t.Fatalf("refused while there was room: %v", e)
+		if hasCapacity && req.RunTime <= req.Deadline.Sub(m.now) {
+			t.Fatalf("refused despite free capacity: %v", e)
 		}
 		return
 	}
 	if item.Running {
-		w.running = append(w.running, item)
+		m.running = append(m.running, item)
 	} else {
-		w.waiting = append(w.waiting, item)
+		m.waiting = append(m.waiting, item)
 	}
 }
 
-func take(t *rapid.T, items *[]*admit.Item) *admit.Item {
+// drawItem removes a random item from a list and returns it.
+func drawItem(t *rapid.T, items *[]*admit.Item) *admit.Item {
 	if len(*items) == 0 {
 		t.Skip("none")
 	}
@@ -174,77 +177,78 @@
 	return item
 }
 
-// let moves requests from waiting to running.
-func (w *world) let(t *rapid.T, next []*admit.Item) {
+// moveToRunning moves requests from waiting to running.
+func (m *model) moveToRunning(t *rapid.T, next []*admit.Item) {
 	for _, item := range next {
 		found := false
-		for i, other := range w.waiting {
+		for i, other := range m.waiting {
 			if other == item {
-				w.waiting = append(w.waiting[:i:i], w.waiting[i+1:]...)
+				m.waiting = append(m.waiting[:i:i], m.waiting[i+1:]...)
 				found = true
 				break
 			}
 		}
 		if !found || !item.Running {
-			t.Fatalf("let run: %+v, waiting: %v", item, found)
+			t.Fatalf("started: %+v, was waiting: %v", item, found)
 		}
-		w.running = append(w.running, item)
+		m.running = append(m.running, item)
 	}
 }
 
-func (w *world) check(t *rapid.T) {
-	if w.queue.Running() != len(w.running) || w.queue.Waiting() != len(w.waiting) {
-		t.Fatalf("queue has %d and %d, the account %d and %d",
-			w.queue.Running(), w.queue.Waiting(), len(w.running), len(w.waiting))
+// check verifies the queue against the model after every step.
+func (m *model) check(t *rapid.T) {
+	if m.queue.Running() != len(m.running) || m.queue.Waiting() != len(m.waiting) {
+		t.Fatalf("queue has %d running and %d waiting, model %d and %d",
+			m.queue.Running(), m.queue.Waiting(), len(m.running), len(m.waiting))
 	}
-	if len(w.waiting) > 0 && float64(len(w.running)) < w.queue.Limit {
-		t.Fatalf("%d wait while %d of %v run", len(w.waiting), len(w.running), w.queue.Limit)
+	if len(m.waiting) > 0 && float64(len(m.running)) < m.queue.Limit {
+		t.Fatalf("%d are waiting while %d of %v run", len(m.waiting), len(m.running), m.queue.Limit)
 	}
-	if float64(len(w.running)) >= w.queue.Limit*(1+w.queue.Limits.Headroom)+1 {
-		t.Fatalf("%d of %v run", len(w.running), w.queue.Limit)
+	if float64(len(m.running)) >= m.queue.Limit*(1+m.queue.Limits.Headroom)+1 {
+		t.Fatalf("%d of %v run", len(m.running), m.queue.Limit)
 	}
 }
 
-// At every step: no request waits while there is room, none is refused while
-// there is room, none is lost, and a refusal is one that never ran.
-func TestQueueAtEveryStep(t *testing.T) {
+// After every step: no request waits and none is refused while there is free
+// capacity, none is lost, and the verdict of a refusal is NotRun.
+func TestQueueModel(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
-		w := &world{now: start}
-		w.queue.Limit = float64(rapid.IntRange(1, 5).Draw(t, "limit"))
-		w.queue.Limits = admit.Limits{
+		m := &model{now: start}
+		m.queue.Limit = float64(rapid.IntRange(1, 5).Draw(t, "limit"))
+		m.queue.Limits = admit.Limits{
 			MaxWait:     time.Duration(rapid.IntRange(0, 500).Draw(t, "wait")) * time.Millisecond,
 			MaxRequests: rapid.IntRange(0, 8).Draw(t, "requests"), MaxBytes: 60,
 			Headroom:  rapid.SampledFrom([]float64{0, 0.5}).Draw(t, "reserve"),
 			MaxCredit: rapid.SampledFrom([]float64{0, 20}).Draw(t, "credit"),
 		}
 		t.Repeat(map[string]func(*rapid.T){
-			"arrive": w.arrive,
+			"arrive": m.submit,
 			"done": func(t *rapid.T) {
-				w.now = w.now.Add(time.Duration(rapid.IntRange(0, 50).Draw(t, "later")) * time.Millisecond)
-				w.let(t, w.queue.Done(w.now, take(t, &w.running)))
+				m.now = m.now.Add(time.Duration(rapid.IntRange(0, 50).Draw(t, "later")) * time.Millisecond)
+				m.moveToRunning(t, m.queue.Done(m.now, drawItem(t, &m.running)))
 			},
 			"leave": func(t *rapid.T) {
-				if !w.queue.Cancel(take(t, &w.waiting)) {
+				if !m.queue.Cancel(drawItem(t, &m.waiting)) {
 					t.Fatalf("a waiting request was not found")
 				}
 			},
-			"": w.check,
+			"": m.check,
 		})
 	})
 }
 
-// While teams all have requests waiting, each gets work in proportion to its
-// weight, to within one request, whatever their costs; so none starves.
+// While all teams have waiting requests, each is served in proportion to its
+// weight, to within one request, whatever the costs; so none starves.
 func TestSharesFollowWeights(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		weights := map[string]float64{"a": 1, "b": 2, "c": 5}
-		const most = 9
-		q := &admit.Queue{Limits: bounds(), Limit: 1}
+		const maxCost = 9
+		q := &admit.Queue{Limits: limits(), Limit: 1}
 		served := map[string]float64{}
 		join := func(team string) *admit.Item {
-			a := ask(team, float64(rapid.IntRange(1, most).Draw(t, "cost")))
-			a.Weight = weights[team]
-			item, e := q.Submit(start, a)
+			req := newRequestWithCost(team, float64(rapid.IntRange(1, maxCost).Draw(t, "cost")))
+			req.Weight = weights[team]
+			item, e := q.Submit(start, req)
 			if e != nil {
 				t.Fatalf("refused: %v", e)
 			}
@@ -264,7 +268,7 @@
 		}
 		for one, got := range served {
 			for other := range weights {
-				slack := most/weights[one] + most/weights[other]
+				slack := maxCost/weights[one] + maxCost/weights[other]
 				if got-served[other] > slack {
 					t.Fatalf("%s got %v, %s got %v, for each unit of weight", one, got, other, served[other])
 				}
@@ -274,28 +278,28 @@
 }
 
 func BenchmarkQueue(b *testing.B) {
-	q := &admit.Queue{Limits: bounds(), Limit: 100}
-	asks := make([]admit.Request, 400)
-	for i := range asks {
-		asks[i] = ask(fmt.Sprint("team-", i), 16)
+	q := &admit.Queue{Limits: limits(), Limit: 100}
+	reqs := make([]admit.Request, 400)
+	for i := range reqs {
+		reqs[i] = newRequestWithCost(fmt.Sprint("team-", i), 16)
 	}
 	b.ReportAllocs()
 	for i := 0; b.Loop(); i++ {
-		item, _ := q.Submit(start, asks[i%len(asks)])
+		item, _ := q.Submit(start, reqs[i%len(reqs)])
 		q.Done(start, item)
 	}
 }
 
-// Memory that is not given back when a request stops waiting would in time
-// refuse all that come.
-func TestWaitingRequestsGiveTheirMemoryBack(t *testing.T) {
+// If the memory of a request were not released when it stops waiting, the queue
+// would in time refuse all requests.
+func TestWaitingRequestsReleaseMemory(t *testing.T) {
 	c := qt.New(t)
 	q := &admit.Queue{Limits: admit.Limits{MaxWait: time.Hour, MaxRequests: 9, MaxBytes: 10}, Limit: 1}
-	running, _ := q.Submit(start, ask("a", 1))
-	a := ask("a", 1)
-	a.Bytes = 10
+	running, _ := q.Submit(start, newRequestWithCost("a", 1))
+	req := newRequestWithCost("a", 1)
+	req.Bytes = 10
 	for range 3 {
-		_, e := q.Submit(start, a)
+		_, e := q.Submit(start, req)
 		c.Assert(e == nil, qt.IsTrue)
 		running = q.Done(start, running)[0]
 	}
--- a/parts/admit/ratelimiter.go
+++ b/parts/admit/ratelimiter.go
@@ -11,56 +11,59 @@
 	"fuchsiashelf.dev/parts/quota"
 )
 
-// RateLimiter keeps the rate limits of teams on one entry host. A quota's limit
-// holds over all entry hosts; each lets a part of it through, as [LocalRate] says,
-// so that no message is needed for a request. The zero value is ready.
+// RateLimiter enforces the rate limits of teams on one entry host. The rate
+// limit of a quota holds over all entry hosts; each applies a part of it, as
+// given by [LocalRate], so that a request needs no message between entry hosts.
+// The zero value is ready to use. It is safe for concurrent use.
 type RateLimiter struct {
-	teams sync.Map // of team to *account
+	teams sync.Map // of team to *teamRate
 }
 
-// account is what is kept of one team.
-type account struct {
+// teamRate is the demand of one team and its current rate limit.
+type teamRate struct {
 	demand demand
 	bucket atomic.Pointer[bucket]
 }
 
-// bucket is the rate limit of one team by one quota and size of the fleet.
+// bucket is the token bucket of one team for one quota and number of entry
+// hosts.
 type bucket struct {
-	deal            quota.Quota
-	listed, reached int
-	limiter         *rate.Limiter
+	quota         quota.Quota
+	listed, alive int
+	limiter       *rate.Limiter
 }
 
-// Allow takes one request of a team, or refuses it.
-func (r *RateLimiter) Allow(now time.Time, team string, d quota.Quota, fleet Peers) *fault.Error {
-	if d.Rate <= 0 {
+// Allow admits one request of a team, or returns the error with which it is
+// refused.
+func (r *RateLimiter) Allow(now time.Time, team string, q quota.Quota, peers Peers) *fault.Error {
+	if q.Rate <= 0 {
 		return nil
 	}
-	held, found := r.teams.Load(team)
+	value, found := r.teams.Load(team)
 	if !found {
-		held, _ = r.teams.LoadOrStore(team, &account{})
+		value, _ = r.teams.LoadOrStore(team, &teamRate{})
 	}
-	a := held.(*account)
-	a.demand.count.Add(1)
-	limiter := a.limiter(now, team, d, fleet)
+	t := value.(*teamRate)
+	t.demand.count.Add(1)
+	limiter := t.limiter(now, team, q, peers)
 	if limiter.AllowN(now, 1) {
 		return nil
 	}
-	next := time.Duration((1 - limiter.TokensAt(now)) / float64(limiter.Limit()) * float64(time.Second))
+	wait := time.Duration((1 - limiter.TokensAt(now)) / float64(limiter.Limit()) * float64(time.Second))
 	return &fault.Error{
-		Code: fault.OverLimit, Verdict: fault.NotRun, RetryAfter: max(next, retryFloor),
+		Code: fault.OverLimit, Verdict: fault.NotRun, RetryAfter: max(wait, minRetryAfter),
 		Message: "team " + team + " sends more requests than its quota allows",
 	}
 }
 
-// Usage returns the rate at which each team's requests come here, in requests
-// per second; a team that sends next to nothing is left out.
+// Usage returns the requests per second that each team sends to this entry
+// host; negligible rates are left out.
 func (r *RateLimiter) Usage(now time.Time) map[string]float64 {
 	usage := map[string]float64{}
-	r.teams.Range(func(team, held any) bool {
-		a := held.(*account)
-		a.demand.fold(now)
-		if rate := a.demand.rate(); rate >= leastUsage {
+	r.teams.Range(func(team, value any) bool {
+		t := value.(*teamRate)
+		t.demand.update(now)
+		if rate := t.demand.rate(); rate >= minUsage {
 			usage[team.(string)] = rate
 		}
 		return true
@@ -68,41 +71,43 @@
 	return usage
 }
 
-// leastUsage is the lowest rate that is worth telling, in requests per second.
-const leastUsage = 0.01
+// minUsage is the lowest rate that is reported, in requests per second.
+const minUsage = 0.01
 
-// limiter returns the team's limiter, with its part of the limit up to date.
-// When the part changes the limiter keeps what it had left: a full one would
-// let a team through anew at every change.
-func (a *account) limiter(now time.Time, team string, d quota.Quota, fleet Peers) *rate.Limiter {
-	due := a.demand.fold(now)
+// limiter returns the team's limiter, with its part of the rate limit up to
+// date. When the part changes the limiter keeps its tokens: with a full bucket
+// after every change a team could exceed its limit.
+func (t *teamRate) limiter(now time.Time, team string, q quota.Quota, peers Peers) *rate.Limiter {
+	due := t.demand.update(now)
 	for {
-		old := a.bucket.Load()
-		same := old != nil && old.deal == d && old.listed == fleet.Listed && old.reached == fleet.Alive
+		old := t.bucket.Load()
+		same := old != nil && old.quota == q && old.listed == peers.Listed && old.alive == peers.Alive
 		if same && !due {
 			return old.limiter
 		}
-		part := a.part(team, d, fleet)
-		burst := max(1, int(float64(d.Burst)*part/d.Rate))
-		next := &bucket{deal: d, listed: fleet.Listed, reached: fleet.Alive}
+		limit := t.localRate(team, q, peers)
+		burst := max(1, int(float64(q.Burst)*limit/q.Rate))
+		next := &bucket{quota: q, listed: peers.Listed, alive: peers.Alive}
 		if old == nil {
-			next.limiter = rate.NewLimiter(rate.Limit(part), burst)
+			next.limiter = rate.NewLimiter(rate.Limit(limit), burst)
 		} else {
 			next.limiter = old.limiter
 		}
-		if !a.bucket.CompareAndSwap(old, next) {
+		if !t.bucket.CompareAndSwap(old, next) {
 			continue
 		}
-		next.limiter.SetLimitAt(now, rate.Limit(part))
+		next.limiter.SetLimitAt(now, rate.Limit(limit))
 		next.limiter.SetBurstAt(now, burst)
 		return next.limiter
 	}
 }
 
-func (a *account) part(team string, d quota.Quota, fleet Peers) float64 {
+// localRate returns the part of the team's rate limit that this entry host
+// applies.
+func (t *teamRate) localRate(team string, q quota.Quota, peers Peers) float64 {
 	others := 0.0
-	if fleet.Rate != nil {
-		others = fleet.Rate(team)
+	if peers.Rate != nil {
+		others = peers.Rate(team)
 	}
-	return LocalRate(d.Rate, a.demand.rate(), others, fleet.Alive, fleet.Listed)
+	return LocalRate(q.Rate, t.demand.rate(), others, peers.Alive, peers.Listed)
 }
