--- a/parts/pick/pick_test.go
+++ b/parts/pick/pick_test.go
@@ -16,9 +16,9 @@
 
 const second = int64(time.Second)
 
-// fleet makes a table of so many stages of so many servers, measured with the
-// given steps in turn.
-func fleet(t testing.TB, stages, width int, steps ...time.Duration) (*Table, map[string]*server.Meter) {
+// newMeasuredTable returns a table with the given number of stages and servers
+// of each, whose measured step times are the given ones in turn.
+func newMeasuredTable(t testing.TB, stages, width int, steps ...time.Duration) (*Table, map[string]*server.Meter) {
 	var hosts []host.Host
 	meters := map[string]*server.Meter{}
 	for i := range stages {
@@ -35,15 +35,16 @@
 	return NewTable(g, meters, time.Unix(1, 0)), meters
 }
 
-func source(seed uint64) func() uint64 {
+// newSource returns a seeded source of random bits.
+func newSource(seed uint64) func() uint64 {
 	return rand.New(rand.NewPCG(seed, seed)).Uint64
 }
 
-// share returns the part of the work that each server of one stage gets when
-// requests stay in flight.
-func share(t testing.TB, p Policy, n int, steps ...time.Duration) []float64 {
-	table, meters := fleet(t, 1, len(steps), steps...)
-	c := &ChainPicker{Policy: p, Rand: source(1), Now: second}
+// workShares returns the share of the work that each server of a single stage
+// gets while requests stay in flight.
+func workShares(t testing.TB, p Policy, n int, steps ...time.Duration) []float64 {
+	table, meters := newMeasuredTable(t, 1, len(steps), steps...)
+	c := &ChainPicker{Policy: p, Rand: newSource(1), Now: second}
 	counts := make([]float64, len(steps))
 	for range n {
 		h := c.Pick(table, nil)[0]
@@ -57,25 +58,25 @@
 	return counts
 }
 
-// Three kinds of accelerators differ sixfold in speed. Spread evenly, the
-// slow ones would bound what the stage carries; the shipped policy gives each
-// its part.
-func TestCostFollowsCapacity(t *testing.T) {
+// Accelerators differ sixfold in speed. With an even distribution the slow ones
+// would limit the stage; the default policy gives each server work in
+// proportion to its capacity.
+func TestLeastCostFollowsCapacity(t *testing.T) {
 	c := quicktest.New(t)
 	ms := time.Millisecond
-	got := share(t, LeastCost{}, 4000, 6*ms, 6*ms, 6*ms, 6*ms, 6*ms, 6*ms, 6*ms, 1*ms)
+	got := workShares(t, LeastCost{}, 4000, 6*ms, 6*ms, 6*ms, 6*ms, 6*ms, 6*ms, 6*ms, 1*ms)
 	c.Assert(got[7] > 0.42 && got[7] < 0.5, quicktest.IsTrue, quicktest.Commentf("%v", got))
 }
 
-// A baseline that does not reach every server of every stage would make the
-// shipped policy look better than it is.
-func TestRobinIsEven(t *testing.T) {
+// A baseline policy that does not use every server of every stage would make
+// the default policy look better than it is.
+func TestRoundRobinIsEven(t *testing.T) {
 	c := quicktest.New(t)
-	table, _ := fleet(t, 3, 6, time.Millisecond)
-	chooser := &ChainPicker{Policy: NewRoundRobin(), Rand: source(5), Now: second}
+	table, _ := newMeasuredTable(t, 3, 6, time.Millisecond)
+	picker := &ChainPicker{Policy: NewRoundRobin(), Rand: newSource(5), Now: second}
 	counts := map[int]int{}
 	for range 60 {
-		for _, h := range chooser.Pick(table, nil) {
+		for _, h := range picker.Pick(table, nil) {
 			counts[h.Server]++
 		}
 	}
@@ -85,32 +86,32 @@
 	}
 }
 
-// A suspect gets work only if there is no other server.
+// A suspected server gets work only if there is no other.
 func TestAvoid(t *testing.T) {
 	c := quicktest.New(t)
-	table, _ := fleet(t, 1, 4, time.Millisecond)
+	table, _ := newMeasuredTable(t, 1, 4, time.Millisecond)
 	avoid := map[string]time.Time{}
 	for _, n := range []int{0, 1, 2} {
 		avoid[fmt.Sprintf("s0-%d", n)] = time.Unix(10, 0)
 	}
 	for _, p := range []Policy{LeastCost{}, Random{}, NewRoundRobin(), LeastRequests{}} {
-		chooser := &ChainPicker{Policy: p, Rand: source(2), Now: second, Avoid: avoid}
+		picker := &ChainPicker{Policy: p, Rand: newSource(2), Now: second, Avoid: avoid}
 		for range 50 {
-			c.Assert(chooser.Pick(table, nil)[0].Server, quicktest.Equals, 3)
+			c.Assert(picker.Pick(table, nil)[0].Server, quicktest.Equals, 3)
 		}
-		chooser.Now = 11 * second
+		picker.Now = 11 * second
 		seen := map[int]bool{}
 		for range 100 {
-			seen[chooser.Pick(table, nil)[0].Server] = true
+			seen[picker.Pick(table, nil)[0].Server] = true
 		}
 		c.Assert(len(seen) > 1 || p == Policy(LeastRequests{}), quicktest.IsTrue)
 	}
 }
 
-// One link degrades and says so only by its delay. New chains keep off it.
-func TestSlowLinkIsLeft(t *testing.T) {
+// A link degrades, which only its delay shows. New chains avoid it.
+func TestDegradedLinkIsAvoided(t *testing.T) {
 	c := quicktest.New(t)
-	table, meters := fleet(t, 2, 2, time.Millisecond)
+	table, meters := newMeasuredTable(t, 2, 2, time.Millisecond)
 	l := meters["s0-0"].Link("s1-0")
 	for range 100 {
 		l.Delay.Observe(200 * time.Microsecond)
@@ -119,17 +120,17 @@
 		l.Delay.Observe(40 * time.Millisecond)
 	}
 	table = NewTable(table.Graph, meters, time.Unix(1, 0))
-	chooser := &ChainPicker{Rand: source(3), Now: second}
+	picker := &ChainPicker{Rand: newSource(3), Now: second}
 	for range 200 {
-		hops := chooser.Pick(table, nil)
-		crossed := hops[0].Server == 0 && hops[1].Server == 2
-		c.Assert(crossed, quicktest.IsFalse)
+		hops := picker.Pick(table, nil)
+		usedLink := hops[0].Server == 0 && hops[1].Server == 2
+		c.Assert(usedLink, quicktest.IsFalse)
 	}
 	c.Assert(l.AvoidUntil.Load() > second, quicktest.IsTrue)
 }
 
-// Whatever the figures, a chain runs each layer once, in order.
-func TestChainIsWhole(t *testing.T) {
+// Whatever the measurements, a chain runs each layer once, in order.
+func TestChainIsComplete(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		layers := rapid.IntRange(1, 12).Draw(t, "layers")
 		hosts := []host.Host{{Name: "all", First: 0, End: layers}}
@@ -149,28 +150,28 @@
 		if err != nil {
 			t.Fatal(err)
 		}
-		chooser := &ChainPicker{Policy: policy, Rand: source(rapid.Uint64().Draw(t, "seed"))}
+		picker := &ChainPicker{Policy: policy, Rand: newSource(rapid.Uint64().Draw(t, "seed"))}
 		at := 0
-		for _, h := range chooser.Pick(NewTable(g, meters, time.Unix(0, 0)), nil) {
+		for _, h := range picker.Pick(NewTable(g, meters, time.Unix(0, 0)), nil) {
 			if h.First != at {
-				t.Fatalf("layer %d is due, %d came", at, h.First)
+				t.Fatalf("expected layer %d, got %d", at, h.First)
 			}
 			at = h.End
 		}
 		if at != layers {
-			t.Fatalf("ran %d of %d layers", at, layers)
+			t.Fatalf("chain covers %d of %d layers", at, layers)
 		}
 	})
 }
 
-func TestAliasesKeepWeights(t *testing.T) {
+func TestAliasSamplerKeepsWeights(t *testing.T) {
 	c := quicktest.New(t)
-	o := aliases([]float64{1, 2, 5, 0.5, 1.5}, 10)
+	o := newAliasSampler([]float64{1, 2, 5, 0.5, 1.5}, 10)
 	counts := make([]float64, 5)
-	random := source(4)
+	random := newSource(4)
 	const n = 200000
 	for range n {
-		counts[o.draw(uint32(random()))]++
+		counts[o.sample(uint32(random()))]++
 	}
 	for i, want := range []float64{0.1, 0.2, 0.5, 0.05, 0.15} {
 		got := counts[i] / n
@@ -181,7 +182,7 @@
 func BenchmarkChain(b *testing.B) {
 	for _, shape := range []struct{ stages, width int }{{8, 75}, {24, 25}} {
 		b.Run(fmt.Sprintf("%dx%d", shape.stages, shape.width), func(b *testing.B) {
-			table, _ := fleet(b, shape.stages, shape.width, time.Millisecond, 2500*time.Microsecond, 6*time.Millisecond)
+			table, _ := newMeasuredTable(b, shape.stages, shape.width, time.Millisecond, 2500*time.Microsecond, 6*time.Millisecond)
 			c := &ChainPicker{Policy: LeastCost{}, Rand: rand.Uint64, Now: second}
 			hops := make([]Hop, 0, shape.stages)
 			b.ReportAllocs()
@@ -192,15 +193,15 @@
 	}
 }
 
-// A baseline that leaves servers idle would make any policy look good beside
-// it.
-func TestRobinUsesAllServersOfEachStage(t *testing.T) {
+// The zero value distributes evenly too: a baseline policy that leaves servers
+// idle would make any other policy look good.
+func TestZeroRoundRobinIsEven(t *testing.T) {
 	c := quicktest.New(t)
-	table, _ := fleet(t, 3, 6, time.Millisecond)
-	chooser := &ChainPicker{Policy: &RoundRobin{}, Rand: source(4), Now: second}
+	table, _ := newMeasuredTable(t, 3, 6, time.Millisecond)
+	picker := &ChainPicker{Policy: &RoundRobin{}, Rand: newSource(4), Now: second}
 	seen := map[int]int{}
 	for range 60 {
-		for _, hop := range chooser.Pick(table, nil) {
+		for _, hop := range picker.Pick(table, nil) {
 			seen[hop.Server]++
 		}
 	}
--- a/parts/pick/policy.go
+++ b/parts/pick/policy.go
@@ -6,37 +6,39 @@
 	"sync/atomic"
 )
 
-// Policy is a way to choose among the servers of a stage: Cost, Random, Robin
-// or Least.
+// Policy is a policy for picking a server of a stage: LeastCost, Random,
+// RoundRobin or LeastRequests.
 type Policy interface{ policy() }
 
-// LeastCost takes the cheaper of two servers drawn by their capacity, by the wait
-// to expect there. It is what the system ships.
+// LeastCost draws two servers weighted by their capacity and picks the one with
+// the lower expected cost. It is the default policy.
 type LeastCost struct{}
 
-// Random takes any server.
+// Random picks a random server.
 type Random struct{}
 
-// RoundRobin takes the servers of each stage in turn. Make one with NewRobin.
-type RoundRobin struct{ next sync.Map }
+// RoundRobin picks the servers of each stage in turn. Create one with
+// NewRoundRobin.
+type RoundRobin struct{ counters sync.Map }
 
-// NewRoundRobin returns a Robin.
+// NewRoundRobin returns a round-robin policy.
 func NewRoundRobin() *RoundRobin {
 	return &RoundRobin{}
 }
 
-// turn returns the next number of a stage. Each stage counts for itself: with
-// one count for all, a chain of three stages would meet every third server of
-// each only.
-func (p *RoundRobin) turn(stage int) uint64 {
-	next, found := p.next.Load(stage)
+// nextCount increments the counter of a stage. Each stage has its own: with a
+// common counter, a chain of three stages would use only every third server of
+// each.
+func (p *RoundRobin) nextCount(stage int) uint64 {
+	next, found := p.counters.Load(stage)
 	if !found {
-		next, _ = p.next.LoadOrStore(stage, &atomic.Uint64{})
+		next, _ = p.counters.LoadOrStore(stage, &atomic.Uint64{})
 	}
 	return next.(*atomic.Uint64).Add(1)
 }
 
-// LeastRequests takes the server with the fewest of this entry's requests in flight.
+// LeastRequests picks the server with the fewest requests of this entry host in
+// flight.
 type LeastRequests struct{}
 
 func (LeastCost) policy()     {}
@@ -44,10 +46,10 @@
 func (*RoundRobin) policy()   {}
 func (LeastRequests) policy() {}
 
-// Policies lists the names that Parse knows.
+// Policies lists the names that ParsePolicy accepts.
 const Policies = "cost, random, robin or least"
 
-// ParsePolicy returns the policy of a name.
+// ParsePolicy returns the policy with the given name.
 func ParsePolicy(name string) (Policy, error) {
 	switch name {
 	case "cost":
--- a/parts/pick/single.go
+++ b/parts/pick/single.go
@@ -7,19 +7,19 @@
 	"fuchsiashelf.dev/parts/server"
 )
 
-// ServerPicker chooses single servers, for services that need no chain. Set the
+// ServerPicker picks single servers, for services that need no chain. Set the
 // exported fields before first use.
 type ServerPicker struct {
-	// Meters holds the figures of each server.
+	// Meters holds the measurements of each server by name.
 	Meters map[string]*server.Meter
-	// Avoid reports servers that are used only if there is no other.
+	// Avoid reports whether a server is used only if there is no other.
 	Avoid func(name string) bool
-	// Rand is the random source.
+	// Rand is the source of randomness.
 	Rand *rand.Rand
 }
 
-// Pick chooses the better of two servers taken at random (power of two
-// choices). It panics if there is none.
+// Pick returns the better of two random servers (power of two choices). It
+// panics if there is none.
 func (p *ServerPicker) Pick(servers []host.Host) host.Host {
 	if len(servers) == 1 {
 		return servers[0]
@@ -35,13 +35,15 @@
 	return servers[i]
 }
 
+// cost returns the relative cost of a server: the requests in flight, this one
+// included, times the step time.
 func (p *ServerPicker) cost(name string) float64 {
 	cost := 0.0
 	if m := p.Meters[name]; m != nil {
 		cost = float64(m.InFlight.Load()+1) * float64(m.Step.Current()+1)
 	}
 	if p.Avoid != nil && p.Avoid(name) {
-		cost += shunned
+		cost += avoidPenalty
 	}
 	return cost
 }
--- a/parts/pick/table.go
+++ b/parts/pick/table.go
@@ -10,91 +10,91 @@
 	"fuchsiashelf.dev/parts/server"
 )
 
-// Table is a graph made ready for choosing: each hop with its meters, and the
-// odds by which hops are drawn. It is never changed; a new one is made when
-// the graph changes, and from time to time to follow the measured speeds.
+// Table is a graph prepared for picking: each hop with its meters, and the
+// weights with which hops are drawn. It is immutable; a new one is made when
+// the graph changes, and periodically to follow the measured speeds.
 type Table struct {
-	// Graph is what the table was made of.
+	// Graph is the graph that the table was made from.
 	Graph  *chain.Graph
 	stages []stage
 }
 
-// stage holds the hops that start at one boundary.
+// stage holds the hops that start at one layer boundary.
 type stage struct {
-	// at is the index of the boundary.
-	at      int
-	choices []choice
-	odds    odds
+	// boundary is the index of the layer boundary.
+	boundary   int
+	candidates []candidate
+	sampler    aliasSampler
 }
 
-// choice is one hop with the figures that it is judged by.
-type choice struct {
+// candidate is one hop with the measurements that determine its cost.
+type candidate struct {
 	hop   chain.Hop
 	name  string
 	meter *server.Meter
-	// links holds the links to the choices of the next boundary.
+	// links holds the links to the candidates of the next boundary.
 	links []*link.Meter
 }
 
-// ejectFor is how long a degraded server or link is left out before it is
+// ejectionTime is how long a degraded server or link is ejected before it is
 // tried again.
-const ejectFor = 10 * time.Second
+const ejectionTime = 10 * time.Second
 
-// NewTable makes a table. Every server of the graph must have a meter. Servers and
-// links that have become degraded are marked in their meters, so that they are
-// left out for a while.
+// NewTable returns a table for a graph. Every server of the graph must have a
+// meter. Servers and links that have degraded are marked in their meters and
+// ejected for a while.
 func NewTable(g *chain.Graph, meters map[string]*server.Meter, now time.Time) *Table {
 	t := &Table{Graph: g, stages: make([]stage, len(g.Hops))}
 	for i, hops := range g.Hops {
-		all := make([]choice, len(hops))
+		all := make([]candidate, len(hops))
 		for n, h := range hops {
 			name := g.Servers[h.Server].Name
-			all[n] = choice{hop: h, name: name, meter: meters[name]}
+			all[n] = candidate{hop: h, name: name, meter: meters[name]}
 		}
-		t.stages[i].at, t.stages[i].choices = i, eject(all, now)
+		t.stages[i].boundary, t.stages[i].candidates = i, eject(all, now)
 	}
 	for i := range t.stages {
-		t.stages[i].odds = deal(t.stages[i].choices)
-		for n := range t.stages[i].choices {
-			t.join(&t.stages[i].choices[n], now)
+		t.stages[i].sampler = newSampler(t.stages[i].candidates)
+		for n := range t.stages[i].candidates {
+			t.resolveLinks(&t.stages[i].candidates[n], now)
 		}
 	}
 	return t
 }
 
-// eject leaves degraded servers out, at most half of the stage.
-func eject(all []choice, now time.Time) []choice {
+// eject removes degraded servers, at most half of the stage.
+func eject(all []candidate, now time.Time) []candidate {
 	var degraded []int
 	for i := range all {
 		m := all[i].meter
 		if m.Step.Degraded() {
 			m.Step.Reset()
-			m.EjectedUntil.Store(now.Add(ejectFor).UnixNano())
+			m.EjectedUntil.Store(now.Add(ejectionTime).UnixNano())
 		}
 		if m.EjectedUntil.Load() > now.UnixNano() {
 			degraded = append(degraded, i)
 		}
 	}
-	out := map[int]bool{}
+	ejected := map[int]bool{}
 	for _, i := range health.Eject(degraded, len(all)) {
-		out[i] = true
+		ejected[i] = true
 	}
-	var kept []choice
+	var kept []candidate
 	for i := range all {
-		if !out[i] {
+		if !ejected[i] {
 			kept = append(kept, all[i])
 		}
 	}
 	return kept
 }
 
-// join finds the links from a choice to those of the next boundary, and marks
-// the degraded ones, at most half of them.
-func (t *Table) join(c *choice, now time.Time) {
+// resolveLinks finds the links from a candidate to those of the next boundary,
+// and marks the degraded ones, at most half of them.
+func (t *Table) resolveLinks(c *candidate, now time.Time) {
 	if c.hop.Next == chain.Last {
 		return
 	}
-	next := t.stages[c.hop.Next].choices
+	next := t.stages[c.hop.Next].candidates
 	c.links = make([]*link.Meter, len(next))
 	var degraded []int
 	for i := range next {
@@ -105,24 +105,26 @@
 	}
 	for _, i := range health.Eject(degraded, len(next)) {
 		c.links[i].Delay.Reset()
-		c.links[i].Avoid(now.Add(ejectFor))
+		c.links[i].Avoid(now.Add(ejectionTime))
 	}
 }
 
-// odds draw a choice in proportion to its weight, in constant time (the alias
-// method): a slot is drawn evenly, and stands for itself or for its alias.
-type odds struct {
-	own   []float32
-	alias []int32
+// aliasSampler draws a candidate in proportion to its weight in constant time
+// (alias method): a slot is drawn uniformly, and stands for itself or for its
+// alias.
+type aliasSampler struct {
+	threshold []float32
+	alias     []int32
 }
 
-// quota works the odds out from the measured capacities. A server that has not
-// been measured yet counts as the mean of the others, so that it is found.
-func deal(choices []choice) odds {
-	weights := make([]float64, len(choices))
+// newSampler returns a sampler weighted by the measured capacities. A server
+// without measurements gets the mean weight of the others, so that it is used
+// and measured.
+func newSampler(candidates []candidate) aliasSampler {
+	weights := make([]float64, len(candidates))
 	sum, known := 0.0, 0.0
-	for i := range choices {
-		if weights[i] = rate(choices[i].meter); weights[i] > 0 {
+	for i := range candidates {
+		if weights[i] = tokenRate(candidates[i].meter); weights[i] > 0 {
 			sum += weights[i]
 			known++
 		}
@@ -137,12 +139,12 @@
 			sum += mean
 		}
 	}
-	return aliases(weights, sum)
+	return newAliasSampler(weights, sum)
 }
 
-// rate returns the tokens that a server runs in a nanosecond at most, zero if
-// nothing is known.
-func rate(m *server.Meter) float64 {
+// tokenRate returns the maximum tokens per nanosecond of a server; zero if
+// unknown.
+func tokenRate(m *server.Meter) float64 {
 	step := float64(m.Step.Current())
 	if step <= 0 {
 		return 0
@@ -150,14 +152,15 @@
 	return math.Max(float64(m.Capacity.Load()), 1) / step
 }
 
-func aliases(weights []float64, sum float64) odds {
+// newAliasSampler returns a sampler for weights with the given sum.
+func newAliasSampler(weights []float64, sum float64) aliasSampler {
 	n := len(weights)
-	o := odds{own: make([]float32, n), alias: make([]int32, n)}
-	part := make([]float64, n)
+	sampler := aliasSampler{threshold: make([]float32, n), alias: make([]int32, n)}
+	scaled := make([]float64, n)
 	var small, large []int
 	for i, w := range weights {
-		part[i] = w / sum * float64(n)
-		if part[i] < 1 {
+		scaled[i] = w / sum * float64(n)
+		if scaled[i] < 1 {
 			small = append(small, i)
 		} else {
 			large = append(large, i)
@@ -166,25 +169,25 @@
 	for len(small) > 0 && len(large) > 0 {
 		s, l := small[len(small)-1], large[len(large)-1]
 		small = small[:len(small)-1]
-		o.own[s], o.alias[s] = float32(part[s]), int32(l)
-		if part[l] -= 1 - part[s]; part[l] < 1 {
+		sampler.threshold[s], sampler.alias[s] = float32(scaled[s]), int32(l)
+		if scaled[l] -= 1 - scaled[s]; scaled[l] < 1 {
 			large = large[:len(large)-1]
 			small = append(small, l)
 		}
 	}
 	for _, i := range append(small, large...) {
-		o.own[i], o.alias[i] = 1, int32(i)
+		sampler.threshold[i], sampler.alias[i] = 1, int32(i)
 	}
-	return o
+	return sampler
 }
 
-// draw turns 32 random bits into an index.
-func (o *odds) draw(bits uint32) int {
-	n := uint64(len(o.own))
-	scaled := uint64(bits) * n
-	slot := int(scaled >> 32)
-	if float32(uint32(scaled))/(1<<32) < o.own[slot] {
+// sample maps 32 random bits to an index.
+func (s *aliasSampler) sample(bits uint32) int {
+	n := uint64(len(s.threshold))
+	product := uint64(bits) * n
+	slot := int(product >> 32)
+	if float32(uint32(product))/(1<<32) < s.threshold[slot] {
 		return slot
 	}
-	return int(o.alias[slot])
+	return int(s.alias[slot])
 }
