--- a/parts/flow/flow_test.go
+++ b/parts/flow/flow_test.go
@@ -11,7 +11,7 @@
 	"fuchsiashelf.dev/parts/flow"
 )
 
-func TestBound(t *testing.T) {
+func TestCapacity(t *testing.T) {
 	slow := flow.Server{Name: "slow", First: 0, End: 8, Rate: 100}
 	fast := flow.Server{Name: "fast", First: 0, End: 8, Rate: 600}
 	rest := flow.Server{Name: "rest", First: 8, End: 24, Rate: 500}
@@ -24,17 +24,17 @@
 		{"empty", flow.Pool{Layers: 24}, flow.Capacity{}},
 		{"no cover", flow.Pool{Layers: 24, Servers: []flow.Server{slow, fast}}, flow.Capacity{}},
 		{
-			"last stage binds",
+			"last stage limits",
 			flow.Pool{Layers: 24, Servers: []flow.Server{slow, fast, rest}},
 			flow.Capacity{Rate: 500, Servers: []string{"rest"}},
 		},
 		{
-			"a whole server adds",
+			"a server with all layers adds",
 			flow.Pool{Layers: 24, Servers: []flow.Server{whole, slow, rest}},
 			flow.Capacity{Rate: 150, Servers: []string{"slow", "whole"}},
 		},
 		{
-			"a link binds",
+			"a link limits",
 			flow.Pool{
 				Layers: 24, Servers: []flow.Server{slow, fast, rest},
 				Links: []flow.Link{{From: "fast", To: "rest", Rate: 30}},
@@ -42,7 +42,7 @@
 			flow.Capacity{Rate: 130, Servers: []string{"slow"}, Links: []flow.Link{{From: "fast", To: "rest", Rate: 30}}},
 		},
 		{
-			"a link of no stage",
+			"a link of no adjacent servers",
 			flow.Pool{
 				Layers: 24, Servers: []flow.Server{slow, rest},
 				Links: []flow.Link{{From: "rest", To: "slow", Rate: 1}, {From: "gone", To: "rest", Rate: 1}},
@@ -56,21 +56,22 @@
 	}
 }
 
-// The maximum flow equals the minimum cut, which the test finds by trying
+// The maximum flow must equal the minimum cut, which the test finds by trying
 // every set of servers and links.
-func TestBoundIsTheMinimumCut(t *testing.T) {
+func TestCapacityEqualsMinimumCut(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		p := drawPool(t)
 		got := p.Capacity()
 		if want := minimumCut(p); got.Rate != want {
-			t.Fatalf("bound %v, minimum cut %v of %+v", got.Rate, want, p)
+			t.Fatalf("capacity %v, minimum cut %v of %+v", got.Rate, want, p)
 		}
-		if cut := rateOf(p, got); cut != got.Rate {
-			t.Fatalf("bound %v, but the named cut carries %v of %+v", got.Rate, cut, p)
+		if rate := rateOf(p, got); rate != got.Rate {
+			t.Fatalf("capacity %v, but the returned cut has %v of %+v", got.Rate, rate, p)
 		}
 	})
 }
 
+// drawPool returns a random pool.
 func drawPool(t *rapid.T) *flow.Pool {
 	p := &flow.Pool{Layers: 4}
 	for i := range rapid.IntRange(0, 6).Draw(t, "servers") {
@@ -97,51 +98,53 @@
 	return p
 }
 
-// minimumCut tries every set of servers and links to take away.
+// minimumCut tries to remove every set of servers and links, and returns the
+// lowest rate of a set that leaves no path.
 func minimumCut(p *flow.Pool) float64 {
 	best := math.Inf(1)
 	for set := range 1 << (len(p.Servers) + len(p.Links)) {
 		rate := 0.0
-		gone, closed := map[string]bool{}, map[[2]string]bool{}
+		removed, cut := map[string]bool{}, map[[2]string]bool{}
 		for i, s := range p.Servers {
 			if set>>i&1 == 1 {
 				rate += s.Rate
-				gone[s.Name] = true
+				removed[s.Name] = true
 			}
 		}
 		for i, l := range p.Links {
 			if set>>(len(p.Servers)+i)&1 == 1 {
 				rate += l.Rate
-				closed[[2]string{l.From, l.To}] = true
+				cut[[2]string{l.From, l.To}] = true
 			}
 		}
-		if rate < best && !passes(p, gone, closed, "", 0) {
+		if rate < best && !hasPath(p, removed, cut, "", 0) {
 			best = rate
 		}
 	}
 	return best
 }
 
-// passes reports whether a chain is left from a boundary on.
-func passes(p *flow.Pool, gone map[string]bool, closed map[[2]string]bool, from string, at int) bool {
+// hasPath reports whether a chain is left from a boundary on.
+func hasPath(p *flow.Pool, removed map[string]bool, cut map[[2]string]bool, from string, at int) bool {
 	if at == p.Layers {
 		return true
 	}
 	for _, s := range p.Servers {
-		if s.First == at && !gone[s.Name] && !closed[[2]string{from, s.Name}] &&
-			passes(p, gone, closed, s.Name, s.End) {
+		if s.First == at && !removed[s.Name] && !cut[[2]string{from, s.Name}] &&
+			hasPath(p, removed, cut, s.Name, s.End) {
 			return true
 		}
 	}
 	return false
 }
 
-func rateOf(p *flow.Pool, b flow.Capacity) float64 {
+// rateOf returns the total rate of the servers and links of a minimum cut.
+func rateOf(p *flow.Pool, c flow.Capacity) float64 {
 	rate := 0.0
-	for _, l := range b.Links {
+	for _, l := range c.Links {
 		rate += l.Rate
 	}
-	for _, name := range b.Servers {
+	for _, name := range c.Servers {
 		for _, s := range p.Servers {
 			if s.Name == name {
 				rate += s.Rate
@@ -151,7 +154,7 @@
 	return rate
 }
 
-func BenchmarkBound(b *testing.B) {
+func BenchmarkCapacity(b *testing.B) {
 	p := &flow.Pool{Layers: 48}
 	speeds := []float64{1, 2.5, 6}
 	for i := range 600 {
