--- a/parts/health/failurerate.go
+++ b/parts/health/failurerate.go
@@ -5,37 +5,38 @@
 	"time"
 )
 
-// shareLife is the time in which half of a share of failures is forgotten. A
-// server that fails is passed by, so nothing else would tell that it has
-// recovered.
-const shareLife = 3 * time.Second
+// rateHalfLife is the time in which a failure rate decays to half. A failing
+// server gets no requests, so nothing else would show that it has recovered.
+const rateHalfLife = 3 * time.Second
 
-// FailureRate is the share of requests that a server failed lately. A server may
-// fail some of its requests, or all, while it answers every other question
-// well, and only its answers tell so. Set Learn before use.
+// FailureRate is the moving average of the share of requests that a server
+// failed. A server may fail some of its requests, or all, while it answers
+// every probe, and only its responses show that. Set Weight before use. It is
+// not safe for concurrent use.
 type FailureRate struct {
-	// Weight is the part of a new outcome in the share.
+	// Weight is the weight of one outcome in the average.
 	Weight float64
 
-	failed float64
-	last   time.Time
+	rate      float64
+	updatedAt time.Time
 }
 
-// Record takes the outcome of a request.
-func (s *FailureRate) Record(failed bool, now time.Time) {
+// Record records the outcome of a request.
+func (r *FailureRate) Record(failed bool, now time.Time) {
 	outcome := 0.0
 	if failed {
 		outcome = 1
 	}
-	s.failed = s.At(now)
-	s.failed += s.Weight * (outcome - s.failed)
-	s.last = now
+	r.rate = r.At(now)
+	r.rate += r.Weight * (outcome - r.rate)
+	r.updatedAt = now
 }
 
-// At returns the share as far as it is remembered, between 0 and 1.
-func (s *FailureRate) At(now time.Time) float64 {
-	if s.failed == 0 {
+// At returns the failure rate, from 0 to 1, with its decay since the last
+// outcome.
+func (r *FailureRate) At(now time.Time) float64 {
+	if r.rate == 0 {
 		return 0
 	}
-	return s.failed * math.Exp2(-now.Sub(s.last).Seconds()/shareLife.Seconds())
+	return r.rate * math.Exp2(-now.Sub(r.updatedAt).Seconds()/rateHalfLife.Seconds())
 }
--- a/parts/health/suspect.go
+++ b/parts/health/suspect.go
@@ -2,28 +2,27 @@
 
 import "time"
 
-// The shortest and the longest time that a server which failed is avoided.
-// The first failure is often a blip, and a pool with few servers needs each;
-// one that goes on failing costs a request at each new try.
+// The shortest and the longest time that a server is suspected after failures.
+// The first failure is often transient, and a small pool needs every server; a
+// server that keeps failing costs a request at each new attempt.
 const (
-	avoidBase = 250 * time.Millisecond
-	avoidMost = 16 * time.Second
+	minSuspicion = 250 * time.Millisecond
+	maxSuspicion = 16 * time.Second
 )
 
-// SuspectFor returns how long to avoid a server after so many failures in a row.
-// It doubles with each.
+// SuspectFor returns how long a server is suspected after the given number of
+// failures in a row. The time doubles with each failure.
 func SuspectFor(failures int64) time.Duration {
-	d := avoidBase
-	for ; failures > 1 && d < avoidMost; failures-- {
+	d := minSuspicion
+	for ; failures > 1 && d < maxSuspicion; failures-- {
 		d *= 2
 	}
-	return min(d, avoidMost)
+	return min(d, maxSuspicion)
 }
 
-// Eject decides which of the members of a stage to keep requests off. It
-// takes the degraded ones, and gives back those to keep off: the first of
-// them, and never more than half of the stage, since a stage that is slow as
-// a whole has to carry the requests all the same.
+// Eject returns which degraded members of a stage to eject: the first of them,
+// but never more than half of the stage, since a stage that is slow as a whole
+// still has to serve the requests.
 func Eject(degraded []int, size int) []int {
 	return degraded[:min(len(degraded), size/2)]
 }
--- a/parts/health/trend.go
+++ b/parts/health/trend.go
@@ -1,10 +1,10 @@
-// Package health follows how a server or a link does, compared with its own
-// past, and decides which to keep requests off.
+// Package health detects servers and links that fail or have become slower than
+// they used to be, and decides which of them get no requests.
 //
-// Kinds of accelerators differ several times in speed and links a
-// hundredfold, so no fixed limit tells a degraded one from a slow one. A
-// [Trend] holds a fast and a slow moving average of the same figure; what has
-// become much slower than it used to be is degraded.
+// Accelerators differ several times in speed and links a hundredfold, so no
+// fixed limit distinguishes a degraded one from a slow one. A [Trend] keeps a
+// fast and a slow moving average of the same measurement; what has become much
+// slower than its baseline is degraded.
 package health
 
 import (
@@ -13,33 +13,34 @@
 	"time"
 )
 
-// The weights of one new figure in the averages. The fast one follows a
-// change within some ten tokens and still smooths a single slow one. The slow
-// one needs ten thousands, so that a degraded link does not soon count as usual.
+// The weights of one measurement in the averages. The fast average follows a
+// change within about ten tokens and still smooths a single slow one. The slow
+// average takes tens of thousands, so that a degraded link does not soon become
+// the baseline.
 const (
 	fastWeight = 1.0 / 8
 	slowWeight = 1.0 / 65536
-	// downWeight is the slow average's weight for a figure below it: the past
-	// to compare with is that of a good time.
+	// downWeight is the weight in the slow average of a measurement below it:
+	// the baseline is meant to reflect good times.
 	downWeight = 1.0 / 64
 )
 
-// warmUp is the number of figures until there is a past to compare with.
-const warmUp = 32
+// minSamples is the number of measurements from which on the baseline is used.
+const minSamples = 32
 
-// Trend holds the averages of one figure. The zero value has none. Threads
-// may use it together without locks; a figure that is lost in a race between
-// two is not missed in an average.
+// Trend keeps the averages of one measurement. The zero value has none. It is
+// safe for concurrent use without locks: a measurement that is lost in a race
+// does not matter in an average.
 type Trend struct {
 	fast, slow atomic.Uint64
 	count      atomic.Int64
 }
 
-// Observe folds one figure into the averages.
+// Observe adds one measurement to the averages.
 func (t *Trend) Observe(d time.Duration) {
 	value := float64(d)
 	n := t.count.Load()
-	if n < warmUp {
+	if n < minSamples {
 		n = t.count.Add(1)
 	}
 	if n == 1 {
@@ -47,52 +48,54 @@
 		t.slow.Store(math.Float64bits(value))
 		return
 	}
-	fold(&t.fast, value, fastWeight)
-	past := math.Float64frombits(t.slow.Load())
+	updateAverage(&t.fast, value, fastWeight)
+	baseline := math.Float64frombits(t.slow.Load())
 	switch {
-	case n < warmUp:
-		fold(&t.slow, value, fastWeight)
-	case value < past:
-		fold(&t.slow, value, downWeight)
+	case n < minSamples:
+		updateAverage(&t.slow, value, fastWeight)
+	case value < baseline:
+		updateAverage(&t.slow, value, downWeight)
 	default:
-		fold(&t.slow, value, slowWeight)
+		updateAverage(&t.slow, value, slowWeight)
 	}
 }
 
-func fold(average *atomic.Uint64, value, weight float64) {
+// updateAverage adds a value with a weight to a moving average.
+func updateAverage(average *atomic.Uint64, value, weight float64) {
 	old := math.Float64frombits(average.Load())
 	average.Store(math.Float64bits(old + weight*(value-old)))
 }
 
-// Current returns the average of the latest figures, zero without any.
+// Current returns the average of the latest measurements; zero if there are
+// none.
 func (t *Trend) Current() time.Duration {
 	return time.Duration(math.Float64frombits(t.fast.Load()))
 }
 
-// Baseline returns the average that Now is compared with.
+// Baseline returns the long-term average that Current is compared with.
 func (t *Trend) Baseline() time.Duration {
 	return time.Duration(math.Float64frombits(t.slow.Load()))
 }
 
-// The least change that counts as degraded: this many times the past, and
-// this much in absolute terms. Below a few milliseconds a busy host alone
-// makes such a difference.
+// The smallest change that counts as degraded: this factor of the baseline, and
+// this absolute difference. Below a few milliseconds a busy host alone causes
+// such a change.
 const (
-	degradedTimes = 4
-	degradedBy    = 2 * time.Millisecond
+	degradedFactor = 4
+	degradedMargin = 2 * time.Millisecond
 )
 
-// Degraded reports whether the figure is much above its own past.
+// Degraded reports whether the current average is far above the baseline.
 func (t *Trend) Degraded() bool {
-	if t.count.Load() < warmUp {
+	if t.count.Load() < minSamples {
 		return false
 	}
-	now, past := t.Current(), t.Baseline()
-	return now > degradedTimes*past && now > past+degradedBy
+	current, baseline := t.Current(), t.Baseline()
+	return current > degradedFactor*baseline && current > baseline+degradedMargin
 }
 
-// Reset takes the past for the present, so that a degraded one is tried
-// again and has to show itself degraded anew.
+// Reset sets the current average to the baseline, so that a degraded server or
+// link is tried again and must show anew that it is degraded.
 func (t *Trend) Reset() {
 	t.fast.Store(t.slow.Load())
 }
