--- a/parts/drain/drain.go
+++ b/parts/drain/drain.go
@@ -1,45 +1,44 @@
 // Package drain decides whether a planned stop of a backend server is safe:
-// whether the server can be taken away without cutting a request.
+// whether the server can be removed without aborting a request.
 //
-// Each entry host reports how many of its own requests are on the server. A
-// report counts only if the entry already had the stop in force when it
-// counted, since before that a new request could still begin. An entry that
-// does not report is never taken for one that has nothing in flight.
+// Each entry host reports how many of its own requests are in flight on the
+// server. A report counts only if the stop was already in force on the entry
+// host when it counted, since a new request could start before that. An entry
+// host that does not report is never assumed to have no requests in flight.
 package drain
 
 import "slices"
 
-// Report is what one entry host says about one backend server.
+// Report is the report of one entry host about one backend server.
 type Report struct {
-	// Cordoned says that the entry sends no new work to the server.
+	// Cordoned reports that the entry host sends no new work to the server.
 	Cordoned bool
-	// Revision is the configuration revision that the entry had in force
-	// when it counted.
+	// Revision is the configuration revision that was in force on the entry
+	// host when it counted.
 	Revision uint64
-	// InFlight is the number of the entry's own requests on the server.
+	// InFlight is the number of the entry host's own requests on the server.
 	InFlight int64
 }
 
-// Outcome is what is known about a stop.
+// Outcome is the state of a planned stop.
 type Outcome struct {
-	// Safe says that the server can be taken away.
+	// Safe reports that the server can be removed.
 	Safe bool
-	// InFlight is the number of requests that the reports that count hold.
+	// InFlight is the number of requests in flight in the reports that count.
 	InFlight int64
-	// Unresponsive names entries that do not answer, sorted.
+	// Unresponsive lists entry hosts without a report, sorted.
 	Unresponsive []string
-	// Lagging names entries that answer but do not have the stop in force
-	// yet, sorted.
+	// Lagging lists entry hosts on which the stop is not in force yet, sorted.
 	Lagging []string
 }
 
-// Evaluate decides on the stop that was set at the given revision. Entries are
-// all entry hosts that the platform's host list has and that did not say
-// goodbye, and the one that asks. Reports are by entry; those of other names
-// count for nothing.
-func Evaluate(revision uint64, entries []string, reports map[string]Report) Outcome {
+// Evaluate returns the state of a stop that was set at the given revision. The
+// entry hosts are all those in the platform's host list that have not announced
+// their departure, and the one that evaluates. Reports are keyed by entry host;
+// those of other hosts are ignored.
+func Evaluate(revision uint64, entryHosts []string, reports map[string]Report) Outcome {
 	var o Outcome
-	for _, name := range entries {
+	for _, name := range entryHosts {
 		report, answered := reports[name]
 		switch {
 		case !answered:
@@ -52,6 +51,6 @@
 	}
 	slices.Sort(o.Unresponsive)
 	slices.Sort(o.Lagging)
-	o.Safe = len(entries) > 0 && o.InFlight == 0 && len(o.Unresponsive) == 0 && len(o.Lagging) == 0
+	o.Safe = len(entryHosts) > 0 && o.InFlight == 0 && len(o.Unresponsive) == 0 && len(o.Lagging) == 0
 	return o
 }
--- a/parts/drain/drain_test.go
+++ b/parts/drain/drain_test.go
@@ -8,49 +8,49 @@
 	"fuchsiashelf.dev/parts/drain"
 )
 
-func TestJudge(t *testing.T) {
+func TestEvaluate(t *testing.T) {
 	idle := drain.Report{Cordoned: true, Revision: 7}
 	for _, test := range []struct {
-		name    string
-		entries []string
-		reports map[string]drain.Report
-		want    drain.Outcome
+		name       string
+		entryHosts []string
+		reports    map[string]drain.Report
+		want       drain.Outcome
 	}{{
-		name:    "all idle",
-		entries: []string{"e1", "e2"},
-		reports: map[string]drain.Report{"e1": idle, "e2": idle},
-		want:    drain.Outcome{Safe: true},
+		name:       "all idle",
+		entryHosts: []string{"e1", "e2"},
+		reports:    map[string]drain.Report{"e1": idle, "e2": idle},
+		want:       drain.Outcome{Safe: true},
 	}, {
-		name:    "a request in flight",
-		entries: []string{"e1", "e2"},
-		reports: map[string]drain.Report{"e1": idle, "e2": {Cordoned: true, Revision: 9, InFlight: 2}},
-		want:    drain.Outcome{InFlight: 2},
+		name:       "a request in flight",
+		entryHosts: []string{"e1", "e2"},
+		reports:    map[string]drain.Report{"e1": idle, "e2": {Cordoned: true, Revision: 9, InFlight: 2}},
+		want:       drain.Outcome{InFlight: 2},
 	}, {
-		// A frozen entry may hold streams that go on when it thaws.
-		name:    "silence is not idleness",
-		entries: []string{"e2", "e1"},
-		reports: map[string]drain.Report{},
-		want:    drain.Outcome{Unresponsive: []string{"e1", "e2"}},
+		// A frozen entry host may hold streams that continue when it resumes.
+		name:       "unresponsive is not idle",
+		entryHosts: []string{"e2", "e1"},
+		reports:    map[string]drain.Report{},
+		want:       drain.Outcome{Unresponsive: []string{"e1", "e2"}},
 	}, {
-		// An entry without the stop may begin a request right after it
+		// An entry host without the stop may start a request right after it
 		// reported none.
-		name:    "counted before the stop",
-		entries: []string{"e1", "e2"},
-		reports: map[string]drain.Report{"e1": idle, "e2": {Cordoned: true, Revision: 6}},
-		want:    drain.Outcome{Lagging: []string{"e2"}},
+		name:       "counted before the stop",
+		entryHosts: []string{"e1", "e2"},
+		reports:    map[string]drain.Report{"e1": idle, "e2": {Cordoned: true, Revision: 6}},
+		want:       drain.Outcome{Lagging: []string{"e2"}},
 	}, {
-		name:    "planned but not begun there",
-		entries: []string{"e1"},
-		reports: map[string]drain.Report{"e1": {Revision: 7}},
-		want:    drain.Outcome{Lagging: []string{"e1"}},
+		name:       "planned but not begun there",
+		entryHosts: []string{"e1"},
+		reports:    map[string]drain.Report{"e1": {Revision: 7}},
+		want:       drain.Outcome{Lagging: []string{"e1"}},
 	}, {
-		name:    "no entry known",
-		entries: nil,
-		reports: map[string]drain.Report{"e1": idle},
-		want:    drain.Outcome{},
+		name:       "no entry host",
+		entryHosts: nil,
+		reports:    map[string]drain.Report{"e1": idle},
+		want:       drain.Outcome{},
 	}} {
 		t.Run(test.name, func(t *testing.T) {
-			got := drain.Evaluate(7, test.entries, test.reports)
+			got := drain.Evaluate(7, test.entryHosts, test.reports)
 			quicktest.Assert(t, got, quicktest.DeepEquals, test.want)
 		})
 	}
--- a/parts/drain/model_test.go
+++ b/parts/drain/model_test.go
@@ -10,31 +10,35 @@
 	"fuchsiashelf.dev/parts/drain"
 )
 
-// phase is how far a request has come. The phases are those of view.Enter,
-// taken apart so that anything can happen in between.
+// phase is the phase of a request. The phases are those of
+// view.Publisher.Acquire, as separate steps so that anything can happen in
+// between.
 type phase int
 
 const (
-	// chosen: it chose the server from a snapshot without the stop.
-	chosen phase = iota
-	// counted: it is counted, and has not looked at the newest snapshot yet.
+	// picked: the server was picked from a snapshot without the stop.
+	picked phase = iota
+	// counted: the request is counted, and has not checked the latest snapshot
+	// yet.
 	counted
-	// running: it is on the server.
+	// running: the request is on the server.
 	running
 )
 
-// entry is an entry host. One that is frozen does nothing.
-type entry struct {
+// entryHost is an entry host. A frozen one does nothing.
+type entryHost struct {
 	name     string
 	revision uint64
-	out      bool
+	cordoned bool
 	frozen   bool
 	requests []phase
-	// begun is a report whose snapshot was read and whose count was not.
-	begun *drain.Report
+	// pending is a report whose snapshot was read, but whose requests were not
+	// counted yet.
+	pending *drain.Report
 }
 
-func (e *entry) inFlight() int64 {
+// inFlight returns the number of counted requests.
+func (e *entryHost) inFlight() int64 {
 	n := int64(0)
 	for _, p := range e.requests {
 		if p >= counted {
@@ -44,133 +48,138 @@
 	return n
 }
 
-// world is a server that the operators stop and resume, and entry hosts that
+// model is a server that the operators stop and resume, and entry hosts that
 // learn of it late.
-type world struct {
-	revision uint64
-	stopped  uint64
-	entries  []*entry
-	reports  map[string]drain.Report
-	joined   int
-	// safe says that the stop in force was called safe.
+type model struct {
+	revision   uint64
+	stopped    uint64
+	entryHosts []*entryHost
+	reports    map[string]drain.Report
+	joined     int
+	// safe reports that the stop in force was evaluated as safe.
 	safe bool
 }
 
-func (w *world) pick(t *rapid.T) *entry {
-	e := w.entries[rapid.IntRange(0, len(w.entries)-1).Draw(t, "entry")]
+// drawEntryHost returns a random entry host that is not frozen.
+func (m *model) drawEntryHost(t *rapid.T) *entryHost {
+	e := m.entryHosts[rapid.IntRange(0, len(m.entryHosts)-1).Draw(t, "entry")]
 	if e.frozen {
 		t.Skip("frozen")
 	}
 	return e
 }
 
-// line changes the stop. The operators resume a server only by a line, and
-// take it away only after safe.
-func (w *world) line(t *rapid.T) {
-	if w.safe {
-		t.Skip("taken away")
+// toggleStop stops or resumes the server. The operators resume a server only by
+// a command, and remove it only once the stop is safe.
+func (m *model) toggleStop(t *rapid.T) {
+	if m.safe {
+		t.Skip("removed")
 	}
-	w.revision++
-	if w.stopped > 0 {
-		w.stopped = 0
+	m.revision++
+	if m.stopped > 0 {
+		m.stopped = 0
 		return
 	}
-	w.stopped = w.revision
+	m.stopped = m.revision
 }
 
-func (w *world) learn(t *rapid.T) {
-	e := w.pick(t)
-	e.revision, e.out = w.revision, w.stopped > 0
+// updateConfig gives an entry host the latest configuration.
+func (m *model) updateConfig(t *rapid.T) {
+	e := m.drawEntryHost(t)
+	e.revision, e.cordoned = m.revision, m.stopped > 0
 }
 
-// choose begins a request on an entry host that does not know of a stop.
-func (w *world) choose(t *rapid.T) {
-	e := w.pick(t)
-	if e.out {
-		t.Skip("out")
+// startRequest starts a request on an entry host that does not know of a stop.
+func (m *model) startRequest(t *rapid.T) {
+	e := m.drawEntryHost(t)
+	if e.cordoned {
+		t.Skip("cordoned")
 	}
-	e.requests = append(e.requests, chosen)
+	e.requests = append(e.requests, picked)
 }
 
-// advance takes one request a phase further.
-func (w *world) advance(t *rapid.T) {
-	e := w.pick(t)
+// advanceRequest moves one request to its next phase, or ends it.
+func (m *model) advanceRequest(t *rapid.T) {
+	e := m.drawEntryHost(t)
 	if len(e.requests) == 0 {
 		t.Skip("no request")
 	}
 	at := rapid.IntRange(0, len(e.requests)-1).Draw(t, "request")
-	if e.requests[at] == running || e.requests[at] == counted && e.out {
+	if e.requests[at] == running || e.requests[at] == counted && e.cordoned {
 		e.requests = append(e.requests[:at:at], e.requests[at+1:]...)
 		return
 	}
 	e.requests[at]++
 }
 
-// report reads the snapshot first and the count in a later step.
-func (w *world) report(t *rapid.T) {
-	e := w.pick(t)
-	if e.begun == nil {
-		e.begun = &drain.Report{Cordoned: e.out, Revision: e.revision}
+// stepReport reads the snapshot first and counts the requests in a later step.
+func (m *model) stepReport(t *rapid.T) {
+	e := m.drawEntryHost(t)
+	if e.pending == nil {
+		e.pending = &drain.Report{Cordoned: e.cordoned, Revision: e.revision}
 		return
 	}
-	e.begun.InFlight = e.inFlight()
-	w.reports[e.name] = *e.begun
-	e.begun = nil
+	e.pending.InFlight = e.inFlight()
+	m.reports[e.name] = *e.pending
+	e.pending = nil
 }
 
-func (w *world) lose(t *rapid.T) {
-	delete(w.reports, w.pick(t).name)
+// loseReport drops the report of an entry host.
+func (m *model) loseReport(t *rapid.T) {
+	delete(m.reports, m.drawEntryHost(t).name)
 }
 
-func (w *world) freeze(t *rapid.T) {
-	e := w.entries[rapid.IntRange(0, len(w.entries)-1).Draw(t, "entry")]
+// toggleFreeze freezes or resumes an entry host.
+func (m *model) toggleFreeze(t *rapid.T) {
+	e := m.entryHosts[rapid.IntRange(0, len(m.entryHosts)-1).Draw(t, "entry")]
 	e.frozen = !e.frozen
 }
 
-// join adds an entry host, which has the newest configuration before it takes
+// join adds an entry host, which has the latest configuration before it accepts
 // callers.
-func (w *world) join(*rapid.T) {
-	w.joined++
-	w.entries = append(w.entries, &entry{
-		name: fmt.Sprint("e", w.joined), revision: w.revision, out: w.stopped > 0,
+func (m *model) join(*rapid.T) {
+	m.joined++
+	m.entryHosts = append(m.entryHosts, &entryHost{
+		name: fmt.Sprint("e", m.joined), revision: m.revision, cordoned: m.stopped > 0,
 	})
 }
 
-// leave removes an entry host that has finished its requests.
-func (w *world) leave(t *rapid.T) {
-	at := rapid.IntRange(0, len(w.entries)-1).Draw(t, "entry")
-	if len(w.entries[at].requests) > 0 || len(w.entries) == 1 {
+// leave removes an entry host without requests.
+func (m *model) leave(t *rapid.T) {
+	at := rapid.IntRange(0, len(m.entryHosts)-1).Draw(t, "entry")
+	if len(m.entryHosts[at].requests) > 0 || len(m.entryHosts) == 1 {
 		t.Skip("stays")
 	}
-	w.entries = append(w.entries[:at:at], w.entries[at+1:]...)
+	m.entryHosts = append(m.entryHosts[:at:at], m.entryHosts[at+1:]...)
 }
 
-func (w *world) judge(t *rapid.T) {
-	if w.stopped == 0 {
+// evaluate evaluates the stop in force.
+func (m *model) evaluate(t *rapid.T) {
+	if m.stopped == 0 {
 		t.Skip("no stop")
 	}
 	var names []string
-	for _, e := range w.entries {
+	for _, e := range m.entryHosts {
 		names = append(names, e.name)
 	}
-	w.safe = w.safe || drain.Evaluate(w.stopped, names, w.reports).Safe
+	m.safe = m.safe || drain.Evaluate(m.stopped, names, m.reports).Safe
 }
 
-// check holds after every step.
-func (w *world) check(t *rapid.T) {
-	for _, e := range w.entries {
+// check verifies the invariant after every step.
+func (m *model) check(t *rapid.T) {
+	for _, e := range m.entryHosts {
 		for _, p := range e.requests {
-			if w.safe && p == running {
-				t.Fatalf("%s has a request on a server that was called safe to take away", e.name)
+			if m.safe && p == running {
+				t.Fatalf("%s has a request on a server that was reported safe to remove", e.name)
 			}
 		}
 	}
 }
 
-// Requests begin and end on several entry hosts, which learn of stops late,
-// freeze, join and leave, while reports are made, lost and kept. Were a stop
-// called safe too early, its server would be taken away under a request.
-func TestExploreStops(t *testing.T) {
+// Requests start and end on several entry hosts, which learn of stops late,
+// freeze, join and leave, while reports are made, lost and kept. If a stop were
+// reported safe too early, its server would be removed while it runs a request.
+func TestStopModel(t *testing.T) {
 	for _, set := range [][2]string{{"rapid.seed", "1"}, {"rapid.steps", "120"}} {
 		f := flag.Lookup(set[0])
 		if f.Value.String() != f.DefValue {
@@ -181,13 +190,13 @@
 		}
 	}
 	rapid.Check(t, func(t *rapid.T) {
-		w := &world{reports: map[string]drain.Report{}}
-		w.join(t)
-		w.join(t)
+		m := &model{reports: map[string]drain.Report{}}
+		m.join(t)
+		m.join(t)
 		t.Repeat(map[string]func(*rapid.T){
-			"line": w.line, "learn": w.learn, "choose": w.choose, "advance": w.advance,
-			"advance more": w.advance, "report": w.report, "report more": w.report, "lose": w.lose,
-			"freeze": w.freeze, "join": w.join, "leave": w.leave, "judge": w.judge, "": w.check,
+			"line": m.toggleStop, "learn": m.updateConfig, "begin": m.startRequest, "advance": m.advanceRequest,
+			"advance more": m.advanceRequest, "report": m.stepReport, "report more": m.stepReport, "lose": m.loseReport,
+			"freeze": m.toggleFreeze, "join": m.join, "leave": m.leave, "judge": m.evaluate, "": m.check,
 		})
 	})
 }
