--- a/parts/loss/loss.go
+++ b/parts/loss/loss.go
@@ -1,10 +1,10 @@
-// Package loss says from logs why requests were not served on time.
+// Package loss determines from logs why requests were not served on time.
 //
-// Each request ends with one line of its entry host. [Classify] puts each into a
-// window of time by when it came, and under the [Cause] that cost its caller
-// most. Streams that paused are counted once more by what the watch over
-// streams said of them: it tells whether deaths are noticed late, whether
-// another chain was missing, or whether neither explains the pause.
+// Each request ends with one log line of its entry host. [Classify] assigns
+// each to a time window by its arrival, and to the [Cause] that affected its
+// caller most. Streams with long pauses are also counted by what the stream
+// monitor logged about them: this shows whether failures are detected late,
+// whether no other chain was available, or whether neither explains the pause.
 package loss
 
 import (
@@ -16,98 +16,101 @@
 	"fuchsiashelf.dev/parts/reqlog"
 )
 
-// Cause is why a request was not served on time, or that it was.
+// Cause is why a request was not served on time, or OnTime.
 type Cause uint8
 
 // The causes, in the order of the table's columns.
 const (
-	// OnTime: it was served on time.
+	// OnTime: the request was served on time.
 	OnTime Cause = iota
-	// LateFirst: its first event came late.
+	// LateFirst: its first event was late.
 	LateFirst
-	// ShortPause, Pause and LongPause: its longest pause was up to 500 ms, up to
-	// a second, or longer.
+	// ShortPause, Pause and LongPause: its longest pause took up to 500 ms, up
+	// to a second, or longer.
 	ShortPause
 	Pause
 	LongPause
 	// Refused: it was refused and has not run.
 	Refused
-	// Denied: the configuration does not allow it. Nothing is lost.
+	// Denied: the configuration does not allow it, so the system did not fail.
 	Denied
-	// Truncated: its answer broke off.
+	// Truncated: its response ended early.
 	Truncated
-	// Failed: it was answered with a failure.
+	// Failed: its response was an error.
 	Failed
-	// Abandoned: its caller did not wait for the end.
+	// Abandoned: its caller disconnected before the end.
 	Abandoned
-	causes
+	causeCount
 )
 
-// names are the headings of the causes.
-var names = [causes]string{"on time", "first late", "pause<0.5s", "<1s", "longer", "refused", "denied", "cut", "failed", "left"}
+// headings are the column headings of the causes.
+var headings = [causeCount]string{"on time", "first late", "pause<0.5s", "<1s", "longer", "refused", "denied", "cut", "failed", "left"}
 
-// The bounds of the pauses that are told apart.
+// The longest pauses that count as ShortPause and as Pause.
 const (
-	shortPause = 500 * time.Millisecond
-	pause      = time.Second
+	maxShortPause = 500 * time.Millisecond
+	maxPause      = time.Second
 )
 
-// The messages that are read, and those of the watch that explain a pause.
+// The messages of the log lines that end a request, and those of the stream
+// monitor that explain a pause.
 const (
-	answered = "request: answered"
-	ended    = "request: ended"
-	rerouted = "watch: rerouted"
-	noWay    = "watch: no other way"
+	answered      = "request: answered"
+	ended         = "request: ended"
+	rerouted      = "watch: rerouted"
+	noAlternative = "watch: no other way"
 )
 
-// How the errors of requests begin that the configuration does not allow.
+// The prefixes of the errors of requests that the configuration does not allow.
 const (
 	noRoute      = string(fault.NoRoute) + ":"
 	unauthorized = string(fault.Unauthorized) + ":"
 )
 
-// Row counts requests by their causes.
+// Row counts requests by cause.
 type Row struct {
 	Name   string
-	Counts [causes]int
+	Counts [causeCount]int
 }
 
-// Pauses counts streams that paused too long by what was done meanwhile.
+// Pauses counts streams with long pauses by what the stream monitor did.
 type Pauses struct {
-	// Rerouted got another chain; NoAlternative had none at first; Unexplained means that
-	// nothing was noticed, or that the chain was merely slow.
+	// Rerouted streams got another chain; for NoAlternative ones there was none
+	// at first. Unexplained means that no failure was detected, or that the
+	// chain was merely slow.
 	Rerouted, NoAlternative, Unexplained int
 }
 
-// Table is the account of the requests in some logs.
+// Table counts the requests of some logs.
 type Table struct {
-	// Windows are spans of equal length, Routes and Hosts say who was affected.
+	// Windows are time windows of equal length; Routes and Hosts show what was
+	// affected.
 	Windows, Routes, Hosts []Row
 	Pauses                 Pauses
-	// Skipped is how many lines of requests the logs left out: their rate is
-	// bounded.
+	// Skipped is the number of request lines that the logs left out because of
+	// their rate limit.
 	Skipped int
 }
 
-// Classify makes the account of all requests in the entries, in windows of the
+// Classify counts all requests in the entries by cause, in time windows of the
 // given length from the first entry on.
-func Classify(entries []reqlog.Entry, every time.Duration) *Table {
-	c := counter{windows: map[string]*Row{}, routes: map[string]*Row{}, hosts: map[string]*Row{}, told: map[string]string{}}
+func Classify(entries []reqlog.Entry, window time.Duration) *Table {
+	c := classifier{windows: map[string]*Row{}, routes: map[string]*Row{}, hosts: map[string]*Row{}, monitorMessages: map[string]string{}}
 	if len(entries) == 0 {
 		return &c.table
 	}
 	start := entries[0].At
 	for _, e := range entries {
-		if id := text(e, "request"); id != "" && (e.Message == rerouted || e.Message == noWay) {
-			c.told[id] = e.Message
+		if id := stringAttr(e, "request"); id != "" && (e.Message == rerouted || e.Message == noAlternative) {
+			c.monitorMessages[id] = e.Message
 		}
 	}
 	for _, e := range entries {
 		if e.Message != answered && e.Message != ended {
 			continue
 		}
-		came := e.At.Add(-duration(e, "took")).Sub(start)
-		c.add(e, max(0, came).Truncate(every))
+		arrival := e.At.Add(-durationAttr(e, "took")).Sub(start)
+		c.add(e, max(0, arrival).Truncate(window))
 	}
 	c.table.Windows = sorted(c.windows)
 	c.table.Routes = sorted(c.routes)
@@ -115,77 +118,82 @@
 	return &c.table
 }
 
-// counter adds up requests.
-type counter struct {
+// classifier counts requests.
+type classifier struct {
 	table                  Table
 	windows, routes, hosts map[string]*Row
-	// told is what the watch last said of a stream, by its request's ID.
-	told map[string]string
+	// monitorMessages holds the last message of the stream monitor about each
+	// stream, by request ID.
+	monitorMessages map[string]string
 }
 
-func (c *counter) add(e reqlog.Entry, window time.Duration) {
+// add counts the request that ended with an entry.
+func (c *classifier) add(e reqlog.Entry, window time.Duration) {
 	cause := causeOf(e)
-	count(c.windows, clock(window), cause)
-	count(c.routes, text(e, "route"), cause)
-	count(c.hosts, e.Node, cause)
+	countRow(c.windows, windowName(window), cause)
+	countRow(c.routes, stringAttr(e, "route"), cause)
+	countRow(c.hosts, e.Node, cause)
 	skipped, _ := e.Attrs["skipped"].(float64)
 	c.table.Skipped += int(skipped)
 	if cause != ShortPause && cause != Pause && cause != LongPause {
 		return
 	}
-	switch c.told[text(e, "request")] {
+	switch c.monitorMessages[stringAttr(e, "request")] {
 	case rerouted:
 		c.table.Pauses.Rerouted++
-	case noWay:
+	case noAlternative:
 		c.table.Pauses.NoAlternative++
 	default:
 		c.table.Pauses.Unexplained++
 	}
 }
 
-// causeOf finds what cost the caller of a request most.
+// causeOf returns the cause that affected the caller of a request most.
 func causeOf(e reqlog.Entry) Cause {
-	failure := text(e, "error")
+	errText := stringAttr(e, "error")
 	status, _ := e.Attrs["status"].(float64)
 	broken, _ := e.Attrs["broken"].(bool)
 	switch {
-	case strings.HasPrefix(failure, "cancelled"):
+	case strings.HasPrefix(errText, "cancelled"):
 		return Abandoned
 	case broken:
 		return Truncated
-	case strings.HasPrefix(failure, noRoute) || strings.HasPrefix(failure, unauthorized):
+	case strings.HasPrefix(errText, noRoute) || strings.HasPrefix(errText, unauthorized):
 		return Denied
-	case failure != "" && text(e, "verdict") == "not-run":
+	case errText != "" && stringAttr(e, "verdict") == "not-run":
 		return Refused
-	case failure != "" || status >= 500:
+	case errText != "" || status >= 500:
 		return Failed
 	}
-	switch text(e, "late") {
+	switch stringAttr(e, "late") {
 	case "first":
 		return LateFirst
 	case "pause":
-		return pauseOf(duration(e, "gap"))
+		return pauseOf(durationAttr(e, "gap"))
 	}
 	return OnTime
 }
 
+// pauseOf returns the cause for a longest gap.
 func pauseOf(gap time.Duration) Cause {
 	switch {
-	case gap <= shortPause:
+	case gap <= maxShortPause:
 		return ShortPause
-	case gap <= pause:
+	case gap <= maxPause:
 		return Pause
 	}
 	return LongPause
 }
 
-func count(rows map[string]*Row, name string, cause Cause) {
+// countRow counts a request in the row with the given name.
+func countRow(rows map[string]*Row, name string, cause Cause) {
 	if rows[name] == nil {
 		rows[name] = &Row{Name: name}
 	}
 	rows[name].Counts[cause]++
 }
 
+// sorted returns the rows ordered by name.
 func sorted(rows map[string]*Row) []Row {
 	list := make([]Row, 0, len(rows))
 	for _, r := range rows {
@@ -195,13 +203,14 @@
 	return list
 }
 
-func text(e reqlog.Entry, name string) string {
+// stringAttr returns an attribute that is a string, or an empty string.
+func stringAttr(e reqlog.Entry, name string) string {
 	s, _ := e.Attrs[name].(string)
 	return s
 }
 
-// duration reads an attribute that log/slog wrote as nanoseconds.
-func duration(e reqlog.Entry, name string) time.Duration {
+// durationAttr returns an attribute that log/slog wrote as nanoseconds.
+func durationAttr(e reqlog.Entry, name string) time.Duration {
 	n, _ := e.Attrs[name].(float64)
 	return time.Duration(n)
 }
--- a/parts/loss/loss_test.go
+++ b/parts/loss/loss_test.go
@@ -16,10 +16,10 @@
 
 var update = flag.Bool("update", false, "rewrite the expected tables")
 
-// Callers are served late, and nobody knows at which moments and for what
-// reason: whether a first event came late, a stream paused and for how long,
-// or a request was refused, cut off or failed.
-func TestCount(t *testing.T) {
+// Without the table nobody knows when and why callers are served late: whether
+// a first event was late, a stream paused and for how long, or a request was
+// refused, truncated or failed.
+func TestClassify(t *testing.T) {
 	const path = "testdata/day.txtar"
 	archive, err := txtar.ParseFile(path)
 	qt.Assert(t, err, qt.IsNil)
@@ -33,6 +33,6 @@
 	qt.Assert(t, got, qt.Equals, string(archive.Files[1].Data))
 }
 
-func TestNoLines(t *testing.T) {
+func TestNoEntries(t *testing.T) {
 	qt.Assert(t, loss.Classify(nil, time.Second).String(), qt.Contains, "pauses: 0")
 }
--- a/parts/loss/print.go
+++ b/parts/loss/print.go
@@ -7,18 +7,18 @@
 	"time"
 )
 
-// clock writes the start of a window so that names sort by time.
-func clock(d time.Duration) string {
+// windowName formats the start of a window so that names sort by time.
+func windowName(d time.Duration) string {
 	return fmt.Sprintf("%06.1fs", d.Seconds())
 }
 
-// String prints the table for people.
+// String formats the table as text.
 func (t *Table) String() string {
 	var b strings.Builder
 	w := tabwriter.NewWriter(&b, 0, 0, 2, ' ', tabwriter.AlignRight)
-	part(w, "from", t.Windows)
-	part(w, "route", t.Routes)
-	part(w, "entry host", t.Hosts)
+	writeRows(w, "from", t.Windows)
+	writeRows(w, "route", t.Routes)
+	writeRows(w, "entry host", t.Hosts)
 	_ = w.Flush()
 	fmt.Fprintf(&b, "pauses: %d with another chain, %d without another way at first, %d with neither\n",
 		t.Pauses.Rerouted, t.Pauses.NoAlternative, t.Pauses.Unexplained)
@@ -28,9 +28,10 @@
 	return b.String()
 }
 
-func part(w *tabwriter.Writer, heading string, rows []Row) {
+// writeRows writes a heading and one line for each row.
+func writeRows(w *tabwriter.Writer, heading string, rows []Row) {
 	fmt.Fprint(w, heading, "\t")
-	for _, name := range names {
+	for _, name := range headings {
 		fmt.Fprint(w, name, "\t")
 	}
 	fmt.Fprintln(w)
