--- a/parts/reqlog/reqlog.go
+++ b/parts/reqlog/reqlog.go
@@ -1,13 +1,13 @@
-// Package trail finds in the logs of several processes what explains one
+// Package reqlog finds the log lines of several processes that explain one
 // request.
 //
-// That is the lines which bear the request's ID, and beside them what the same
-// seconds say of the backend servers that those lines name, and of the
-// dependencies of the processes that wrote them: a request fails since a server
-// died or a store was away, and only lines without its ID tell so.
+// These are the lines with the request's ID and, from the same seconds, those
+// about the backend servers that these lines name and about the dependencies of
+// the processes that wrote them: a request may fail because a server died or a
+// store was unavailable, which only lines without its ID show.
 //
-// Logs carry the time of day of their host and no logical clock, so lines of
-// two hosts whose clocks differ may stand in the wrong order.
+// Logs carry the wall-clock time of their host and no logical clock, so lines
+// of hosts with different clocks may be in the wrong order.
 package reqlog
 
 import (
@@ -24,82 +24,85 @@
 )
 
 const (
-	// before and after bound the time around the request's own lines in which
-	// other lines may explain it. A dead server's entry outlives it by three
-	// heartbeats, some four seconds.
-	before = 4 * time.Second
-	after  = time.Second
-	// longest bounds a line of a log, in bytes.
-	longest = 1 << 20
+	// windowBefore and windowAfter extend the time of the request's own lines
+	// to the window in which other lines may explain it. The entry of a dead
+	// server remains for three heartbeats, about four seconds.
+	windowBefore = 4 * time.Second
+	windowAfter  = time.Second
+	// maxLineBytes is the maximum length of a log line.
+	maxLineBytes = 1 << 20
 )
 
-// Entry is one line of a log.
+// Entry is one log line.
 type Entry struct {
-	// At is the time of day at the host that wrote the line.
+	// At is the wall-clock time of the host that wrote the line.
 	At time.Time
-	// Node is the host, and Message its short sentence.
+	// Node is the host, and Message the log message.
 	Node, Message string
-	// Own says that the line bears the request's ID.
+	// Own reports that the line has the request's ID.
 	Own bool
-	// Attrs are the other attributes, by their names.
+	// Attrs holds the other attributes by name.
 	Attrs map[string]any
 }
 
-// Source is the output of one process.
+// Source is the log output of one process.
 type Source struct {
-	// Name is shown in errors and for lines that name no host.
+	// Name is used in errors and for lines without a host.
 	Name string
 	From io.Reader
 }
 
-// Find returns what explains a request, in the order of time. The error joins
-// what could not be read; the entries of what could are returned all the same.
-func Find(request string, logs ...Source) ([]Entry, error) {
-	all, err := Read(logs...)
+// Find returns the entries that explain a request, ordered by time. The error
+// joins those of all sources that could not be read completely; the entries
+// that could be read are returned nevertheless.
+func Find(request string, sources ...Source) ([]Entry, error) {
+	all, err := Read(sources...)
 	for i := range all {
 		all[i].Own = all[i].Attrs["request"] == request
 	}
-	return explain(all), err
+	return relevant(all), err
 }
 
-// Read returns all lines, in the order of time. The error joins what could not
-// be read; the entries of what could are returned all the same.
-func Read(logs ...Source) ([]Entry, error) {
+// Read returns all entries, ordered by time. The error joins those of all
+// sources that could not be read completely; the entries that could be read are
+// returned nevertheless.
+func Read(sources ...Source) ([]Entry, error) {
 	var all []Entry
-	var faults []error
-	for _, l := range logs {
-		list, err := read(l)
+	var errs []error
+	for _, src := range sources {
+		list, err := readSource(src)
 		all = append(all, list...)
-		faults = append(faults, err)
+		errs = append(errs, err)
 	}
 	slices.SortStableFunc(all, func(a, b Entry) int {
 		return cmp.Or(a.At.Compare(b.At), cmp.Compare(a.Node, b.Node))
 	})
-	return all, errors.Join(faults...)
+	return all, errors.Join(errs...)
 }
 
-// read decodes the lines of a log. Lines that are no JSON objects are of
-// another writer, for example a runtime that ends, and are passed over.
-func read(l Source) ([]Entry, error) {
+// readSource decodes the lines of a source. Lines that are not JSON objects
+// come from another writer, such as the Go runtime on a panic, and are skipped.
+func readSource(src Source) ([]Entry, error) {
 	var list []Entry
-	scan := bufio.NewScanner(l.From)
-	scan.Buffer(nil, longest)
+	scan := bufio.NewScanner(src.From)
+	scan.Buffer(nil, maxLineBytes)
 	for scan.Scan() {
 		e, ok := decode(scan.Bytes())
 		if !ok {
 			continue
 		}
 		if e.Node == "" {
-			e.Node = l.Name
+			e.Node = src.Name
 		}
 		list = append(list, e)
 	}
 	if err := scan.Err(); err != nil {
-		return list, fmt.Errorf("%s: %w", l.Name, err)
+		return list, fmt.Errorf("%s: %w", src.Name, err)
 	}
 	return list, nil
 }
 
+// decode decodes one line. It skips what precedes the JSON object.
 func decode(line []byte) (Entry, bool) {
 	start := slices.Index(line, '{')
 	if start < 0 {
@@ -123,8 +126,8 @@
 	return e, true
 }
 
-// explain keeps the request's own lines and those that may explain them.
-func explain(all []Entry) []Entry {
+// relevant returns the request's own entries and those that may explain them.
+func relevant(all []Entry) []Entry {
 	s := scope{nodes: map[string]bool{}, names: map[string]bool{}}
 	for _, e := range all {
 		if e.Own {
@@ -134,17 +137,18 @@
 	if len(s.nodes) == 0 {
 		return nil
 	}
-	return slices.DeleteFunc(all, func(e Entry) bool { return !e.Own && !s.explains(e) })
+	return slices.DeleteFunc(all, func(e Entry) bool { return !e.Own && !s.mayExplain(e) })
 }
 
-// scope is where and when a request went.
+// scope is the time, the processes and the servers of a request.
 type scope struct {
 	first, last time.Time
-	// nodes are the processes that wrote of it, names the servers and their
-	// addresses that those lines name.
+	// nodes are the processes that logged the request; names are the IDs and
+	// addresses of servers in these lines.
 	nodes, names map[string]bool
 }
 
+// add extends the scope by one of the request's own entries.
 func (s *scope) add(e Entry) {
 	if s.first.IsZero() {
 		s.first = e.At
@@ -163,12 +167,12 @@
 	}
 }
 
-// explains reports whether a line without the request's ID may explain it.
-func (s *scope) explains(e Entry) bool {
-	if e.At.Before(s.first.Add(-before)) || e.At.After(s.last.Add(after)) {
+// mayExplain reports whether a line without the request's ID may explain it.
+func (s *scope) mayExplain(e Entry) bool {
+	if e.At.Before(s.first.Add(-windowBefore)) || e.At.After(s.last.Add(windowAfter)) {
 		return false
 	}
-	if _, ofAnother := e.Attrs["request"]; ofAnother || !s.nodes[e.Node] {
+	if _, ofOther := e.Attrs["request"]; ofOther || !s.nodes[e.Node] {
 		return false
 	}
 	part, _, _ := strings.Cut(e.Message, ":")
@@ -181,7 +185,8 @@
 	return s.names[server] || s.names[address]
 }
 
-// String shows the entry in one line: a star marks the request's own.
+// String formats the entry as one line, with a star for the request's own
+// entries.
 func (e Entry) String() string {
 	mark := " "
 	if e.Own {
--- a/parts/reqlog/reqlog_test.go
+++ b/parts/reqlog/reqlog_test.go
@@ -9,7 +9,7 @@
 	"fuchsiashelf.dev/parts/reqlog"
 )
 
-const one = `{"time":"2026-12-03T10:00:00.5Z","level":"INFO","msg":"store: lost","node":"e1","error":"silent"}
+const firstLog = `{"time":"2026-12-03T10:00:00.5Z","level":"INFO","msg":"store: lost","node":"e1","error":"silent"}
 {"time":"2026-12-03T10:00:01Z","level":"INFO","msg":"stream: tried again","node":"e1","request":"r1","server":"i-1","chain":"i-1=0-4 i-2=4-8"}
 {"time":"2026-12-03T10:00:01.2Z","level":"WARN","msg":"servers: suspected","node":"e1","server":"i-2","address":"a:2"}
 {"time":"2026-12-03T10:00:01.3Z","level":"WARN","msg":"servers: suspected","node":"e1","server":"i-9","address":"a:9"}
@@ -18,15 +18,15 @@
 panic: this is no JSON
 `
 
-const two = `{"time":"2026-12-03T10:00:01.1Z","level":"INFO","msg":"request: ended","node":"e2","request":"r1","status":200}
+const secondLog = `{"time":"2026-12-03T10:00:01.1Z","level":"INFO","msg":"request: ended","node":"e2","request":"r1","status":200}
 {"time":"2026-12-03T10:00:01.05Z","level":"INFO","msg":"servers: gone","node":"e3","server":"i-2"}
 `
 
-// A caller complains about an answer, and its ID alone leads to lines that do
-// not tell why: the death of a server in the midst of the chain stands in a
-// line without it. Everything else of that second would bury the cause.
-func TestFindExplains(t *testing.T) {
-	found, err := reqlog.Find("r1", reqlog.Source{Name: "one", From: strings.NewReader(one)}, reqlog.Source{Name: "two", From: strings.NewReader(two)})
+// The lines with a request's ID may not tell why it failed: the death of a
+// server in the middle of its chain is logged without the ID. All other lines
+// of the same seconds would hide the cause.
+func TestFind(t *testing.T) {
+	found, err := reqlog.Find("r1", reqlog.Source{Name: "one", From: strings.NewReader(firstLog)}, reqlog.Source{Name: "two", From: strings.NewReader(secondLog)})
 	qt.Assert(t, err, qt.IsNil)
 	var lines []string
 	for _, e := range found {
@@ -41,29 +41,29 @@
 }
 
 func TestUnknownRequest(t *testing.T) {
-	found, err := reqlog.Find("r9", reqlog.Source{Name: "one", From: strings.NewReader(one)})
+	found, err := reqlog.Find("r9", reqlog.Source{Name: "one", From: strings.NewReader(firstLog)})
 	qt.Assert(t, err, qt.IsNil)
 	qt.Assert(t, found, qt.HasLen, 0)
 }
 
-// One of the files is cut off within a line longer than any log has. What the
-// others tell is still shown, and the file is named.
-func TestUnreadableLogIsNamed(t *testing.T) {
+// A line of one source exceeds the maximum length. The entries of the others
+// are still returned, and the source is named in the error.
+func TestUnreadableSourceIsNamed(t *testing.T) {
 	found, err := reqlog.Find("r1",
 		reqlog.Source{Name: "broken.log", From: strings.NewReader(strings.Repeat("x", 2<<20))},
-		reqlog.Source{Name: "two", From: strings.NewReader(two)})
+		reqlog.Source{Name: "two", From: strings.NewReader(secondLog)})
 	qt.Assert(t, err, qt.ErrorMatches, "broken.log: .*too long")
 	qt.Assert(t, found, qt.HasLen, 1)
 }
 
 func FuzzFind(f *testing.F) {
-	f.Add(one)
-	f.Add(two)
+	f.Add(firstLog)
+	f.Add(secondLog)
 	f.Fuzz(func(t *testing.T, text string) {
 		found, _ := reqlog.Find("r1", reqlog.Source{Name: "log", From: strings.NewReader(text)})
 		for i := 1; i < len(found); i++ {
 			if found[i].At.Before(found[i-1].At) {
-				t.Fatal("not in the order of time")
+				t.Fatal("entries are not ordered by time")
 			}
 		}
 	})
