--- a/parts/probe/probe.go
+++ b/parts/probe/probe.go
@@ -33,7 +33,7 @@
 	// Burst is the number of probes that may be sent at once.
 	Burst = 24
 	// FailureThreshold is the number of unanswered probes in a row after which
-	// a server is dead. A single one may be a lost packet.
+	// a server counts as dead. A single one may be a lost packet.
 	FailureThreshold = 2
 	// forgetAfter is the time after its last probe at which the state of a
 	// server is dropped.
@@ -90,7 +90,8 @@
 	return "unknown"
 }
 
-// Dead reports whether no new attempt may start at the server.
+// Dead reports whether a server in this state counts as dead, so that no new
+// attempt may start there.
 func (s State) Dead() bool {
 	return s == Unreachable || s == Gone
 }
--- a/parts/probe/timeout.go
+++ b/parts/probe/timeout.go
@@ -32,9 +32,8 @@
 	return min(max(MinTimeout, t.mean+maxDeviations*t.deviation), MaxTimeout)
 }
 
-// Record records how long an answer took. First reports whether it answered the
-// first probe; an answer to a later one counts as at least twice the current
-// timeout.
+// Record records how long an answer took. If first is false it came only to a
+// later probe, and counts as at least twice the current timeout.
 func (t *Timeout) Record(took time.Duration, first bool) {
 	if !first {
 		took = max(took, 2*t.Current())
