--- a/parts/admit/controller.go
+++ b/parts/admit/controller.go
@@ -108,13 +108,13 @@
 func (c *Controller) await(ctx context.Context, item *Item) (Grant, *fault.Error) {
 	timer := time.NewTimer(min(time.Until(item.Deadline), maxWaitFactor*c.Limits.MaxWait))
 	defer timer.Stop()
-	e := &fault.Error{Code: fault.Cancelled, Verdict: fault.NotRun, Message: "the caller disconnected while the request waited"}
+	e := &fault.Error{Code: fault.Cancelled, Verdict: fault.NotRun, Message: "the caller left while it waited"}
 	select {
 	case <-item.wake:
 		return Grant{c, item}, nil
 	case <-ctx.Done():
 	case <-timer.C:
-		e = deadlineExceeded("waited longer than expected", 0)
+		e = deadlineExceeded("waited longer than was to be expected", 0)
 	}
 	c.mu.Lock()
 	var next []*Item
--- a/parts/admit/queue.go
+++ b/parts/admit/queue.go
@@ -58,7 +58,7 @@
 	left := req.Deadline.Sub(now)
 	if req.RunTime > left {
 		q.dropIdle(req.Team)
-		return nil, deadlineExceeded("the expected run time exceeds the deadline", 0)
+		return nil, deadlineExceeded("runs longer than its deadline allows", 0)
 	}
 	item := &Item{Request: req, arrivedAt: now}
 	if len(tq.items) == 0 && q.hasCapacity(q.startTag(tq)) {
@@ -82,11 +82,11 @@
 	wait := q.expectedWait(tq)
 	switch {
 	case wait > q.Limits.MaxWait:
-		return overloaded("the expected wait of the team's requests exceeds the limit", wait)
+		return overloaded("too many requests of the team wait", wait)
 	case wait+req.RunTime > left:
-		return deadlineExceeded("the expected wait exceeds the deadline", wait)
+		return deadlineExceeded("waits longer than its deadline allows", wait)
 	case q.waiting >= q.Limits.MaxRequests:
-		return overloaded("too many requests are waiting", wait)
+		return overloaded("too many requests wait", wait)
 	case q.bytes+req.Bytes > q.Limits.MaxBytes:
 		return overloaded("the waiting requests hold too much memory", wait)
 	}
--- a/parts/admit/queue_test.go
+++ b/parts/admit/queue_test.go
@@ -56,9 +56,9 @@
 		limits  admit.Limits
 		message string
 	}{
-		{"requests", admit.Limits{MaxWait: time.Hour, MaxRequests: 2, MaxBytes: 100}, "too many requests are waiting"},
+		{"requests", admit.Limits{MaxWait: time.Hour, MaxRequests: 2, MaxBytes: 100}, "too many requests wait"},
 		{"bytes", admit.Limits{MaxWait: time.Hour, MaxRequests: 9, MaxBytes: 25}, ".*too much memory"},
-		{"none wait", admit.Limits{}, "too many requests are waiting"},
+		{"none wait", admit.Limits{}, "too many requests wait"},
 	} {
 		t.Run(test.name, func(t *testing.T) {
 			c := qt.New(t)
