--- a/entry/internal/relay/attempt.go
+++ b/entry/internal/relay/attempt.go
@@ -12,72 +12,73 @@
 	"fuchsiashelf.dev/parts/retry"
 )
 
-// attempt sends the request to one chain and passes its tokens on.
-func (c *carry) attempt(parent context.Context) *fault.Error {
+// attempt sends the request to one chain and forwards its tokens to the caller.
+func (d *delivery) attempt(parent context.Context) *fault.Error {
 	attempts.Inc(1)
-	e := c.suspicion.Admit(parent, func() ([]string, *fault.Error) {
-		e := c.choose(c.View.Load(), time.Now())
-		return names(c.stages), e
+	e := d.suspicion.Admit(parent, func() ([]string, *fault.Error) {
+		e := d.pickChain(d.View.Load(), time.Now())
+		return serverNames(d.stages), e
 	})
 	if e != nil {
 		return e
 	}
 	now := time.Now()
-	names := names(c.stages)
-	if !c.View.Acquire(names...) {
+	names := serverNames(d.stages)
+	if !d.View.Acquire(names...) {
 		return &fault.Error{Code: fault.ServerRefused, Verdict: fault.NotRun, Message: "a server is leaving"}
 	}
-	defer c.View.Release(names...)
-	c.state.inFlight.Add(1)
-	defer c.state.inFlight.Add(-1)
-	// Ending the context closes the connection, which cancels the attempt on
-	// its servers at once: a chain that was given up must not go on running.
+	defer d.View.Release(names...)
+	d.pool.inFlight.Add(1)
+	defer d.pool.inFlight.Add(-1)
+	// Cancelling the context closes the connection, which cancels the attempt
+	// on its servers at once: an abandoned chain must not keep running.
 	ctx, cancel := context.WithCancelCause(parent)
 	defer cancel(nil)
-	w := c.watch(cancel, now)
-	defer w.stop()
-	had := len(c.sent)
-	e = c.stream(ctx, w, now)
-	c.earn(w, len(c.sent)-had)
+	m := d.startMonitor(cancel, now)
+	defer m.stop()
+	sentBefore := len(d.sent)
+	e = d.stream(ctx, m, now)
+	d.recordTokens(m, len(d.sent)-sentBefore)
 	if e == nil {
 		return nil
 	}
-	if c.failedAt.IsZero() {
-		c.failedAt = time.Now()
+	if d.failedAt.IsZero() {
+		d.failedAt = time.Now()
 	}
 	if parent.Err() != nil {
-		return ended(parent, e)
+		return cancelError(parent, e)
 	}
 	if cause := context.Cause(ctx); errors.Is(cause, errSilent) {
 		e = &fault.Error{Code: fault.ServerFailed, Cause: cause}
 	}
-	c.blame(e, w)
-	return c.crashed(parent, e, len(c.sent) > had)
+	d.suspectCause(e, m)
+	return d.reportCrash(parent, e, len(d.sent) > sentBefore)
 }
 
-// crashed tells the guard of a server that may have died of this request, and
-// returns the final answer if the request must not go on. A server that never
-// got the request did not die of it, and one that hangs has not died.
-func (c *carry) crashed(ctx context.Context, e *fault.Error, progressed bool) *fault.Error {
+// reportCrash reports to the guard that this request may have crashed a server,
+// and returns the final error if the request must not be retried. It reports
+// neither a server that never got the request nor one that hangs without
+// having crashed.
+func (d *delivery) reportCrash(ctx context.Context, e *fault.Error, progressed bool) *fault.Error {
 	if e.Verdict == fault.NotRun || errors.Is(e.Cause, errSilent) {
 		return e
 	}
 	if e.Code != fault.ServerFailed && e.Code != fault.BrokenAnswer {
 		return e
 	}
-	for i := range c.stages {
-		if c.stages[i].Server != e.Server {
+	for i := range d.stages {
+		if d.stages[i].Server != e.Server {
 			continue
 		}
-		if final := c.suspicion.AttemptFailed(ctx, e.Server, c.stages[i].Address, progressed); final != nil {
+		if final := d.suspicion.AttemptFailed(ctx, e.Server, d.stages[i].Address, progressed); final != nil {
 			return final
 		}
 	}
 	return e
 }
 
-// names returns the servers of a chain.
-func names(stages []engine.Stage) []string {
+// serverNames returns the names of the servers of a chain.
+func serverNames(stages []engine.Stage) []string {
 	all := make([]string, len(stages))
 	for i, s := range stages {
 		all[i] = s.Server
@@ -85,34 +86,37 @@
 	return all
 }
 
-// ended is the error of a request whose caller left or stopped waiting.
-func ended(ctx context.Context, e *fault.Error) *fault.Error {
+// cancelError returns the error of a request whose caller disconnected or whose
+// deadline passed.
+func cancelError(ctx context.Context, e *fault.Error) *fault.Error {
 	code := fault.Cancelled
 	if errors.Is(ctx.Err(), context.DeadlineExceeded) {
 		code = fault.Deadline
 	}
-	return &fault.Error{Code: code, Verdict: e.Verdict, Message: "no whole answer came in time", Cause: ctx.Err()}
+	return &fault.Error{Code: code, Verdict: e.Verdict, Message: "request ended before its answer was complete", Cause: ctx.Err()}
 }
 
-func (c *carry) stream(ctx context.Context, w *watch, began time.Time) *fault.Error {
-	stream, err := c.Engine.Generate(ctx, &engine.Request{
-		RequestID: c.ask.ID, Attempt: c.number, Model: c.ask.Pool.Model,
-		Prompt: c.ask.Prompt, Sent: c.sent, Max: c.ask.MaxTokens,
-		DeadlineMs: c.ask.Deadline.UnixMilli(), Priority: c.ask.Priority, Chain: c.stages,
+// stream starts the attempt on its chain and copies the answer to the caller.
+func (d *delivery) stream(ctx context.Context, m *monitor, startedAt time.Time) *fault.Error {
+	stream, err := d.Engine.Generate(ctx, &engine.Request{
+		RequestID: d.req.ID, Attempt: d.attemptNumber, Model: d.req.Pool.Model,
+		Prompt: d.req.Prompt, Sent: d.sent, Max: d.req.MaxTokens,
+		DeadlineMs: d.req.Deadline.UnixMilli(), Priority: d.req.Priority, Chain: d.stages,
 	})
 	if err != nil {
 		return fault.As(err)
 	}
 	defer stream.Close()
-	check := &frame.Validator{
-		Request: c.ask.ID, Attempt: c.number, Layers: c.ask.Pool.Layers,
-		Chain: c.stages, Index: len(c.sent),
+	validator := &frame.Validator{
+		Request: d.req.ID, Attempt: d.attemptNumber, Layers: d.req.Pool.Layers,
+		Chain: d.stages, Index: len(d.sent),
 	}
-	return c.copy(stream, check, w, began)
+	return d.copyTokens(stream, validator, m, startedAt)
 }
 
-// copy passes tokens on until the answer is whole or the attempt fails.
-func (c *carry) copy(stream *engine.Stream, check *frame.Validator, w *watch, last time.Time) *fault.Error {
+// copyTokens forwards tokens to the caller until the answer is complete or the
+// attempt fails. The gap before a token is counted from last.
+func (d *delivery) copyTokens(stream *engine.Stream, validator *frame.Validator, m *monitor, last time.Time) *fault.Error {
 	first := true
 	for {
 		f, err := stream.Next()
@@ -122,19 +126,19 @@
 		if err != nil {
 			return &fault.Error{Code: fault.ServerFailed, Cause: err}
 		}
-		verdict, e := check.Next(&f)
-		switch verdict {
+		result, e := validator.Next(&f)
+		switch result {
 		case frame.Drop:
 			continue
 		case frame.Token:
 			now := time.Now()
-			c.observe(&f, w, now, now.Sub(last), first)
+			d.observe(&f, m, now, now.Sub(last), first)
 			first = false
-			if e := c.pass(&f, w); e != nil {
+			if e := d.deliver(&f, m); e != nil {
 				return e
 			}
 			last = time.Now()
-			w.token(last)
+			m.token(last)
 		case frame.End:
 			return nil
 		case frame.Failed, frame.Invalid:
@@ -143,60 +147,63 @@
 	}
 }
 
-// pass gives the caller a token. While the caller is slow to read, the chain
-// is not listened to, and its silence says nothing.
-func (c *carry) pass(f *engine.Frame, w *watch) *fault.Error {
-	w.pause()
-	c.suspicion.Progressed()
-	c.sent = append(c.sent, f.Token)
-	if err := c.sink.Token(f.Index, f.Token); err != nil {
+// deliver writes a token to the caller. The monitor is paused meanwhile: the
+// stream is not read while the caller is slow, so that its silence says nothing
+// about the chain.
+func (d *delivery) deliver(f *engine.Frame, m *monitor) *fault.Error {
+	m.pause()
+	d.suspicion.Progressed()
+	d.sent = append(d.sent, f.Token)
+	if err := d.sink.Token(f.Index, f.Token); err != nil {
 		return &fault.Error{Code: fault.Cancelled, Cause: err}
 	}
 	return nil
 }
 
-// observe folds the figures of a token into the meters. The spans are those
-// of the chain; the check saw to that.
-func (c *carry) observe(f *engine.Frame, w *watch, now time.Time, gap time.Duration, first bool) {
-	if !c.failedAt.IsZero() {
-		recovery.UpdateSince(c.failedAt)
-		c.failedAt = time.Time{}
+// observe adds the timings of a token to the meters. The validator has checked
+// that the spans match the chain, so that they index the hops.
+func (d *delivery) observe(f *engine.Frame, m *monitor, now time.Time, gap time.Duration, first bool) {
+	if !d.failedAt.IsZero() {
+		recovery.UpdateSince(d.failedAt)
+		d.failedAt = time.Time{}
 	}
 	if first {
-		c.state.usual.ObserveFirstToken(c.length(), gap)
+		d.pool.baseline.ObserveFirstToken(d.inputLength(), gap)
 	} else {
-		w.gaps.Observe(gap)
+		m.gaps.Observe(gap)
 	}
 	at := now.UnixNano()
 	for i := range f.Spans {
-		s, hop := &f.Spans[i], &c.hops[i]
-		hop.Meter.Observe(at, time.Duration(s.RunUs)*time.Microsecond, time.Duration(s.WaitUs)*time.Microsecond)
+		span, hop := &f.Spans[i], &d.hops[i]
+		hop.Meter.Observe(at, time.Duration(span.RunUs)*time.Microsecond, time.Duration(span.WaitUs)*time.Microsecond)
 		if hop.Link != nil {
-			hop.Link.Observe(time.Duration(s.LinkUs) * time.Microsecond)
+			hop.Link.Observe(time.Duration(span.LinkUs) * time.Microsecond)
 		}
 	}
 }
 
-// length is how much an attempt has to read before its first token, in bytes.
-func (c *carry) length() int {
-	length := len(c.ask.Prompt)
-	for _, token := range c.sent {
+// inputLength returns the length in bytes of the input that a chain processes
+// before its first token: the prompt and the tokens sent so far.
+func (d *delivery) inputLength() int {
+	length := len(d.req.Prompt)
+	for _, token := range d.sent {
 		length += len(token)
 	}
 	return length
 }
 
-// earn books the tokens of an attempt.
-func (c *carry) earn(w *watch, tokens int) {
+// recordTokens counts the tokens of an attempt, deposits them in the retry
+// budget, and adds the gaps between them to the pool's baseline.
+func (d *delivery) recordTokens(m *monitor, tokens int) {
 	if tokens == 0 {
 		return
 	}
-	relayed.Inc(int64(tokens))
-	c.state.budget.Deposit(tokens, c.state.inFlight.Load())
-	c.state.usual.ObserveGaps(w.gaps)
+	tokenCount.Inc(int64(tokens))
+	d.pool.budget.Deposit(tokens, d.pool.inFlight.Load())
+	d.pool.baseline.ObserveGaps(m.gaps)
 }
 
-// limits of the first token of an attempt.
-func (c *carry) firstLimits() retry.Timeouts {
-	return c.state.usual.FirstToken(c.length())
+// firstTokenTimeouts returns the timeouts for the first token of an attempt.
+func (d *delivery) firstTokenTimeouts() retry.Timeouts {
+	return d.pool.baseline.FirstToken(d.inputLength())
 }
--- a/entry/internal/relay/fake_test.go
+++ b/entry/internal/relay/fake_test.go
@@ -19,45 +19,47 @@
 	"fuchsiashelf.dev/parts/view"
 )
 
-// fake is an engine that holds all layers. Its script may take a call over.
-type fake struct {
+// fakeServer is a backend server that generates tokens for any request. A script
+// may answer in its place.
+type fakeServer struct {
 	*httptest.Server
 	name string
-	// script answers a call, or returns false to have it answered as usual.
-	script atomic.Pointer[func(w *reply, ask *engine.Request) bool]
-	// frozen says that status is not answered.
+	// script answers a request, or returns false for the default answer.
+	script atomic.Pointer[func(r *replyWriter, req *engine.Request) bool]
+	// frozen makes the server leave status requests unanswered.
 	frozen atomic.Bool
-	// calls counts the attempts, cancelled those whose reader left.
+	// calls counts the attempts, cancelled those that the client cancelled while
+	// the script answered.
 	calls, cancelled atomic.Int64
 }
 
-// reply writes frames.
-type reply struct {
+// replyWriter writes the frames of an answer.
+type replyWriter struct {
 	http.ResponseWriter
 	ctx context.Context
-	ask *engine.Request
+	req *engine.Request
 }
 
-func (r *reply) frame(f engine.Frame) {
-	f.Request, f.Attempt = r.ask.RequestID, r.ask.Attempt
+func (r *replyWriter) frame(f engine.Frame) {
+	f.Request, f.Attempt = r.req.RequestID, r.req.Attempt
 	_ = json.NewEncoder(r).Encode(f)
 	r.ResponseWriter.(http.Flusher).Flush()
 }
 
-// token writes the token of an index; which engine made it does not show.
-func (r *reply) token(index int) {
-	f := engine.Frame{Index: index, Token: text(r.ask.Prompt, index)}
-	for _, s := range r.ask.Chain {
+// token writes the token with the given index, which is the same on all servers.
+func (r *replyWriter) token(index int) {
+	f := engine.Frame{Index: index, Token: tokenText(r.req.Prompt, index)}
+	for _, s := range r.req.Chain {
 		f.Spans = append(f.Spans, engine.Span{Server: s.Server, First: s.First, End: s.End, RunUs: 1000})
 	}
 	r.frame(f)
 }
 
-func text(prompt string, index int) string {
+func tokenText(prompt string, index int) string {
 	return prompt + string(rune('a'+index))
 }
 
-func (f *fake) ServeHTTP(w http.ResponseWriter, r *http.Request) {
+func (f *fakeServer) ServeHTTP(w http.ResponseWriter, r *http.Request) {
 	if r.URL.Path == "/v1/status" {
 		if f.frozen.Load() {
 			<-r.Context().Done()
@@ -66,125 +68,126 @@
 		_, _ = io.WriteString(w, `{}`)
 		return
 	}
-	ask := &engine.Request{}
-	if json.NewDecoder(r.Body).Decode(ask) != nil {
+	req := &engine.Request{}
+	if json.NewDecoder(r.Body).Decode(req) != nil {
 		return
 	}
 	f.calls.Add(1)
-	out := &reply{w, r.Context(), ask}
-	if script := f.script.Load(); script != nil && (*script)(out, ask) {
+	out := &replyWriter{w, r.Context(), req}
+	if script := f.script.Load(); script != nil && (*script)(out, req) {
 		if r.Context().Err() != nil {
 			f.cancelled.Add(1)
 		}
 		return
 	}
-	for i := len(ask.Sent); i < ask.Max; i++ {
+	for i := len(req.Sent); i < req.Max; i++ {
 		out.token(i)
 	}
-	out.frame(engine.Frame{End: true, Count: ask.Max})
+	out.frame(engine.Frame{End: true, Count: req.Max})
 }
 
-// play sets the script.
-func (f *fake) play(script func(w *reply, ask *engine.Request) bool) {
+func (f *fakeServer) setScript(script func(r *replyWriter, req *engine.Request) bool) {
 	f.script.Store(&script)
 }
 
+// fakeLayers is the number of layers of the model.
 const fakeLayers = 4
 
-// world is a relay before some fakes that each hold the whole model.
-type world struct {
-	relay *Forwarder
-	fakes []*fake
-	pool  pool.Pool
+// cluster is a Forwarder with some fake servers that each hold the whole model.
+type cluster struct {
+	forwarder *Forwarder
+	servers   []*fakeServer
+	pool      pool.Pool
 }
 
-func newWorld(t testing.TB, names ...string) *world {
-	w := &world{pool: pool.Pool{Name: "lake", Model: "lotus", Layers: fakeLayers, Servers: names}}
+func newCluster(t testing.TB, names ...string) *cluster {
+	cl := &cluster{pool: pool.Pool{Name: "lake", Model: "lotus", Layers: fakeLayers, Servers: names}}
 	hosts := map[string]host.Host{}
 	for _, name := range names {
-		f := &fake{name: name}
+		f := &fakeServer{name: name}
 		f.Server = httptest.NewServer(f)
 		t.Cleanup(f.Close)
-		w.fakes = append(w.fakes, f)
+		cl.servers = append(cl.servers, f)
 		hosts[name] = host.Host{Name: name, Address: f.Listener.Addr().String(), Role: host.Engine, End: fakeLayers}
 	}
 	transport := &http.Transport{MaxIdleConnsPerHost: 64}
 	t.Cleanup(transport.CloseIdleConnections)
-	w.relay = &Forwarder{
+	cl.forwarder = &Forwarder{
 		View: view.New("e1", "a"), Engine: &engine.Client{HTTP: &http.Client{Transport: transport}},
 		Log: slog.New(slog.NewTextHandler(io.Discard, nil)),
 	}
-	w.relay.View.Update(func(s *view.Snapshot) {
+	cl.forwarder.View.Update(func(s *view.Snapshot) {
 		s.Hosts = hosts
-		s.Config = &conf.Config{Pools: map[string]pool.Pool{"lake": w.pool}}
+		s.Config = &conf.Config{Pools: map[string]pool.Pool{"lake": cl.pool}}
 	})
-	return w
+	return cl
 }
 
-// layer gives each server one layer, in place of the whole model.
-func (w *world) layer(layers ...int) {
-	w.pool.Layers = layers[len(layers)-1] + 1
-	w.relay.View.Update(func(s *view.Snapshot) {
+// splitLayers gives each server one layer instead of the whole model.
+func (cl *cluster) splitLayers(layers ...int) {
+	cl.pool.Layers = layers[len(layers)-1] + 1
+	cl.forwarder.View.Update(func(s *view.Snapshot) {
 		s.Hosts = view.Edit(s.Hosts, func(hosts map[string]host.Host) {
-			for i, name := range w.pool.Servers {
+			for i, name := range cl.pool.Servers {
 				h := hosts[name]
 				h.First, h.End = layers[i], layers[i]+1
 				hosts[name] = h
 			}
 		})
 		next := s.Config.Clone()
-		next.Pools["lake"] = w.pool
+		next.Pools["lake"] = cl.pool
 		s.Config = next
 	})
 }
 
-// ask returns a request.
-func (w *world) ask(prompt string, max int) *Request {
-	return &Request{ID: "r-" + prompt, Pool: w.pool, Prompt: prompt, MaxTokens: max, Deadline: time.Now().Add(time.Minute)}
+// request returns a request for the given number of tokens.
+func (cl *cluster) request(prompt string, total int) *Request {
+	return &Request{ID: "r-" + prompt, Pool: cl.pool, Prompt: prompt, MaxTokens: total, Deadline: time.Now().Add(time.Minute)}
 }
 
-// sink keeps what a caller read.
-type sink struct {
+// recordingSink records the tokens that a caller receives.
+type recordingSink struct {
 	mu     sync.Mutex
 	tokens []string
-	// each is called for every token, if set.
-	each func(index int) error
+	// onToken is called for every token, if set.
+	onToken func(index int) error
 }
 
-func (s *sink) Token(index int, text string) error {
+func (s *recordingSink) Token(index int, text string) error {
 	s.mu.Lock()
 	s.tokens = append(s.tokens, text)
 	s.mu.Unlock()
-	if s.each != nil {
-		return s.each(index)
+	if s.onToken != nil {
+		return s.onToken(index)
 	}
 	return nil
 }
 
-// answer returns the tokens of a whole answer.
-func answer(prompt string, max int) []string {
+// wantTokens returns the tokens of a complete answer.
+func wantTokens(prompt string, total int) []string {
 	var all []string
-	for i := range max {
-		all = append(all, text(prompt, i))
+	for i := range total {
+		all = append(all, tokenText(prompt, i))
 	}
 	return all
 }
 
-// lines returns the frames of a whole answer over three spans, encoded once.
-func lines(ask *engine.Request, max int) [][]byte {
+// encodedFrames returns the encoded frames of a complete answer, each with one
+// span per stage of the chain.
+func encodedFrames(req *engine.Request, total int) [][]byte {
 	var all [][]byte
 	add := func(f engine.Frame) {
-		f.Request, f.Attempt = ask.RequestID, ask.Attempt
+		f.Request, f.Attempt = req.RequestID, req.Attempt
 		line, _ := json.Marshal(f)
 		all = append(all, append(line, '\n'))
 	}
-	for i := range max {
-		f := engine.Frame{Index: i, Token: text(ask.Prompt, 0)}
-		for _, s := range ask.Chain {
+	for i := range total {
+		f := engine.Frame{Index: i, Token: tokenText(req.Prompt, 0)}
+		for _, s := range req.Chain {
 			f.Spans = append(f.Spans, engine.Span{Server: s.Server, First: s.First, End: s.End, RunUs: 1000})
 		}
 		add(f)
 	}
-	add(engine.Frame{End: true, Count: max})
+	add(engine.Frame{End: true, Count: total})
 	return all
 }
--- a/entry/internal/relay/probe.go
+++ b/entry/internal/relay/probe.go
@@ -7,54 +7,56 @@
 	"time"
 )
 
-// prober asks servers whether they are there. One question serves all streams
-// that wait for its answer: when a server freezes, hundreds ask at once.
-type prober struct {
+// probeCache holds the latest probe of each server. Streams share it: when a
+// server freezes, hundreds of them want to probe it at once.
+type probeCache struct {
 	mu     sync.Mutex
 	latest map[string]*probe
 }
 
-// probe is one question.
+// probe is a status request that shows whether a server is alive.
 type probe struct {
-	server   string
-	at       time.Time
-	asked    atomic.Bool
-	answered atomic.Bool
+	server    string
+	startedAt time.Time
+	sent      atomic.Bool
+	answered  atomic.Bool
 }
 
-// probeFresh is how long a question stands for those that come after it.
-const probeFresh = 50 * time.Millisecond
+// probeReuse is how long after its start a probe is shared with other streams.
+const probeReuse = 50 * time.Millisecond
 
-// probeTimeout ends a question. It is longer than any wait for an answer.
+// probeTimeout bounds a probe. It is longer than retry.ProbeTimeout, after which
+// a server that has not answered counts as unresponsive.
 const probeTimeout = time.Second
 
-// ping asks a server whether it is there, or returns the latest question.
-func (r *Forwarder) ping(server, address string) *probe {
+// probe starts a probe of a server, or returns the latest one if it is recent.
+func (f *Forwarder) probe(server, address string) *probe {
 	now := time.Now()
-	r.asks.mu.Lock()
-	defer r.asks.mu.Unlock()
-	if p := r.asks.latest[server]; p != nil && now.Sub(p.at) < probeFresh {
+	f.probes.mu.Lock()
+	defer f.probes.mu.Unlock()
+	if p := f.probes.latest[server]; p != nil && now.Sub(p.startedAt) < probeReuse {
 		return p
 	}
-	if r.asks.latest == nil {
-		r.asks.latest = map[string]*probe{}
+	if f.probes.latest == nil {
+		f.probes.latest = map[string]*probe{}
 	}
-	p := &probe{server: server, at: now}
-	r.asks.latest[server] = p
-	ask := func() {
-		p.asked.Store(true)
+	p := &probe{server: server, startedAt: now}
+	f.probes.latest[server] = p
+	send := func() {
+		p.sent.Store(true)
 		ctx, cancel := context.WithTimeout(context.Background(), probeTimeout)
 		defer cancel()
-		// Any answer will do: even an error came from a process that runs.
-		if _, err := r.Engine.Status(ctx, address); err == nil {
+		// Any answer other than a valid status counts as none.
+		if _, err := f.Engine.Status(ctx, address); err == nil {
 			p.answered.Store(true)
 		}
 	}
-	if r.ProbePool == nil {
-		go ask()
+	if f.ProbePool == nil {
+		go send()
 		return p
 	}
-	// With no goroutine free the question is not asked, and nobody is blamed.
-	_ = r.ProbePool.Submit(ask)
+	// If the pool is full, the probe is not sent, and its server does not count
+	// as unresponsive.
+	_ = f.ProbePool.Submit(send)
 	return p
 }
--- a/entry/internal/relay/relay.go
+++ b/entry/internal/relay/relay.go
@@ -1,9 +1,9 @@
-// Package relay carries a model request: it chooses a chain, checks each
-// frame of the answer, and goes on with another chain when one fails.
+// Package relay forwards model requests: it picks a chain of servers, validates
+// each frame of the answer, and resumes on another chain when one fails.
 //
-// The caller's stream goes on over such a change: the next chain is given the
-// prompt and the tokens that the caller already has, and its first token is
-// the one that is due.
+// The caller's stream continues across such a failure: the next chain gets the
+// prompt and the tokens that the caller already has, and continues with the
+// token that follows them.
 package relay
 
 import (
@@ -26,21 +26,23 @@
 	"fuchsiashelf.dev/parts/view"
 )
 
-// Forwarder carries model requests. Set the exported fields before first use.
+// Forwarder forwards model requests to chains of servers. Set the exported
+// fields before first use.
 type Forwarder struct {
 	View   *view.Publisher
 	Engine *engine.Client
-	// Guard keeps requests that crash servers from going on; nil lets all.
+	// Guard blocks requests that crash servers; nil blocks none.
 	Guard *crash.Guard
 	Trace *trace.Recorder
 	Log   *slog.Logger
-	// Policy is how servers are chosen; nil means pick.Cost.
+	// Policy decides which servers are picked; nil means pick.Cost.
 	Policy pick.Policy
 	// ProbePool runs probes of servers; nil means a goroutine for each.
 	ProbePool *ants.Pool
 
-	pools sync.Map
-	asks  prober
+	// pools holds the *poolState of each pool by its name.
+	pools  sync.Map
+	probes probeCache
 }
 
 // Request is a model request of a caller.
@@ -50,127 +52,131 @@
 	Pool      pool.Pool
 	Prompt    string
 	MaxTokens int
-	// Deadline is when the caller stops waiting.
+	// Deadline is when the request ends, complete or not.
 	Deadline time.Time
-	// Priority is passed on to engines.
+	// Priority is passed on to the servers.
 	Priority int
 }
 
-// Sink receives the tokens of an answer, in order and each once.
+// Sink receives the tokens of an answer, in order and each exactly once.
 type Sink interface {
 	Token(index int, text string) error
 }
 
-// The figures of the metrics page.
+// The metrics of this package.
 var (
-	attempts   = metrics.NewRegisteredCounter("relay.attempts", nil)
-	resumed    = metrics.NewRegisteredCounter("relay.resumed", nil)
-	silent     = metrics.NewRegisteredCounter("relay.silent", nil)
-	givenUp    = metrics.NewRegisteredCounter("relay.givenup", nil)
-	overBudget = metrics.NewRegisteredCounter("relay.overbudget", nil)
-	relayed    = metrics.NewRegisteredCounter("relay.tokens", nil)
+	attempts     = metrics.NewRegisteredCounter("relay.attempts", nil)
+	resumed      = metrics.NewRegisteredCounter("relay.resumed", nil)
+	silentChains = metrics.NewRegisteredCounter("relay.silent", nil)
+	givenUp      = metrics.NewRegisteredCounter("relay.givenup", nil)
+	overBudget   = metrics.NewRegisteredCounter("relay.overbudget", nil)
+	tokenCount   = metrics.NewRegisteredCounter("relay.tokens", nil)
 	// recovery is the time from the failure of a chain to the next token.
 	recovery = metrics.NewRegisteredTimer("relay.recovery", nil)
 )
 
-// Do carries a request and returns the number of tokens, or the error that
-// the caller is to see.
-func (r *Forwarder) Do(ctx context.Context, ask *Request, sink Sink) (int, *fault.Error) {
+// Do forwards a request and its answer. It returns the number of tokens sent to
+// the caller, and the error to return to the caller if the answer is incomplete.
+func (f *Forwarder) Do(ctx context.Context, req *Request, sink Sink) (int, *fault.Error) {
 	caller := ctx
-	ctx, cancel := context.WithDeadline(ctx, ask.Deadline)
+	ctx, cancel := context.WithDeadline(ctx, req.Deadline)
 	defer cancel()
-	suspicion, e := r.Guard.Track(ask.ID, ask.Team, ask.Pool.Name, ask.Pool.Model, ask.Prompt)
+	suspicion, e := f.Guard.Track(req.ID, req.Team, req.Pool.Name, req.Pool.Model, req.Prompt)
 	if e != nil {
 		return 0, e
 	}
 	defer suspicion.Close()
-	c := &carry{
-		Forwarder: r, ask: ask, sink: sink, suspicion: suspicion,
-		state: r.stateOf(ask.Pool.Name), verdict: fault.NotRun,
+	d := &delivery{
+		Forwarder: f, req: req, sink: sink, suspicion: suspicion,
+		pool: f.stateOf(req.Pool.Name), verdict: fault.NotRun,
 	}
-	for c.number = 1; ; c.number++ {
-		e := c.attempt(ctx)
+	for d.attemptNumber = 1; ; d.attemptNumber++ {
+		e := d.attempt(ctx)
 		if e == nil {
-			return len(c.sent), nil
+			return len(d.sent), nil
 		}
-		c.verdict = c.verdict.Weaken(e.Verdict)
+		d.verdict = d.verdict.Weaken(e.Verdict)
 		failure := retry.Failure{
-			Error: e, Attempt: c.number, Left: time.Until(ask.Deadline),
-			CallerConnected: caller.Err() == nil, Sent: len(c.sent),
+			Error: e, Attempt: d.attemptNumber, Left: time.Until(req.Deadline),
+			CallerConnected: caller.Err() == nil, Sent: len(d.sent),
 		}
-		if !c.again(failure) {
+		if !d.allowRetry(failure) {
 			givenUp.Inc(1)
-			final := failure.Final(c.verdict)
-			r.Trace.Record("relay", ask.ID, "given up: "+final.Error())
-			return len(c.sent), final
+			final := failure.Final(d.verdict)
+			f.Trace.Record("relay", req.ID, "given up: "+final.Error())
+			return len(d.sent), final
 		}
-		r.Trace.Record("relay", ask.ID, "attempt failed: "+e.Error())
+		f.Trace.Record("relay", req.ID, "attempt failed: "+e.Error())
 	}
 }
 
-// carry is the state of one request over its attempts.
-type carry struct {
+// delivery is the state of one request across its attempts.
+type delivery struct {
 	*Forwarder
-	ask  *Request
+	req  *Request
 	sink Sink
-	// suspicion is what the guard knows of this request.
+	// suspicion tracks for the guard whether this request crashes servers.
 	suspicion *crash.Tracker
-	state     *state
-	// number is that of the current attempt, from 1.
-	number  int
-	sent    []string
-	verdict fault.Verdict
-	// failedAt is when the last attempt failed, zero if a token came since.
+	pool      *poolState
+	// attemptNumber is the number of the current attempt, from 1.
+	attemptNumber int
+	sent          []string
+	verdict       fault.Verdict
+	// failedAt is when an attempt first failed since the last token, zero if none
+	// has.
 	failedAt time.Time
-	// skip holds servers that this request avoids besides the suspects.
+	// skip holds the servers that this request avoids besides the suspected ones.
 	skip   []string
 	hops   []pick.Hop
 	stages []engine.Stage
 }
 
-// again reports whether another chain is tried, and pays for it.
-func (c *carry) again(f retry.Failure) bool {
-	again, pay := f.ShouldRetry()
-	if again && pay && !c.state.budget.Withdraw() {
+// allowRetry reports whether another chain may be tried, and withdraws from the
+// pool's retry budget where the attempt costs.
+func (d *delivery) allowRetry(failure retry.Failure) bool {
+	retryable, costs := failure.ShouldRetry()
+	if retryable && costs && !d.pool.budget.Withdraw() {
 		overBudget.Inc(1)
 		return false
 	}
-	if again && len(c.sent) > 0 {
+	if retryable && len(d.sent) > 0 {
 		resumed.Inc(1)
 	}
-	return again
+	return retryable
 }
 
-// avoided returns the servers that this request avoids. Those that it failed
-// on itself are avoided most, the latest first of all: when all servers of a
-// stage are suspected, each attempt would else meet the same dead one.
-func (c *carry) avoided(snap *view.Snapshot) map[string]time.Time {
-	if len(c.skip) == 0 {
+// avoidedServers returns the servers that this request avoids, with the time
+// until which it does; servers with a later time are avoided more. Those that
+// failed this request come after all other suspects, the most recent one last:
+// otherwise, when all servers of a stage are suspected, each attempt could pick
+// the same dead one.
+func (d *delivery) avoidedServers(snap *view.Snapshot) map[string]time.Time {
+	if len(d.skip) == 0 {
 		return snap.SuspectedServers
 	}
 	return view.Edit(snap.SuspectedServers, func(m map[string]time.Time) {
-		for i, name := range c.skip {
-			m[name] = c.ask.Deadline.Add(time.Duration(i+1) * time.Hour)
+		for i, name := range d.skip {
+			m[name] = d.req.Deadline.Add(time.Duration(i+1) * time.Hour)
 		}
 	})
 }
 
-// usualStages is a length of chains that is seldom passed.
-const usualStages = 8
+// typicalStages is the number of stages that few chains exceed.
+const typicalStages = 8
 
-// choose chooses the chain of the next attempt, into c.hops and c.stages.
-func (c *carry) choose(snap *view.Snapshot, now time.Time) *fault.Error {
-	table, e := c.state.table(snap, &c.ask.Pool, now)
+// pickChain picks the chain of the next attempt and sets d.hops and d.stages.
+func (d *delivery) pickChain(snap *view.Snapshot, now time.Time) *fault.Error {
+	table, e := d.pool.table(snap, &d.req.Pool, now)
 	if e != nil {
 		return e
 	}
-	chooser := pick.ChainPicker{Policy: c.Policy, Rand: rand.Uint64, Now: now.UnixNano(), Avoid: c.avoided(snap)}
-	// The watch of the attempt before may still look at its stages, so each
-	// attempt has slices of its own.
-	c.hops = chooser.Pick(table, make([]pick.Hop, 0, usualStages))
-	c.stages = make([]engine.Stage, 0, len(c.hops))
-	for i := range c.hops {
-		c.stages = append(c.stages, table.Graph.Stage(c.hops[i].Hop))
+	picker := pick.ChainPicker{Policy: d.Policy, Rand: rand.Uint64, Now: now.UnixNano(), Avoid: d.avoidedServers(snap)}
+	// The monitor of the previous attempt may still read its stages, so each
+	// attempt gets its own slices.
+	d.hops = picker.Pick(table, make([]pick.Hop, 0, typicalStages))
+	d.stages = make([]engine.Stage, 0, len(d.hops))
+	for i := range d.hops {
+		d.stages = append(d.stages, table.Graph.Stage(d.hops[i].Hop))
 	}
 	return nil
 }
--- a/entry/internal/relay/relay_test.go
+++ b/entry/internal/relay/relay_test.go
@@ -15,25 +15,24 @@
 	"fuchsiashelf.dev/parts/view"
 )
 
-// A server dies at some token, by closing the stream, by a failure of a later
-// stage, or by an end that comes too early. The caller reads on as if nothing
-// had been.
+// A server fails at any token: it closes the stream, reports a failure, ends the
+// answer too early, or skips a token. The caller still gets every token once.
 func TestResumeAtEachToken(t *testing.T) {
-	const max = 6
-	ends := map[string]func(w *reply){
-		"closed":  func(*reply) {},
-		"failure": func(w *reply) { w.frame(engine.Frame{Fail: &engine.Failure{Server: w.ask.Chain[0].Server}}) },
-		"early":   func(w *reply) { w.frame(engine.Frame{End: true, Count: max}) },
-		"skipped": func(w *reply) { w.token(max) },
+	const total = 6
+	ends := map[string]func(r *replyWriter){
+		"closed":  func(*replyWriter) {},
+		"failure": func(r *replyWriter) { r.frame(engine.Frame{Fail: &engine.Failure{Server: r.req.Chain[0].Server}}) },
+		"early":   func(r *replyWriter) { r.frame(engine.Frame{End: true, Count: total}) },
+		"skipped": func(r *replyWriter) { r.token(total) },
 	}
 	for name, end := range ends {
 		t.Run(name, func(t *testing.T) {
 			c := quicktest.New(t)
-			for index := range max {
-				w := newWorld(t, "a1", "a2")
-				for _, f := range w.fakes {
-					f.play(func(r *reply, ask *engine.Request) bool {
-						if ask.Attempt > 1 {
+			for index := range total {
+				cl := newCluster(t, "a1", "a2")
+				for _, f := range cl.servers {
+					f.setScript(func(r *replyWriter, req *engine.Request) bool {
+						if req.Attempt > 1 {
 							return false
 						}
 						for i := range index {
@@ -43,54 +42,54 @@
 						return true
 					})
 				}
-				got := &sink{}
-				count, e := w.relay.Do(context.Background(), w.ask("q", max), got)
+				got := &recordingSink{}
+				count, e := cl.forwarder.Do(context.Background(), cl.request("q", total), got)
 				c.Assert(e == nil, quicktest.IsTrue, quicktest.Commentf("%v", e))
-				c.Assert(count, quicktest.Equals, max)
-				c.Assert(got.tokens, quicktest.DeepEquals, answer("q", max))
-				c.Assert(w.fakes[0].calls.Load(), quicktest.Equals, int64(1), quicktest.Commentf("the failed server is avoided"))
+				c.Assert(count, quicktest.Equals, total)
+				c.Assert(got.tokens, quicktest.DeepEquals, wantTokens("q", total))
+				c.Assert(cl.servers[0].calls.Load(), quicktest.Equals, int64(1), quicktest.Commentf("the failed server is avoided"))
 			}
 		})
 	}
 }
 
-// Two servers die one after the other under the same answer, each at some
-// token, the second perhaps before it gave one.
+// Two servers fail one after the other during the same answer, the second
+// possibly before its first token.
 func TestTwoFailures(t *testing.T) {
 	c := quicktest.New(t)
-	const max = 4
-	for first := range max {
-		for second := first; second < max; second++ {
-			w := newWorld(t, "a1", "a2", "a3")
+	const total = 4
+	for first := range total {
+		for second := first; second < total; second++ {
+			cl := newCluster(t, "a1", "a2", "a3")
 			ends := []int{first, second}
-			for _, f := range w.fakes {
-				f.play(func(r *reply, ask *engine.Request) bool {
-					if ask.Attempt > len(ends) {
+			for _, f := range cl.servers {
+				f.setScript(func(r *replyWriter, req *engine.Request) bool {
+					if req.Attempt > len(ends) {
 						return false
 					}
-					for i := len(ask.Sent); i < ends[ask.Attempt-1]; i++ {
+					for i := len(req.Sent); i < ends[req.Attempt-1]; i++ {
 						r.token(i)
 					}
 					return true
 				})
 			}
-			got := &sink{}
-			_, e := w.relay.Do(context.Background(), w.ask("q", max), got)
+			got := &recordingSink{}
+			_, e := cl.forwarder.Do(context.Background(), cl.request("q", total), got)
 			c.Assert(e == nil, quicktest.IsTrue, quicktest.Commentf("%v", e))
-			c.Assert(got.tokens, quicktest.DeepEquals, answer("q", max))
+			c.Assert(got.tokens, quicktest.DeepEquals, wantTokens("q", total))
 		}
 	}
 }
 
-// A server freezes in the middle of an answer: its connections stay open, and
-// it answers no probe. The caller gets the rest from another, and the frozen
-// server is told to stop.
-func TestFrozenServerIsLeft(t *testing.T) {
+// A server freezes during an answer: its connections stay open, and it answers
+// no probes. Another server completes the answer, and the attempt on the frozen
+// one is cancelled.
+func TestFrozenServerIsReplaced(t *testing.T) {
 	c := quicktest.New(t)
-	w := newWorld(t, "a1", "a2")
-	for _, f := range w.fakes {
-		f.play(func(r *reply, ask *engine.Request) bool {
-			if ask.Attempt > 1 {
+	cl := newCluster(t, "a1", "a2")
+	for _, f := range cl.servers {
+		f.setScript(func(r *replyWriter, req *engine.Request) bool {
+			if req.Attempt > 1 {
 				return false
 			}
 			r.token(0)
@@ -100,100 +99,101 @@
 			return true
 		})
 	}
-	got := &sink{}
-	_, e := w.relay.Do(context.Background(), w.ask("q", 5), got)
+	got := &recordingSink{}
+	_, e := cl.forwarder.Do(context.Background(), cl.request("q", 5), got)
 	c.Assert(e == nil, quicktest.IsTrue, quicktest.Commentf("%v", e))
-	c.Assert(got.tokens, quicktest.DeepEquals, answer("q", 5))
-	for _, f := range w.fakes {
+	c.Assert(got.tokens, quicktest.DeepEquals, wantTokens("q", 5))
+	for _, f := range cl.servers {
 		if !f.frozen.Load() {
 			continue
 		}
-		c.Assert(w.relay.View.Load().SuspectedServers[f.name].IsZero(), quicktest.IsFalse)
+		c.Assert(cl.forwarder.View.Load().SuspectedServers[f.name].IsZero(), quicktest.IsFalse)
 		waitFor(func() bool { return f.cancelled.Load() == 1 })
 	}
 }
 
-// waitFor waits until a condition holds. A condition that never does is ended
-// by the test's own time limit.
-func waitFor(holds func() bool) {
-	for !holds() {
+// waitFor waits until a condition holds. The test's timeout ends a wait for one
+// that never does.
+func waitFor(condition func() bool) {
+	for !condition() {
 		tick := time.NewTimer(time.Millisecond)
 		<-tick.C
 	}
 }
 
-// All links of a server are down, and the server itself answers. Its streams
-// fall silent all at once, and a request that only avoids the link it used
-// meets the same server again on each of the others.
+// All links of a server are down, but the server answers probes, and all its
+// streams fall silent at once. A request that avoided only the link it used would
+// pick the same server again over another one.
 func TestServerWithoutLinks(t *testing.T) {
 	c := quicktest.New(t)
-	w := newWorld(t, "a1", "a2", "b1", "b2", "b3")
-	w.layer(0, 0, 1, 1, 1)
-	silent := func() *carry {
-		r := &carry{Forwarder: w.relay, ask: w.ask("q", 5), state: w.relay.stateOf("lake")}
-		for len(r.stages) == 0 || r.stages[0].Server != "a1" {
-			c.Assert(r.choose(w.relay.View.Load(), time.Now()) == nil, quicktest.IsTrue)
+	cl := newCluster(t, "a1", "a2", "b1", "b2", "b3")
+	cl.splitLayers(0, 0, 1, 1, 1)
+	deliverSilently := func() *delivery {
+		d := &delivery{Forwarder: cl.forwarder, req: cl.request("q", 5), pool: cl.forwarder.stateOf("lake")}
+		for len(d.stages) == 0 || d.stages[0].Server != "a1" {
+			c.Assert(d.pickChain(cl.forwarder.View.Load(), time.Now()) == nil, quicktest.IsTrue)
 		}
-		r.silenced()
-		return r
+		d.handleSilence()
+		return d
 	}
-	// The request itself stays away from the whole chain.
-	r := silent()
-	chain := names(r.stages)
+	// The request avoids all servers of the chain.
+	d := deliverSilently()
+	chain := serverNames(d.stages)
 	for range 100 {
-		c.Assert(r.choose(w.relay.View.Load(), time.Now()) == nil, quicktest.IsTrue)
-		c.Assert(r.stages[0].Server, quicktest.Equals, "a2")
-		c.Assert(r.stages[1].Server, quicktest.Not(quicktest.Equals), chain[1])
+		c.Assert(d.pickChain(cl.forwarder.View.Load(), time.Now()) == nil, quicktest.IsTrue)
+		c.Assert(d.stages[0].Server, quicktest.Equals, "a2")
+		c.Assert(d.stages[1].Server, quicktest.Not(quicktest.Equals), chain[1])
 	}
-	// A token over another chain clears the other end of the link.
-	c.Assert(w.relay.View.Load().SuspectedServers, quicktest.HasLen, 0)
-	clear := func() {
+	// A token over another chain resets the count of the server at the other end
+	// of the link.
+	c.Assert(cl.forwarder.View.Load().SuspectedServers, quicktest.HasLen, 0)
+	resetSilences := func() {
 		for _, name := range []string{"b1", "b2", "b3"} {
-			w.relay.View.Load().Meters[name].Observe(1, time.Millisecond, 0)
+			cl.forwarder.View.Load().Meters[name].Observe(1, time.Millisecond, 0)
 		}
 	}
-	clear()
-	r = silent()
-	clear()
-	suspects := w.relay.View.Load().SuspectedServers
+	resetSilences()
+	d = deliverSilently()
+	resetSilences()
+	suspects := cl.forwarder.View.Load().SuspectedServers
 	c.Assert(suspects, quicktest.HasLen, 1)
 	c.Assert(suspects["a1"].IsZero(), quicktest.IsFalse)
-	// A hundred streams that fail with the server count as one failure.
+	// A hundred streams that fail together with the server count as one failure.
 	for range 100 {
-		r.suspect("a1")
+		d.suspectServers("a1")
 	}
-	c.Assert(w.relay.View.Load().Meters["a1"].Failures.Load(), quicktest.Equals, int64(1))
+	c.Assert(cl.forwarder.View.Load().Meters["a1"].Failures.Load(), quicktest.Equals, int64(1))
 }
 
-// A caller leaves while its answer streams. Nothing may go on running for it,
-// or callers who stay would wait for the work of those who left.
-func TestCallerLeaves(t *testing.T) {
+// A caller disconnects during its answer. The attempt is cancelled and not
+// retried: otherwise connected callers would wait for work that nobody reads.
+func TestCallerDisconnects(t *testing.T) {
 	c := quicktest.New(t)
-	w := newWorld(t, "a1")
-	w.fakes[0].play(func(r *reply, _ *engine.Request) bool {
+	cl := newCluster(t, "a1")
+	cl.servers[0].setScript(func(r *replyWriter, _ *engine.Request) bool {
 		r.token(0)
 		<-r.ctx.Done()
 		return true
 	})
 	ctx, cancel := context.WithCancel(context.Background())
-	got := &sink{each: func(int) error { cancel(); return nil }}
-	_, e := w.relay.Do(ctx, w.ask("q", 5), got)
+	got := &recordingSink{onToken: func(int) error { cancel(); return nil }}
+	_, e := cl.forwarder.Do(ctx, cl.request("q", 5), got)
 	c.Assert(e.Code, quicktest.Equals, fault.Cancelled)
 	c.Assert(e.Verdict, quicktest.Equals, fault.MayHaveRun)
-	waitFor(func() bool { return w.fakes[0].cancelled.Load() == 1 })
-	c.Assert(w.fakes[0].calls.Load(), quicktest.Equals, int64(1))
-	c.Assert(w.relay.View.Load().Meters["a1"].InFlight.Load(), quicktest.Equals, int64(0))
+	waitFor(func() bool { return cl.servers[0].cancelled.Load() == 1 })
+	c.Assert(cl.servers[0].calls.Load(), quicktest.Equals, int64(1))
+	c.Assert(cl.forwarder.View.Load().Meters["a1"].InFlight.Load(), quicktest.Equals, int64(0))
 }
 
-// A caller reads slowly. The chain is healthy, and the pause between its
-// tokens is the caller's own; to give the chain up would do its work twice.
-func TestSlowCallerIsNoSilence(t *testing.T) {
+// A caller reads slowly. The pause between tokens comes from the caller and not
+// from the chain; abandoning the healthy chain would do its work twice.
+func TestSlowCallerIsNotChainSilence(t *testing.T) {
 	c := quicktest.New(t)
-	w := newWorld(t, "a1", "a2")
+	cl := newCluster(t, "a1", "a2")
 	release := make(chan struct{})
-	for _, f := range w.fakes {
-		f.play(func(r *reply, ask *engine.Request) bool {
-			for i := len(ask.Sent); i < 6; i++ {
+	for _, f := range cl.servers {
+		f.setScript(func(r *replyWriter, req *engine.Request) bool {
+			for i := len(req.Sent); i < 6; i++ {
 				if i == 4 {
 					<-release
 				}
@@ -203,155 +203,156 @@
 			return true
 		})
 	}
-	looks := 0
-	got := &sink{each: func(index int) error {
+	ticks := 0
+	got := &recordingSink{onToken: func(index int) error {
 		if index == 3 {
 			<-release
 		}
 		return nil
 	}}
 	go func() {
-		// Longer than every limit of a chain with gaps below a millisecond.
+		// Longer than every timeout of a chain with gaps below a millisecond.
 		tick := time.NewTicker(retry.ProbeTimeout)
 		defer tick.Stop()
-		for ; looks < 5; looks++ {
+		for ; ticks < 5; ticks++ {
 			<-tick.C
 		}
 		close(release)
 	}()
-	_, e := w.relay.Do(context.Background(), w.ask("q", 6), got)
+	_, e := cl.forwarder.Do(context.Background(), cl.request("q", 6), got)
 	c.Assert(e == nil, quicktest.IsTrue, quicktest.Commentf("%v", e))
-	c.Assert(w.fakes[0].calls.Load()+w.fakes[1].calls.Load(), quicktest.Equals, int64(1))
+	c.Assert(cl.servers[0].calls.Load()+cl.servers[1].calls.Load(), quicktest.Equals, int64(1))
 }
 
-// Every server refuses, or fails. The caller hears at once whether the
-// request may have run, and when to come back.
-func TestGivenUp(t *testing.T) {
-	refuse := func(why string) func(*reply, *engine.Request) bool {
-		return func(r *reply, _ *engine.Request) bool {
-			r.Header().Set(engine.NotRunHeader, why)
+// Every server refuses or fails. The caller gets the verdict whether the request
+// may have run, and when to retry.
+func TestAllServersFail(t *testing.T) {
+	refuse := func(reason string) func(*replyWriter, *engine.Request) bool {
+		return func(r *replyWriter, _ *engine.Request) bool {
+			r.Header().Set(engine.NotRunHeader, reason)
 			r.WriteHeader(503)
 			return true
 		}
 	}
 	for _, test := range []struct {
 		name    string
-		script  func(*reply, *engine.Request) bool
+		script  func(*replyWriter, *engine.Request) bool
 		code    fault.Code
 		verdict fault.Verdict
 	}{
 		{"leaving", refuse(engine.Leaving), fault.NoCover, fault.NotRun},
 		{"full", refuse("full"), fault.ServerRefused, fault.NotRun},
-		{"broken", func(r *reply, _ *engine.Request) bool { r.WriteHeader(500); return true }, fault.ServerFailed, fault.MayHaveRun},
-		{"later stage refuses", func(r *reply, _ *engine.Request) bool {
+		{"broken", func(r *replyWriter, _ *engine.Request) bool { r.WriteHeader(500); return true }, fault.ServerFailed, fault.MayHaveRun},
+		{"later stage refuses", func(r *replyWriter, _ *engine.Request) bool {
 			r.frame(engine.Frame{Fail: &engine.Failure{Server: "a1", Message: "full", Refused: true}})
 			return true
 		}, fault.ServerRefused, fault.MayHaveRun},
 	} {
 		t.Run(test.name, func(t *testing.T) {
 			c := quicktest.New(t)
-			w := newWorld(t, "a1", "a2")
-			for _, f := range w.fakes {
-				f.play(test.script)
+			cl := newCluster(t, "a1", "a2")
+			for _, f := range cl.servers {
+				f.setScript(test.script)
 			}
-			_, e := w.relay.Do(context.Background(), w.ask("q", 3), &sink{})
+			_, e := cl.forwarder.Do(context.Background(), cl.request("q", 3), &recordingSink{})
 			c.Assert(e.Code, quicktest.Equals, test.code)
 			c.Assert(e.Verdict, quicktest.Equals, test.verdict)
 			c.Assert(e.RetryAfter, quicktest.Equals, retry.RetryAfter)
-			calls := w.fakes[0].calls.Load() + w.fakes[1].calls.Load()
+			calls := cl.servers[0].calls.Load() + cl.servers[1].calls.Load()
 			c.Assert(calls <= retry.MaxAttempts, quicktest.IsTrue)
 		})
 	}
 }
 
-// A server whose process is gone refuses connections. Nothing has left for
-// it, so the refusal may say not-run.
-func TestNothingListens(t *testing.T) {
+// The process of a server is gone, and connections to it are refused. Nothing was
+// sent to it, so the verdict is not-run.
+func TestConnectionRefused(t *testing.T) {
 	c := quicktest.New(t)
-	w := newWorld(t, "a1")
-	w.fakes[0].Close()
-	_, e := w.relay.Do(context.Background(), w.ask("q", 3), &sink{})
+	cl := newCluster(t, "a1")
+	cl.servers[0].Close()
+	_, e := cl.forwarder.Do(context.Background(), cl.request("q", 3), &recordingSink{})
 	c.Assert(e.Code, quicktest.Equals, fault.ServerFailed)
 	c.Assert(e.Verdict, quicktest.Equals, fault.NotRun)
 }
 
-// One server is dead, and the only other one is suspected too, since it was
-// slow to answer a poll. Each attempt of the request must not meet the dead
-// one again.
-func TestDeadAmongSuspects(t *testing.T) {
+// One server is dead, and the only other one is suspected too, for example after
+// a slow answer to a poll. The request must not pick the dead one on every
+// attempt.
+func TestDeadServerAmongSuspects(t *testing.T) {
 	c := quicktest.New(t)
 	for dead := range 2 {
-		w := newWorld(t, "a1", "a2")
-		w.fakes[dead].Close()
-		w.relay.View.Update(func(s *view.Snapshot) {
+		cl := newCluster(t, "a1", "a2")
+		cl.servers[dead].Close()
+		cl.forwarder.View.Update(func(s *view.Snapshot) {
 			now := time.Now()
 			s.Suspect("a1", now.Add(time.Minute), now)
 			s.Suspect("a2", now.Add(time.Minute), now)
 		})
-		got := &sink{}
-		_, e := w.relay.Do(context.Background(), w.ask("q", 3), got)
+		got := &recordingSink{}
+		_, e := cl.forwarder.Do(context.Background(), cl.request("q", 3), got)
 		c.Assert(e == nil, quicktest.IsTrue, quicktest.Commentf("%v", e))
-		c.Assert(got.tokens, quicktest.DeepEquals, answer("q", 3))
+		c.Assert(got.tokens, quicktest.DeepEquals, wantTokens("q", 3))
 	}
 }
 
-// The fault of a whole pool must not multiply its load by the number of
-// attempts of each request.
-func TestBudgetEnds(t *testing.T) {
+// When all servers of a pool fail, retries must not multiply the load by the
+// number of attempts.
+func TestRetryBudgetExhausted(t *testing.T) {
 	c := quicktest.New(t)
-	w := newWorld(t, "a1", "a2")
-	for _, f := range w.fakes {
-		f.play(func(r *reply, _ *engine.Request) bool { r.WriteHeader(500); return true })
+	cl := newCluster(t, "a1", "a2")
+	for _, f := range cl.servers {
+		f.setScript(func(r *replyWriter, _ *engine.Request) bool { r.WriteHeader(500); return true })
 	}
 	const requests = 100
 	for range requests {
-		_, e := w.relay.Do(context.Background(), w.ask("q", 3), &sink{})
+		_, e := cl.forwarder.Do(context.Background(), cl.request("q", 3), &recordingSink{})
 		c.Assert(e, quicktest.IsNotNil)
 	}
-	calls := w.fakes[0].calls.Load() + w.fakes[1].calls.Load()
+	calls := cl.servers[0].calls.Load() + cl.servers[1].calls.Load()
 	c.Assert(calls, quicktest.Equals, int64(requests+64))
 }
 
-// A request holds the pool as it was before the operators changed it. Later
-// requests must not be sent by what that one knew.
-func TestOldPoolIsNotKept(t *testing.T) {
+// A request holds the pool of an older configuration. Its table must not be
+// cached, or later requests would go to a server that operators have removed.
+func TestStalePoolIsNotCached(t *testing.T) {
 	c := quicktest.New(t)
-	w := newWorld(t, "a1", "a2")
-	old := w.ask("old", 1)
-	w.relay.View.Update(func(s *view.Snapshot) {
+	cl := newCluster(t, "a1", "a2")
+	old := cl.request("old", 1)
+	cl.forwarder.View.Update(func(s *view.Snapshot) {
 		next := s.Config.Clone()
 		next.Pools["lake"] = pool.Pool{Name: "lake", Model: "lotus", Layers: fakeLayers, Servers: []string{"a2"}}
 		s.Config = next
 	})
 	for range 20 {
-		_, e := w.relay.Do(context.Background(), old, &sink{})
+		_, e := cl.forwarder.Do(context.Background(), old, &recordingSink{})
 		c.Assert(e == nil, quicktest.IsTrue, quicktest.Commentf("%v", e))
 	}
-	c.Assert(w.fakes[0].calls.Load(), quicktest.Equals, int64(0))
+	c.Assert(cl.servers[0].calls.Load(), quicktest.Equals, int64(0))
 }
 
-// A caller's connection breaks as a token is written to it.
+// The caller's connection breaks while a token is written to it. The request is
+// cancelled and not retried.
 func TestSinkFails(t *testing.T) {
 	c := quicktest.New(t)
-	w := newWorld(t, "a1", "a2")
-	_, e := w.relay.Do(context.Background(), w.ask("q", 3), &sink{each: func(int) error { return errors.New("gone") }})
+	cl := newCluster(t, "a1", "a2")
+	_, e := cl.forwarder.Do(context.Background(), cl.request("q", 3), &recordingSink{onToken: func(int) error { return errors.New("gone") }})
 	c.Assert(e.Code, quicktest.Equals, fault.Cancelled)
-	c.Assert(w.fakes[0].calls.Load()+w.fakes[1].calls.Load(), quicktest.Equals, int64(1))
+	c.Assert(cl.servers[0].calls.Load()+cl.servers[1].calls.Load(), quicktest.Equals, int64(1))
 }
 
-// BenchmarkRelay measures the cost of a token over a chain of three servers,
-// with its frame read over a loopback connection and checked.
+// BenchmarkRelay measures the cost per token over a chain of three servers,
+// including reading its frame over a loopback connection and validating it.
 func BenchmarkRelay(b *testing.B) {
-	const max = 1000
-	w := newWorld(b, "a1", "a2", "a3")
-	w.layer(0, 1, 2)
-	ask := w.ask("q", max)
-	wire := &engine.Request{RequestID: ask.ID, Attempt: 1, Prompt: "q"}
-	for i, name := range w.pool.Servers {
+	const total = 1000
+	cl := newCluster(b, "a1", "a2", "a3")
+	cl.splitLayers(0, 1, 2)
+	req := cl.request("q", total)
+	wire := &engine.Request{RequestID: req.ID, Attempt: 1, Prompt: "q"}
+	for i, name := range cl.pool.Servers {
 		wire.Chain = append(wire.Chain, engine.Stage{Server: name, First: i, End: i + 1})
 	}
-	all := lines(wire, max)
-	w.fakes[0].play(func(r *reply, _ *engine.Request) bool {
+	all := encodedFrames(wire, total)
+	cl.servers[0].setScript(func(r *replyWriter, _ *engine.Request) bool {
 		for _, line := range all {
 			_, _ = r.Write(line)
 		}
@@ -359,14 +360,14 @@
 	})
 	b.ReportAllocs()
 	for b.Loop() {
-		if _, e := w.relay.Do(context.Background(), ask, discard{}); e != nil {
+		if _, e := cl.forwarder.Do(context.Background(), req, discardSink{}); e != nil {
 			b.Fatal(e)
 		}
 	}
-	b.ReportMetric(float64(b.Elapsed().Nanoseconds())/float64(b.N)/max, "ns/token")
+	b.ReportMetric(float64(b.Elapsed().Nanoseconds())/float64(b.N)/total, "ns/token")
 }
 
-// discard is a caller that costs nothing.
-type discard struct{}
+// discardSink discards all tokens.
+type discardSink struct{}
 
-func (discard) Token(int, string) error { return nil }
+func (discardSink) Token(int, string) error { return nil }
