--- a/entry/internal/edge/admission.go
+++ b/entry/internal/edge/admission.go
@@ -14,29 +14,30 @@
 	"fuchsiashelf.dev/parts/view"
 )
 
-// Admission lets requests through to their pools, each team by its quota. Set
-// the exported fields before first use. A nil Admission lets all through.
+// Admission controls which requests may run on their pools, by the quotas of
+// their teams. Set the exported fields before first use. A nil Admission admits
+// every request.
 type Admission struct {
 	View  *view.Publisher
 	Trace *trace.Recorder
-	// Limits are those of each pool's queue.
+	// Limits are the limits of each pool's queue.
 	Limits admit.Limits
-	// TargetWait is the mean wait of tokens at engines to aim at, in units of
-	// their run time.
+	// TargetWait is the target for the mean time that tokens wait at backend
+	// servers, in units of their run time.
 	TargetWait float64
 
-	// RemoteUsage returns the requests per second of each team on other entry
-	// hosts, as far as they have told; nil for none.
+	// RemoteUsage returns the requests per second of each team on the other entry
+	// hosts that have reported them; nil for none.
 	RemoteUsage func() map[string]float64
 
 	rates admit.RateLimiter
-	// doors holds a *admit.Door for each pool by its name.
-	doors sync.Map
+	// controllers holds the *admit.Controller of each pool by its name.
+	controllers sync.Map
 }
 
-// entering is a request at the door of its pool.
-type entering struct {
-	request  string
+// admissionRequest is a request to be admitted to its pool.
+type admissionRequest struct {
+	id       string
 	team     team.Team
 	pool     pool.Pool
 	cost     int
@@ -44,89 +45,94 @@
 	deadline time.Time
 }
 
-// enter returns when the request may run. The grant is left when it has ended.
-// The error is NotRun.
-func (a *Admission) enter(ctx context.Context, snap *view.Snapshot, in *entering) (admit.Grant, *fault.Error) {
+// admit waits until the request may run or is refused. The caller releases the
+// grant when the request has ended. The verdict of the error is always NotRun.
+func (a *Admission) admit(ctx context.Context, snap *view.Snapshot, req *admissionRequest) (admit.Grant, *fault.Error) {
 	if a == nil {
 		return admit.Grant{}, nil
 	}
-	// Counting the fleet walks the host list, which only a limit needs.
-	if in.team.Quota.Rate > 0 {
-		if e := a.rates.Allow(time.Now(), in.team.Name, in.team.Quota, a.fleet(snap)); e != nil {
-			return admit.Grant{}, a.refused(in, e)
+	// Counting the peers walks the host list, which only a rate limit needs.
+	if req.team.Quota.Rate > 0 {
+		if e := a.rates.Allow(time.Now(), req.team.Name, req.team.Quota, a.peers(snap)); e != nil {
+			return admit.Grant{}, a.traceRefusal(req, e)
 		}
 	}
-	grant, e := a.door(snap, in.pool).Admit(ctx, admit.Request{
-		Team: in.team.Name, Weight: float64(in.team.Quota.Share), Cost: float64(in.cost),
-		Bytes: in.bytes, Deadline: in.deadline,
+	grant, e := a.controller(snap, req.pool).Admit(ctx, admit.Request{
+		Team: req.team.Name, Weight: float64(req.team.Quota.Share), Cost: float64(req.cost),
+		Bytes: req.bytes, Deadline: req.deadline,
 	})
 	if e != nil {
-		return admit.Grant{}, a.refused(in, e)
+		return admit.Grant{}, a.traceRefusal(req, e)
 	}
 	return grant, nil
 }
 
-// LocalUsage returns the requests per second of each team here.
+// LocalUsage returns the requests per second of each team on this entry host.
 func (a *Admission) LocalUsage() map[string]float64 {
 	return a.rates.Usage(time.Now())
 }
 
-// fleet returns what is known of the other entry hosts.
-func (a *Admission) fleet(snap *view.Snapshot) admit.Peers {
-	f := admit.Peers{Listed: entryHosts(snap), Alive: 1}
+// peers returns how many entry hosts are listed and alive, this one included, and
+// the rates of teams on the others.
+func (a *Admission) peers(snap *view.Snapshot) admit.Peers {
+	peers := admit.Peers{Listed: entryHosts(snap), Alive: 1}
 	for name, p := range snap.Peers {
 		if p.Alive && name != snap.Self && snap.Hosts[name].Role == host.Entry {
-			f.Alive++
+			peers.Alive++
 		}
 	}
 	if a.RemoteUsage != nil {
-		f.Rate = func(team string) float64 { return a.RemoteUsage()[team] }
+		peers.Rate = func(team string) float64 { return a.RemoteUsage()[team] }
 	}
-	return f
+	return peers
 }
 
-func (a *Admission) refused(in *entering, e *fault.Error) *fault.Error {
-	a.Trace.Record("gate", in.request, "refused: "+e.Error())
+// traceRefusal records a refusal and returns its error.
+func (a *Admission) traceRefusal(req *admissionRequest, e *fault.Error) *fault.Error {
+	a.Trace.Record("gate", req.id, "refused: "+e.Error())
 	return e
 }
 
-// The limits of a pool before anything was measured, for each of its servers.
-// A model pool starts with more than it can carry, since too low a limit
-// would refuse while there is room; the first measurements cut it. A plain
-// service reports nothing, so its limit stays.
+// The concurrency limits of a pool, per server, before its wait has been measured.
+// A model pool starts above its capacity, since too low a limit would refuse
+// requests while there is capacity; the first measurements reduce it. Plain
+// services report no wait, so their limit stays. minInitial is the smallest
+// initial limit of a whole model pool.
 const (
-	startPerServer = 32
-	mostPerServer  = 256
-	plainPerServer = 256
-	leastStart     = 16
+	initialPerServer = 32
+	maxPerServer     = 256
+	plainPerServer   = 256
+	minInitial       = 16
 )
 
-// door returns the door of a pool.
-func (a *Admission) door(snap *view.Snapshot, p pool.Pool) *admit.Controller {
-	if known, ok := a.doors.Load(p.Name); ok {
-		return known.(*admit.Controller)
+// controller returns the admission controller of a pool, creating it on first
+// use. The initial limit is divided by the number of entry hosts, but is at least
+// that of one server.
+func (a *Admission) controller(snap *view.Snapshot, p pool.Pool) *admit.Controller {
+	if existing, ok := a.controllers.Load(p.Name); ok {
+		return existing.(*admit.Controller)
 	}
 	servers := float64(len(p.Servers))
-	part := max(servers/float64(entryHosts(snap)), 1)
-	d := &admit.Controller{Limits: a.Limits, Limiter: admit.Limiter{
-		Target: a.TargetWait, Min: 1, Max: mostPerServer * servers,
-		Value: max(startPerServer*part, leastStart),
+	share := max(servers/float64(entryHosts(snap)), 1)
+	ctrl := &admit.Controller{Limits: a.Limits, Limiter: admit.Limiter{
+		Target: a.TargetWait, Min: 1, Max: maxPerServer * servers,
+		Value: max(initialPerServer*share, minInitial),
 	}}
 	if p.IsPlain() {
-		d.Limiter.Value = plainPerServer * part
+		ctrl.Limiter.Value = plainPerServer * share
 	} else {
-		d.MeasureWait = a.measure(p.Name)
+		ctrl.MeasureWait = a.waitMeter(p.Name)
 	}
-	held, found := a.doors.LoadOrStore(p.Name, d)
-	if !found {
-		show(p.Name, d)
+	actual, loaded := a.controllers.LoadOrStore(p.Name, ctrl)
+	if !loaded {
+		registerGauges(p.Name, ctrl)
 	}
-	return held.(*admit.Controller)
+	return actual.(*admit.Controller)
 }
 
-// priority returns the priority at engines. What waits at a full engine would
-// otherwise be the same for a team that uses less than its share as for the
-// one that fills the pool.
+// priority returns the priority of a request at backend servers. Without it, a
+// team that uses less than its share would wait as long at a full server as the
+// team that fills the pool.
 func priority(g admit.Grant) int {
 	if g.Credit() {
 		return 1
@@ -134,18 +140,19 @@
 	return 0
 }
 
-// known returns the door of a pool that a request has passed, or nil.
-func (a *Admission) known(name string) *admit.Controller {
+// lookup returns the controller of a pool to which a request has been admitted,
+// or nil for a nil Admission.
+func (a *Admission) lookup(name string) *admit.Controller {
 	if a == nil {
 		return nil
 	}
-	d, _ := a.doors.Load(name)
-	return d.(*admit.Controller)
+	ctrl, _ := a.controllers.Load(name)
+	return ctrl.(*admit.Controller)
 }
 
-// entryHosts returns how many entry hosts the platform lists, this one
-// included. Those that can't be reached count too: they may still let their
-// part of a team's requests through.
+// entryHosts returns the number of entry hosts that the platform lists, including
+// this one. Unreachable ones count too, since they may still admit their share of
+// a team's requests.
 func entryHosts(snap *view.Snapshot) int {
 	n := 0
 	for _, h := range snap.Hosts {
--- a/entry/internal/edge/plain.go
+++ b/entry/internal/edge/plain.go
@@ -15,67 +15,69 @@
 	"fuchsiashelf.dev/parts/view"
 )
 
-// hopHeaders concern one connection only and are not passed on.
-var hopHeaders = []string{
+// hopByHopHeaders apply to a single connection and are not forwarded.
+var hopByHopHeaders = []string{
 	"Connection", "Keep-Alive", "Proxy-Authenticate", "Proxy-Authorization",
 	"Te", "Trailer", "Transfer-Encoding", "Upgrade", "Proxy-Connection",
 }
 
-func (g *Handler) plain(ctx context.Context, c *app.RequestContext) {
-	snap := g.View.Load()
-	who, e := caller(c, snap)
+// handlePlain handles a call of a plain service.
+func (h *Handler) handlePlain(ctx context.Context, c *app.RequestContext) {
+	snap := h.View.Load()
+	tm, e := authenticate(c, snap)
 	if e != nil {
-		refuse(c, e)
+		writeError(c, e)
 		return
 	}
 	s, e := plainService(snap, string(c.Path()))
 	if e != nil {
-		refuse(c, e)
+		writeError(c, e)
 		return
 	}
-	p, e := route(snap, s.Name, who.Name)
+	p, e := route(snap, s.Name, tm.Name)
 	if e != nil {
-		refuse(c, e)
+		writeError(c, e)
 		return
 	}
 	id, e := callID(c)
 	if e != nil {
-		refuse(c, e)
+		writeError(c, e)
 		return
 	}
-	request := g.next(snap)
-	c.Header(RequestHeader, request)
-	g.Trace.Record("gate", request, "took a call of team "+who.Name)
-	taken.Inc(1)
+	requestID := h.nextID(snap)
+	c.Header(RequestHeader, requestID)
+	h.Trace.Record("gate", requestID, "call from team "+tm.Name)
+	requestCount.Inc(1)
 	deadline := time.Now().Add(s.EffectiveDeadline())
-	grant, e := g.Admission.enter(ctx, snap, &entering{
-		request: request, team: who, pool: p, cost: 1, bytes: len(c.Request.Body()), deadline: deadline,
+	grant, e := h.Admission.admit(ctx, snap, &admissionRequest{
+		id: requestID, team: tm, pool: p, cost: 1, bytes: len(c.Request.Body()), deadline: deadline,
 	})
 	if e != nil {
-		refuse(c, e)
+		writeError(c, e)
 		return
 	}
 	defer grant.Release()
-	reply, e := g.Pass.Call(ctx, &invoke.Call{
-		Request: request, Team: who.Name, ID: id,
+	reply, e := h.Pass.Call(ctx, &invoke.Call{
+		Request: requestID, Team: tm.Name, ID: id,
 		Service: s, Pool: p, Method: string(c.Method()),
-		URI: string(c.Request.URI().RequestURI()), Header: requestHeader(c),
+		URI: string(c.Request.URI().RequestURI()), Header: forwardedHeader(c),
 		Body: c.Request.Body(), Deadline: deadline,
 	})
 	if e != nil {
-		refuse(c, e)
+		writeError(c, e)
 		return
 	}
-	respond(c, reply)
+	writeReply(c, reply)
 }
 
-// maxID bounds the caller's id of a call, in bytes.
-const maxID = 1024
+// maxCallID is the maximum length of a caller's id of a call, in bytes.
+const maxCallID = 1024
 
-// callID returns the caller's id of a call. Of two ids the system could go by
-// one and the backend server by the other, and neither would see a repeat.
+// callID returns the caller's id of a call, or "" if it has none. More than one id
+// is an error: if this system used one of them and the backend server the other,
+// neither would detect a repeated call.
 func callID(c *app.RequestContext) (string, *fault.Error) {
-	bad := func(message string) *fault.Error {
+	invalid := func(message string) *fault.Error {
 		return &fault.Error{Code: fault.BadRequest, Verdict: fault.NotRun, Field: invoke.IDHeader, Message: message}
 	}
 	ids := c.Request.Header.GetAll(invoke.IDHeader)
@@ -83,75 +85,81 @@
 	case len(ids) == 0:
 		return "", nil
 	case len(ids) > 1:
-		return "", bad("given more than once")
-	case len(ids[0]) > maxID:
-		return "", bad(fmt.Sprintf("longer than %d bytes", maxID))
+		return "", invalid("given more than once")
+	case len(ids[0]) > maxCallID:
+		return "", invalid(fmt.Sprintf("longer than %d bytes", maxCallID))
 	}
 	return ids[0], nil
 }
 
-// plainService returns the service with the longest path that the call's
-// path is under.
+// plainService returns the service with the longest path that is a prefix of the
+// path of a call.
 func plainService(snap *view.Snapshot, path string) (rule.Service, *fault.Error) {
-	best := rule.Service{}
+	longest := rule.Service{}
 	if snap.Config != nil {
 		for _, s := range snap.Config.Services {
-			if under(path, s.Path) && len(s.Path) > len(best.Path) {
-				best = s
+			if hasPathPrefix(path, s.Path) && len(s.Path) > len(longest.Path) {
+				longest = s
 			}
 		}
 	}
-	if best.Path == "" {
-		return best, &fault.Error{
+	if longest.Path == "" {
+		return longest, &fault.Error{
 			Code: fault.NoRoute, Verdict: fault.NotRun, Field: "path",
 			Message: "no service has the path " + path,
 		}
 	}
-	return best, nil
+	return longest, nil
 }
 
-func under(path, prefix string) bool {
+// hasPathPrefix reports whether a path equals a prefix or continues it with
+// whole segments. No path has the empty prefix.
+func hasPathPrefix(path, prefix string) bool {
 	rest, found := strings.CutPrefix(path, prefix)
 	return found && prefix != "" && (rest == "" || rest[0] == '/' || strings.HasSuffix(prefix, "/"))
 }
 
-func requestHeader(c *app.RequestContext) http.Header {
+// forwardedHeader returns the headers of a call that are forwarded to the backend
+// server.
+func forwardedHeader(c *app.RequestContext) http.Header {
 	header := http.Header{}
 	c.Request.Header.VisitAll(func(key, value []byte) {
 		header.Add(string(key), string(value))
 	})
-	strip(header)
-	// A caller's word must not be taken for the system's.
+	removeHopByHop(header)
+	// A caller must not set headers that only this system sets.
 	for name := range header {
 		if strings.HasPrefix(name, invoke.HeaderPrefix) {
 			header.Del(name)
 		}
 	}
-	// The whole body is here already.
+	// The whole body has been received already.
 	header.Del("Expect")
-	// The token is between the caller and the system.
+	// The token is a secret between the caller and this system.
 	header.Del("Authorization")
 	header.Del("Host")
 	header.Del("Content-Length")
 	return header
 }
 
-func strip(header http.Header) {
-	for _, named := range header.Values("Connection") {
-		for name := range strings.SplitSeq(named, ",") {
+// removeHopByHop removes the hop-by-hop headers, including those that Connection
+// lists.
+func removeHopByHop(header http.Header) {
+	for _, list := range header.Values("Connection") {
+		for name := range strings.SplitSeq(list, ",") {
 			header.Del(strings.TrimSpace(name))
 		}
 	}
-	for _, name := range hopHeaders {
+	for _, name := range hopByHopHeaders {
 		header.Del(name)
 	}
 }
 
-// respond writes an answer. Several callers may get the same one, so it is
-// left as it is.
-func respond(c *app.RequestContext, reply *invoke.Reply) {
+// writeReply writes a reply to the caller. Several callers may get the same reply,
+// so it is not modified.
+func writeReply(c *app.RequestContext, reply *invoke.Reply) {
 	header := reply.Header.Clone()
-	strip(header)
+	removeHopByHop(header)
 	header.Del("Content-Length")
 	for name, values := range header {
 		if strings.HasPrefix(name, invoke.HeaderPrefix) {
--- a/entry/internal/edge/plain_test.go
+++ b/entry/internal/edge/plain_test.go
@@ -31,10 +31,10 @@
 	}
 }
 
-// A caller sends headers that concern its connection, its token, and headers
-// that only the system may set. A backend server that got them would take the
-// caller for another team, or break the connection that others share.
-func TestRequestHeader(t *testing.T) {
+// A caller sends hop-by-hop headers, its token, and headers that only this system
+// may set. If they were forwarded, the backend server could take the caller for
+// another team, or close a connection that other callers share.
+func TestForwardedHeader(t *testing.T) {
 	var c app.RequestContext
 	for name, value := range map[string]string{
 		"Authorization": "Bearer token", "Connection": "keep-alive, X-Hop", "X-Hop": "1",
@@ -46,7 +46,7 @@
 	}
 	c.Request.Header.Add("X-Many", "1")
 	c.Request.Header.Add("X-Many", "2")
-	got := requestHeader(&c)
+	got := forwardedHeader(&c)
 	got.Del("User-Agent")
 	got.Del("Content-Type")
 	qt.Assert(t, got, qt.DeepEquals, http.Header{
@@ -54,16 +54,16 @@
 	})
 }
 
-// Two callers that sent the same call get the same answer, at the same time.
-// Each keeps all of its end-to-end headers.
-func TestRespond(t *testing.T) {
+// Two callers that send the same call get the same reply. Writing it to one must
+// not remove end-to-end headers for the other.
+func TestWriteReply(t *testing.T) {
 	reply := &invoke.Reply{Status: 201, Body: []byte("ok"), Header: http.Header{
 		"Set-Cookie": {"a=1", "b=2"}, "X-End": {"kept"}, "Connection": {"X-Hop"}, "X-Hop": {"1"},
 		"Fuchsia-Verdict": {"not-run"}, "Content-Type": {"text/plain"},
 	}}
 	for range 2 {
 		var c app.RequestContext
-		respond(&c, reply)
+		writeReply(&c, reply)
 		qt.Assert(t, c.Response.StatusCode(), qt.Equals, 201)
 		qt.Assert(t, string(c.Response.Header.Peek("X-End")), qt.Equals, "kept")
 		qt.Assert(t, string(c.Response.Header.Peek("Fuchsia-Verdict")), qt.Equals, "ran")
@@ -74,18 +74,18 @@
 	qt.Assert(t, reply.Header.Get("X-Hop"), qt.Equals, "1")
 }
 
-// A caller gives an id twice, or one that is no id. Going by either of two
+// A caller gives several ids or one that is too long. Using either of two ids
 // would let the call run again under the other.
 func TestCallID(t *testing.T) {
 	for _, test := range []struct {
-		ids  []string
-		want string
-		good bool
+		ids   []string
+		want  string
+		valid bool
 	}{
 		{nil, "", true},
 		{[]string{"seat-1"}, "seat-1", true},
-		{[]string{strings.Repeat("x", maxID)}, strings.Repeat("x", maxID), true},
-		{[]string{strings.Repeat("x", maxID+1)}, "", false},
+		{[]string{strings.Repeat("x", maxCallID)}, strings.Repeat("x", maxCallID), true},
+		{[]string{strings.Repeat("x", maxCallID+1)}, "", false},
 		{[]string{"seat-1", "seat-2"}, "", false},
 		{[]string{"seat-1", "seat-1"}, "", false},
 	} {
@@ -95,7 +95,7 @@
 		}
 		got, e := callID(&c)
 		qt.Check(t, got, qt.Equals, test.want)
-		qt.Check(t, e == nil, qt.Equals, test.good)
+		qt.Check(t, e == nil, qt.Equals, test.valid)
 		if e != nil {
 			qt.Check(t, e.Field, qt.Equals, invoke.IDHeader)
 		}
--- a/entry/internal/edge/ticket.go
+++ b/entry/internal/edge/ticket.go
@@ -8,22 +8,22 @@
 	"fuchsiashelf.dev/parts/fault"
 )
 
-// issued is the answer to a caller that asks for a ticket.
-type issued struct {
+// ticketResponse is the response to a request for a ticket.
+type ticketResponse struct {
 	Ticket string `json:"ticket"`
 }
 
-// ticket answers a caller that asks for an id of its next call.
-func (g *Handler) ticket(_ context.Context, c *app.RequestContext) {
-	who, e := caller(c, g.View.Load())
+// handleTicket issues a ticket: an id that the caller gives with its next call.
+func (h *Handler) handleTicket(_ context.Context, c *app.RequestContext) {
+	tm, e := authenticate(c, h.View.Load())
 	if e != nil {
-		refuse(c, e)
+		writeError(c, e)
 		return
 	}
-	text, err := g.Pass.Issue(who.Name)
+	ticket, err := h.Pass.Issue(tm.Name)
 	if err != nil {
-		refuse(c, &fault.Error{Code: fault.Internal, Verdict: fault.NotRun, Cause: err})
+		writeError(c, &fault.Error{Code: fault.Internal, Verdict: fault.NotRun, Cause: err})
 		return
 	}
-	c.JSON(200, issued{text})
+	c.JSON(200, ticketResponse{ticket})
 }
--- a/entry/internal/edge/measure_test.go
+++ b/entry/internal/edge/wait_test.go
@@ -12,9 +12,9 @@
 	"fuchsiashelf.dev/parts/view"
 )
 
-// One stage of a pool is full and the other idle. A mean over all servers
-// would show half of it, and let in twice what the pool carries.
-func TestTheFullestStageBinds(t *testing.T) {
+// One stage of a pool is full and the other idle. A mean over all servers would
+// halve the measured wait, and twice the pool's capacity would be admitted.
+func TestLongestWaitIsPerStage(t *testing.T) {
 	c := qt.New(t)
 	now := time.Unix(1000, 0)
 	snap := &view.Snapshot{
@@ -22,7 +22,7 @@
 		Meters: map[string]*server.Meter{"a": {}, "b": {}, "old": {}},
 	}
 	p := &pool.Pool{Servers: []string{"a", "b", "old", "unknown"}}
-	_, known := wait(snap, p, now)
+	_, known := longestWait(snap, p, now)
 	c.Assert(known, qt.IsFalse)
 	for range 200 {
 		at := now.UnixNano()
@@ -30,7 +30,7 @@
 		snap.Meters["b"].Observe(at, 10*time.Millisecond, 30*time.Millisecond)
 		snap.Meters["old"].Observe(at-int64(time.Minute), 10*time.Millisecond, time.Hour)
 	}
-	got, known := wait(snap, p, now)
+	got, known := longestWait(snap, p, now)
 	c.Assert(known, qt.IsTrue)
 	c.Assert(got > 2.9 && got < 3.1, qt.IsTrue, qt.Commentf("%v", got))
 }
