--- a/entry/internal/watch/hosts.go
+++ b/entry/internal/watch/hosts.go
@@ -8,57 +8,60 @@
 	"fuchsiashelf.dev/parts/view"
 )
 
-func (f *Watcher) watchHosts(ctx context.Context) {
+// watchHosts applies each new host list until the context is cancelled.
+func (w *Watcher) watchHosts(ctx context.Context) {
 	var after uint64
 	for ctx.Err() == nil {
-		list, err := f.Store.Hosts(ctx, after)
+		list, err := w.Store.Hosts(ctx, after)
 		if err != nil {
-			f.failed(ctx, &f.hosts, "hosts", err)
+			w.recordFailure(ctx, &w.hosts, "hosts", err)
 			continue
 		}
-		f.answered(&f.hosts, "hosts")
+		w.recordSuccess(&w.hosts, "hosts")
 		if list.Revision <= after {
 			continue
 		}
 		after = list.Revision
-		f.offerHosts(list)
+		w.applyHosts(list)
 	}
 }
 
-// offerHosts takes a host list of a higher revision.
-func (f *Watcher) offerHosts(list host.List) {
+// applyHosts applies a host list if its revision is higher.
+func (w *Watcher) applyHosts(list host.List) {
 	hosts := make(map[string]host.Host, len(list.Hosts))
 	for _, h := range list.Hosts {
 		hosts[h.Name] = h
 	}
-	f.View.Update(func(s *view.Snapshot) {
+	w.View.Update(func(s *view.Snapshot) {
 		if list.Revision <= s.HostsRevision {
 			return
 		}
 		s.HostsRevision = list.Revision
 		s.Hosts = hosts
-		out(s, time.Now())
+		updateCordons(s, time.Now())
 	})
 }
 
-// stopTick is how often planned stops are looked at.
-const stopTick = 500 * time.Millisecond
+// stopInterval is how often planned stops are checked.
+const stopInterval = 500 * time.Millisecond
 
-func (f *Watcher) watchStops(ctx context.Context) {
-	tick := time.NewTicker(stopTick)
-	defer tick.Stop()
+// watchStops cordons the servers whose planned stop has begun.
+func (w *Watcher) watchStops(ctx context.Context) {
+	ticker := time.NewTicker(stopInterval)
+	defer ticker.Stop()
 	for {
 		select {
 		case <-ctx.Done():
 			return
-		case now := <-tick.C:
-			f.View.Update(func(s *view.Snapshot) { out(s, now) })
+		case now := <-ticker.C:
+			w.View.Update(func(s *view.Snapshot) { updateCordons(s, now) })
 		}
 	}
 }
 
-// out takes servers out of new work by the host list and the planned stops.
-func out(s *view.Snapshot, now time.Time) {
+// updateCordons updates which servers are cordoned by the host list and by the
+// planned stops.
+func updateCordons(s *view.Snapshot, now time.Time) {
 	leaving := map[string]bool{}
 	for name, h := range s.Hosts {
 		if h.State == host.Leaving {
--- a/entry/internal/watch/objects.go
+++ b/entry/internal/watch/objects.go
@@ -15,129 +15,134 @@
 	"fuchsiashelf.dev/parts/view"
 )
 
-// errOld is why a watch that brought only old objects is asked again slowly.
-var errOld = errors.New("the watch brings objects that it has brought before")
+// errOldObjects is the failure of a watch that returned only objects received
+// before. It is retried after a wait, so that the watch does not spin.
+var errOldObjects = errors.New("watch returned only objects that were received before")
 
-// watchObjects takes the configuration and the teams from a watch that goes
-// on from the newest version received.
-func (f *Watcher) watchObjects(ctx context.Context) {
+// watchObjects applies the configuration and the teams from a watch that resumes
+// after the newest version received.
+func (w *Watcher) watchObjects(ctx context.Context) {
 	var after uint64
 	for ctx.Err() == nil {
-		changes, err := f.Store.Watch(ctx, conf.Prefix, after)
+		changes, err := w.Store.Watch(ctx, conf.Prefix, after)
 		if err != nil {
-			f.failed(ctx, &f.objects, "objects", err)
+			w.recordFailure(ctx, &w.objects, "objects", err)
 			continue
 		}
 		if changes.Version < after {
-			// The store's counter went back: it was restored from an older
-			// copy. A watch from the old count would miss all new versions
-			// up to it, without any error.
-			f.Log.Error("watch: store went back", "from", after, "to", changes.Version)
+			// The store's version counter decreased, so it was restored from an
+			// older copy. A watch from the old version would miss all new
+			// versions up to it, without any error.
+			w.Log.Error("watch: store version decreased", "from", after, "to", changes.Version)
 			after = 0
 			continue
 		}
-		// The next watch goes on from what has come, not from the store's
-		// counter: with an answer from an older copy, the counter would
-		// step over a version that never came.
+		// The next watch resumes after the newest object received, not after
+		// the store's counter: if the answer comes from an older copy, the
+		// counter would skip a version that was never received.
 		newest := after
 		for _, o := range changes.Objects {
-			f.take(ctx, o)
+			w.applyObject(ctx, o)
 			newest = max(newest, o.Version)
 		}
 		if len(changes.Objects) > 0 && newest == after {
-			f.failed(ctx, &f.objects, "objects", errOld)
+			w.recordFailure(ctx, &w.objects, "objects", errOldObjects)
 			continue
 		}
 		after = newest
-		f.listed.Store(true)
-		f.answered(&f.objects, "objects")
-		if len(changes.Objects) == 0 && rand.N(f.entries()) == 0 {
-			f.compare(ctx)
+		w.objectsReceived.Store(true)
+		w.recordSuccess(&w.objects, "objects")
+		if len(changes.Objects) == 0 && rand.N(w.entryHosts()) == 0 {
+			w.checkStore(ctx)
 		}
 	}
 }
 
-func (f *Watcher) take(ctx context.Context, o store.Object) {
+// applyObject applies an object of the store. If the configuration is older than
+// the one in force, the store is checked.
+func (w *Watcher) applyObject(ctx context.Context, o store.Object) {
 	switch o.Key {
 	case conf.Key:
 		c, err := conf.Decode(o.Value)
 		if err != nil {
-			f.Log.Error("watch: configuration unreadable", "err", err)
+			w.Log.Error("watch: cannot decode configuration", "err", err)
 			return
 		}
-		if !f.Apply(c) && c.Revision < f.revision() {
-			f.compare(ctx)
+		if !w.Apply(c) && c.Revision < w.revision() {
+			w.checkStore(ctx)
 		}
 	case conf.TeamsKey:
-		f.offerTeams(o.Value, o.Version)
+		w.applyTeams(o.Value, o.Version)
 	}
 }
 
-// offerTeams takes a book of teams of a higher version.
-func (f *Watcher) offerTeams(value []byte, version uint64) {
-	book := &team.Directory{Version: version}
-	if err := json.Unmarshal(value, book); err != nil {
-		f.Log.Error("watch: teams unreadable", "err", err)
+// applyTeams applies encoded teams if their version is higher.
+func (w *Watcher) applyTeams(value []byte, version uint64) {
+	teams := &team.Directory{Version: version}
+	if err := json.Unmarshal(value, teams); err != nil {
+		w.Log.Error("watch: cannot decode teams", "err", err)
 		return
 	}
-	f.View.Update(func(s *view.Snapshot) {
+	w.View.Update(func(s *view.Snapshot) {
 		if s.Teams == nil || s.Teams.Version < version {
-			s.Teams = book
+			s.Teams = teams
 		}
 	})
 }
 
-// entries is how many entry hosts there are, as far as is known. After a wait
-// without news one of them on average reads the object anew: a store that was
-// restored from an older copy sends no event, and its counter soon passes the
-// old one by writes of other objects. All of them reading it each time would
-// cost each node many times what it may spend on control.
-func (f *Watcher) entries() int {
-	if f.Peers == nil {
+// entryHosts returns the number of known entry hosts, including this one. After
+// each watch without changes, one of them on average reads the configuration from
+// the store: a store restored from an older copy sends no event, and writes of
+// other objects soon move its counter past the old version. If every entry host
+// read it each time, the store's nodes would exceed their budget for control
+// traffic many times over.
+func (w *Watcher) entryHosts() int {
+	if w.Peers == nil {
 		return 1
 	}
-	return len(f.Peers.Others()) + 1
+	return len(w.Peers.Others()) + 1
 }
 
-// compare reads the object anew, and raises an alarm if it lacks lines that
-// are in force. An event of the watch alone does not show that, since events
-// may lag behind what peers handed on.
-func (f *Watcher) compare(ctx context.Context) {
-	own := f.View.Load().Config
-	o, err := f.Store.Get(ctx, conf.Key)
+// checkStore reads the configuration from the store, and raises an alarm if it
+// lacks lines that are in force. An old configuration from the watch is no proof of
+// that, since the watch may lag behind what peers have passed on.
+func (w *Watcher) checkStore(ctx context.Context) {
+	current := w.View.Load().Config
+	o, err := w.Store.Get(ctx, conf.Key)
 	if err != nil {
 		return
 	}
 	c, err := conf.Decode(o.Value)
-	if err != nil || c.DescendsFrom(own) {
+	if err != nil || c.DescendsFrom(current) {
 		if err == nil && len(o.Value) > 0 {
-			f.Apply(c)
+			w.Apply(c)
 		}
 		return
 	}
 	metrics.GetOrRegisterCounter("watch.store_behind", nil).Inc(1)
-	f.Log.Error("watch: store lacks lines that are in force, kept them", "held", c.Revision, "in_force", own.Revision)
-	f.Trace.Record("watch", "", fmt.Sprintf("store holds revision %d, kept %d", c.Revision, own.Revision))
-	f.MarkStoreStale()
+	w.Log.Error("watch: store lacks lines in force, keeping them", "held", c.Revision, "in_force", current.Revision)
+	w.Trace.Record("watch", "", fmt.Sprintf("store holds revision %d, keeping %d", c.Revision, current.Revision))
+	w.MarkStoreStale()
 }
 
-func (f *Watcher) revision() uint64 {
-	if c := f.View.Load().Config; c != nil {
+// revision returns the revision of the configuration in force, or 0 for none.
+func (w *Watcher) revision() uint64 {
+	if c := w.View.Load().Config; c != nil {
 		return c.Revision
 	}
 	return 0
 }
 
-// StoreStale receives when the store holds an older configuration than the one
-// in force here, and the newer one has to be put back.
-func (f *Watcher) StoreStale() <-chan struct{} {
-	return f.behind
+// StoreStale returns a channel that receives when the store holds an older
+// configuration than the one in force here, which has to be written back.
+func (w *Watcher) StoreStale() <-chan struct{} {
+	return w.storeStale
 }
 
-// MarkStoreStale makes Behind receive once more.
-func (f *Watcher) MarkStoreStale() {
+// MarkStoreStale makes the channel of StoreStale receive.
+func (w *Watcher) MarkStoreStale() {
 	select {
-	case f.behind <- struct{}{}:
+	case w.storeStale <- struct{}{}:
 	default:
 	}
 }
--- a/entry/internal/watch/watch.go
+++ b/entry/internal/watch/watch.go
@@ -1,12 +1,13 @@
-// Package watch keeps the snapshot up to date: the configuration, the book of
-// teams and the host list.
+// Package watch keeps the configuration, the teams and the host list of the
+// snapshot up to date.
 //
-// All three come from the platform's service, through one waiting watch each.
-// A configuration also comes from other entry hosts, which hand on what they
-// have, so that an entry host cut off from the platform follows all the same.
-// Whatever the source, only a configuration with a higher revision than the
-// one in force is taken: nothing that was accepted is ever undone by an older
-// copy that turns up late.
+// They come from the platform's object API through two long-polling watches, one
+// for the objects and one for the host list. Other entry hosts also pass on their
+// configuration, so that an entry host cut off from the platform still follows.
+// Whatever the source, a configuration comes into force only if its revision is
+// higher than that of the current one: an older copy that arrives late never
+// reverts an accepted change. The exception is the start, before an entry host
+// has synced with its peers.
 package watch
 
 import (
@@ -30,53 +31,56 @@
 
 // Peers are the other entry hosts.
 type Peers interface {
-	// Others returns those known.
+	// Others returns the known peers.
 	Others() []host.Host
-	// Client returns a client of one of them.
+	// Client returns a client of a peer.
 	Client(ctx context.Context, h host.Host) (wire.DRPCEntryClient, error)
 }
 
-// Watcher watches the platform's service. Make it with New, set the exported
-// fields, then Run.
+// Watcher watches the platform's object API. Create one with New, set the exported
+// fields, then call Run.
 type Watcher struct {
 	Store store.API
 	View  *view.Publisher
 	Trace *trace.Recorder
 	Log   *slog.Logger
-	// Peers are asked for what they have before this entry host is ready.
+	// Peers are queried for their configuration, teams and hosts before this entry
+	// host is ready.
 	Peers Peers
-	// Secret is the secret of the entry hosts.
+	// Secret is the secret shared by the entry hosts.
 	Secret string
-	// Seeds are addresses of other entry hosts, for a start while the store
-	// is down.
+	// Seeds are the addresses of other entry hosts, used when this one starts while
+	// the store is down.
 	Seeds []string
-	// Done is closed when Run has ended; nil if nobody waits.
+	// Done is closed when Run returns; it may be nil.
 	Done chan struct{}
 
-	began time.Time
+	startedAt time.Time
 	// objects and hosts are the states of the two watches.
-	objects, hosts watch
+	objects, hosts watchState
 
-	listed atomic.Bool
-	primed atomic.Bool
-	behind chan struct{}
+	// objectsReceived says that the store has answered the watch of objects.
+	objectsReceived atomic.Bool
+	// synced says that a peer has answered, or the store has and no peer did.
+	synced     atomic.Bool
+	storeStale chan struct{}
 }
 
-// New returns a watch whose fields are not set yet.
+// New returns a Watcher whose exported fields are not set.
 func New() *Watcher {
-	return &Watcher{began: time.Now(), behind: make(chan struct{}, 1)}
+	return &Watcher{startedAt: time.Now(), storeStale: make(chan struct{}, 1)}
 }
 
-// retryWait is the mean pause after a failed call.
+// retryWait is the mean wait after a failed call.
 const retryWait = 200 * time.Millisecond
 
-// Run watches until the context ends.
-func (f *Watcher) Run(ctx context.Context) {
-	if f.Done != nil {
-		defer close(f.Done)
+// Run watches until the context is cancelled.
+func (w *Watcher) Run(ctx context.Context) {
+	if w.Done != nil {
+		defer close(w.Done)
 	}
-	f.gauges()
-	tasks := []func(context.Context){f.watchObjects, f.watchHosts, f.watchStops, f.prime}
+	w.registerGauges()
+	tasks := []func(context.Context){w.watchObjects, w.watchHosts, w.watchStops, w.syncPeers}
 	done := make(chan struct{}, len(tasks))
 	for _, task := range tasks {
 		go func() { task(ctx); done <- struct{}{} }()
@@ -86,106 +90,112 @@
 	}
 }
 
-func (f *Watcher) gauges() {
+func (w *Watcher) registerGauges() {
 	_ = metrics.Register("watch.revision", metrics.NewFunctionalGauge(func() int64 {
-		if c := f.View.Load().Config; c != nil {
+		if c := w.View.Load().Config; c != nil {
 			return int64(c.Revision)
 		}
 		return 0
 	}))
 	_ = metrics.Register("watch.age_ms", metrics.NewFunctionalGauge(func() int64 {
-		return f.Staleness().Milliseconds()
+		return w.Staleness().Milliseconds()
 	}))
 }
 
-// Staleness returns how long the object API has been silent here about the
-// configuration; zero while the watch is up. An entry host that is cut off
-// keeps serving on what it has.
-func (f *Watcher) Staleness() time.Duration {
-	heard := f.objects.heard.Load()
-	if heard == 0 {
-		return time.Since(f.began)
+// Staleness returns the time since the object API last answered the watch of the
+// configuration, or zero if the watch's last call was answered. An entry host that
+// is cut off keeps serving with the configuration that it has.
+func (w *Watcher) Staleness() time.Duration {
+	answeredAt := w.objects.answeredAt.Load()
+	if answeredAt == 0 {
+		return time.Since(w.startedAt)
 	}
-	if !f.objects.silent.Load() {
+	if !w.objects.failing.Load() {
 		return 0
 	}
-	return time.Since(time.Unix(0, heard))
+	return time.Since(time.Unix(0, answeredAt))
 }
 
-// EverConnected reports whether the object API ever answered here.
-func (f *Watcher) EverConnected() bool {
-	return f.objects.heard.Load() != 0
+// EverConnected reports whether the object API has ever answered the watch of the
+// configuration.
+func (w *Watcher) EverConnected() bool {
+	return w.objects.answeredAt.Load() != 0
 }
 
-// Apply puts a configuration in force if its revision is higher than that of
-// the one that is and it holds all its lines. It reports whether it was.
-func (f *Watcher) Apply(c *conf.Config) bool {
-	return f.offer(c, c.Supersedes)
+// Apply puts a configuration in force if it has a higher revision than the current
+// one and contains all its lines. It reports whether the configuration was
+// applied.
+func (w *Watcher) Apply(c *conf.Config) bool {
+	return w.applyIf(c, c.Supersedes)
 }
 
-// offerOfPeer is Offer for a configuration that is in force on another entry
-// host.
-func (f *Watcher) offerOfPeer(c *conf.Config) bool {
-	if f.primed.Load() {
-		return f.Apply(c)
+// applyFromPeer applies a configuration that is in force on another entry host. At
+// the start it may replace one with a higher revision, from a restored store.
+func (w *Watcher) applyFromPeer(c *conf.Config) bool {
+	if w.synced.Load() {
+		return w.Apply(c)
 	}
-	return f.offer(c, c.SupersedesAtStart)
+	return w.applyIf(c, c.SupersedesAtStart)
 }
 
-func (f *Watcher) offer(c *conf.Config, fits func(*conf.Config) bool) bool {
-	newer, diverged := false, false
-	f.View.Update(func(s *view.Snapshot) {
-		// An older copy comes from a store that was restored, a watch that
-		// lags, or a peer that was cut off. Taking it would undo lines that
-		// were answered with done.
-		if !fits(s.Config) {
+// applyIf puts a configuration in force if it supersedes the current one. It
+// reports whether the configuration was applied.
+func (w *Watcher) applyIf(c *conf.Config, supersedes func(*conf.Config) bool) bool {
+	applied, diverged := false, false
+	w.View.Update(func(s *view.Snapshot) {
+		// An older copy comes from a restored store, a watch that lags, or a peer
+		// that was cut off. Applying it would revert lines already confirmed to
+		// operators.
+		if !supersedes(s.Config) {
 			diverged = s.Config != nil && s.Config.Revision < c.Revision
 			return
 		}
-		newer = true
+		applied = true
 		s.Config = c
-		out(s, time.Now())
+		updateCordons(s, time.Now())
 	})
 	if diverged {
-		// Only after a restored store: lines were accepted on top of the
-		// older copy that lack lines in force here.
+		// This happens only after a restore of the store: new lines were accepted
+		// on top of an older copy that lacks lines in force here.
 		metrics.GetOrRegisterCounter("watch.diverged", nil).Inc(1)
-		f.Log.Error("watch: configuration lacks lines that are in force, not taken", "revision", c.Revision)
-		f.Trace.Record("watch", "", fmt.Sprintf("revision %d lacks lines in force, not taken", c.Revision))
-		f.MarkStoreStale()
+		w.Log.Error("watch: configuration not applied: lines in force are missing", "revision", c.Revision)
+		w.Trace.Record("watch", "", fmt.Sprintf("revision %d not applied: lines in force are missing", c.Revision))
+		w.MarkStoreStale()
 	}
-	if newer {
-		f.Trace.Record("watch", "", fmt.Sprintf("configuration in force: revision %d", c.Revision))
-		f.Log.Info("watch: configuration in force", "revision", c.Revision)
+	if applied {
+		w.Trace.Record("watch", "", fmt.Sprintf("configuration in force: revision %d", c.Revision))
+		w.Log.Info("watch: configuration in force", "revision", c.Revision)
 	}
-	return newer
+	return applied
 }
 
-// watch is the state of one watch.
-type watch struct {
-	// heard is when the last call was answered, in Unix nanoseconds.
-	heard atomic.Int64
-	// silent says that the last call was not answered.
-	silent atomic.Bool
+// watchState is the state of one watch.
+type watchState struct {
+	// answeredAt is when a call was last answered, in Unix nanoseconds; zero if none
+	// ever was.
+	answeredAt atomic.Int64
+	// failing says that the last call failed.
+	failing atomic.Bool
 }
 
-// failed notes that a call of a watch failed, and waits before the next one.
-func (f *Watcher) failed(ctx context.Context, w *watch, what string, err error) {
+// recordFailure records that a call of a watch failed, and waits before the next
+// one.
+func (w *Watcher) recordFailure(ctx context.Context, state *watchState, kind string, err error) {
 	if ctx.Err() != nil {
 		return
 	}
-	if !w.silent.Swap(true) {
-		f.Log.Warn("watch: store does not answer", "watch", what, "err", err)
-		f.Trace.Record("watch", "", "store does not answer about "+what)
+	if !state.failing.Swap(true) {
+		w.Log.Warn("watch: store does not answer", "watch", kind, "err", err)
+		w.Trace.Record("watch", "", "store does not answer the watch of "+kind)
 	}
 	wait.For(ctx, retryWait/2+rand.N(retryWait))
 }
 
-// answered notes that a call of a watch was answered.
-func (f *Watcher) answered(w *watch, what string) {
-	w.heard.Store(time.Now().UnixNano())
-	if w.silent.Swap(false) {
-		f.Log.Info("watch: store answers again", "watch", what)
-		f.Trace.Record("watch", "", "store answers again about "+what)
+// recordSuccess records that a call of a watch was answered.
+func (w *Watcher) recordSuccess(state *watchState, kind string) {
+	state.answeredAt.Store(time.Now().UnixNano())
+	if state.failing.Swap(false) {
+		w.Log.Info("watch: store answers again", "watch", kind)
+		w.Trace.Record("watch", "", "store answers again the watch of "+kind)
 	}
 }
--- a/entry/internal/watch/watch_test.go
+++ b/entry/internal/watch/watch_test.go
@@ -23,7 +23,8 @@
 	goleak.VerifyTestMain(m)
 }
 
-// fakeStore answers watches from a list and then none.
+// fakeStore answers each watch of objects with the next value of watches, and
+// sends the version that the watch resumes after to after.
 type fakeStore struct {
 	store.API
 	watches chan store.Changes
@@ -58,53 +59,53 @@
 	return host.List{}, ctx.Err()
 }
 
-// peers is one other entry host that is down, or answers with its own view.
-type peers struct{ reply *wire.ConfigReply }
+// onePeer is a single peer that sends its reply, or is down without one.
+type onePeer struct{ reply *wire.ConfigReply }
 
-func (peers) Others() []host.Host { return []host.Host{{Name: "e2", Address: "e2"}} }
+func (onePeer) Others() []host.Host { return []host.Host{{Name: "e2", Address: "e2"}} }
 
-func (p peers) Client(context.Context, host.Host) (wire.DRPCEntryClient, error) {
+func (p onePeer) Client(context.Context, host.Host) (wire.DRPCEntryClient, error) {
 	if p.reply == nil {
 		return nil, errors.New("down")
 	}
-	return client{reply: p.reply}, nil
+	return fakeClient{reply: p.reply}, nil
 }
 
-type client struct {
+type fakeClient struct {
 	wire.DRPCEntryClient
 	reply *wire.ConfigReply
 }
 
-func (c client) Config(context.Context, *wire.ConfigAsk) (*wire.ConfigReply, error) {
+func (c fakeClient) Config(context.Context, *wire.ConfigAsk) (*wire.ConfigReply, error) {
 	return c.reply, nil
 }
 
-// lines makes a configuration of that many lines, in its stored form.
-func lines(c *quicktest.C, n int) []byte {
-	made := (*conf.Config)(nil).Clone()
+// encodedConfig returns an encoded configuration of n lines.
+func encodedConfig(c *quicktest.C, n int) []byte {
+	config := (*conf.Config)(nil).Clone()
 	for i := range n {
-		made.Revision++
-		made.Record(conf.Line{ID: fmt.Sprint(i), Revision: made.Revision})
+		config.Revision++
+		config.Record(conf.Line{ID: fmt.Sprint(i), Revision: config.Revision})
 	}
-	value, err := made.Encode()
+	value, err := config.Encode()
 	c.Assert(err, quicktest.IsNil)
 	return value
 }
 
-func start(c *quicktest.C, api *fakeStore, others watch.Peers) *watch.Watcher {
-	f := watch.New()
-	f.Store, f.Peers, f.View = api, others, view.New("e1", "a")
-	f.Log, f.Trace, f.Done = slog.New(slog.DiscardHandler), &trace.Recorder{}, make(chan struct{})
+func startWatcher(c *quicktest.C, api *fakeStore, peers watch.Peers) *watch.Watcher {
+	w := watch.New()
+	w.Store, w.Peers, w.View = api, peers, view.New("e1", "a")
+	w.Log, w.Trace, w.Done = slog.New(slog.DiscardHandler), &trace.Recorder{}, make(chan struct{})
 	ctx, cancel := context.WithCancel(context.Background())
-	go f.Run(ctx)
-	c.Cleanup(func() { cancel(); <-f.Done })
-	return f
+	go w.Run(ctx)
+	c.Cleanup(func() { cancel(); <-w.Done })
+	return w
 }
 
-func until(f *watch.Watcher, condition func(*view.Snapshot) bool) {
+func waitFor(w *watch.Watcher, condition func(*view.Snapshot) bool) {
 	for {
-		changed := f.View.Changed()
-		if condition(f.View.Load()) {
+		changed := w.View.Changed()
+		if condition(w.View.Load()) {
 			return
 		}
 		<-changed
@@ -118,76 +119,74 @@
 	}
 }
 
-func object(value []byte, version uint64) store.Changes {
+func configChange(value []byte, version uint64) store.Changes {
 	return store.Changes{Version: version, Objects: []store.Object{{Key: conf.Key, Version: version, Value: value}}}
 }
 
-// The platform restores the store from an older copy, and its versions count
-// anew. A watch that waits for versions above the last one seen would hear
-// nothing for as long as the count takes to get there, and the older copy must
-// not come into force.
-func TestStoreWentBack(t *testing.T) {
+// The store is restored from an older copy, and its version counter decreases. A
+// watch for versions above the last one seen would return nothing until the counter
+// gets there, and the older configuration must not come into force.
+func TestStoreRestored(t *testing.T) {
 	c := quicktest.New(t)
 	api := newStore()
-	f := start(c, api, nil)
+	w := startWatcher(c, api, nil)
 	c.Assert(<-api.after, quicktest.Equals, uint64(0))
-	api.watches <- object(lines(c, 5), 40)
+	api.watches <- configChange(encodedConfig(c, 5), 40)
 	c.Assert(<-api.after, quicktest.Equals, uint64(40))
-	api.object = store.Object{Key: conf.Key, Version: 3, Value: lines(c, 3)}
+	api.object = store.Object{Key: conf.Key, Version: 3, Value: encodedConfig(c, 3)}
 	api.watches <- store.Changes{Version: 3}
 	c.Assert(<-api.after, quicktest.Equals, uint64(0))
-	api.watches <- object(lines(c, 3), 3)
-	<-f.StoreStale()
+	api.watches <- configChange(encodedConfig(c, 3), 3)
+	<-w.StoreStale()
 	c.Assert(<-api.after, quicktest.Equals, uint64(3))
-	c.Assert(f.View.Load().Config.Revision, quicktest.Equals, uint64(5))
-	api.watches <- object(lines(c, 6), 4)
-	until(f, func(s *view.Snapshot) bool { return s.Config.Revision == 6 })
+	c.Assert(w.View.Load().Config.Revision, quicktest.Equals, uint64(5))
+	api.watches <- configChange(encodedConfig(c, 6), 4)
+	waitFor(w, func(s *view.Snapshot) bool { return s.Config.Revision == 6 })
 }
 
-// An entry host starts while the store is down. Its peers have the newest
-// configuration, the hosts and the teams; without them it would refuse every
-// caller until the store is back.
-func TestPrimeFromPeers(t *testing.T) {
+// An entry host starts while the store is down. Without the configuration, hosts
+// and teams of its peers it would refuse every caller until the store is back.
+func TestSyncFromPeers(t *testing.T) {
 	c := quicktest.New(t)
 	api := newStore()
 	api.hosts = host.List{}
 	reply := &wire.ConfigReply{
-		Object: lines(c, 4), Hosts: []byte(`{"revision":7,"hosts":[{"name":"e2","role":"entry"}]}`),
+		Object: encodedConfig(c, 4), Hosts: []byte(`{"revision":7,"hosts":[{"name":"e2","role":"entry"}]}`),
 		Teams: []byte(`{"teams":[]}`), TeamsVersion: 2,
 	}
-	f := start(c, api, peers{reply})
-	until(f, func(s *view.Snapshot) bool {
+	w := startWatcher(c, api, onePeer{reply})
+	waitFor(w, func(s *view.Snapshot) bool {
 		return s.Config != nil && s.Config.Revision == 4 && s.HostsRevision == 7 && s.Teams != nil
 	})
 }
 
-// An entry host starts, and neither the store nor a peer answers. It knows of
-// no routes, and must not be sent callers.
-func TestPrimeFromNobody(t *testing.T) {
+// An entry host starts, and neither the store nor a peer answers. It has no routes
+// and must not count as synced, or it would be sent callers.
+func TestNoSyncSource(t *testing.T) {
 	c := quicktest.New(t)
 	api := newStore()
-	f := start(c, api, peers{})
+	w := startWatcher(c, api, onePeer{})
 	<-api.after
-	c.Assert(f.HasSynced(), quicktest.IsFalse)
-	c.Assert(f.EverConnected(), quicktest.IsFalse)
-	api.watches <- object(lines(c, 1), 1)
-	until(f, func(s *view.Snapshot) bool { return s.Config != nil })
-	c.Assert(f.HasSynced(), quicktest.IsFalse)
-}
-
-// The platform restores the store from an older copy, and writes of other
-// objects carry its counter past the old one before a watch looks. No event
-// comes, and without reading the object anew the newest lines would be lost
-// with the last entry host that has them.
-func TestStoreWentBackUnseen(t *testing.T) {
+	c.Assert(w.HasSynced(), quicktest.IsFalse)
+	c.Assert(w.EverConnected(), quicktest.IsFalse)
+	api.watches <- configChange(encodedConfig(c, 1), 1)
+	waitFor(w, func(s *view.Snapshot) bool { return s.Config != nil })
+	c.Assert(w.HasSynced(), quicktest.IsFalse)
+}
+
+// The store is restored from an older copy, and writes of other objects move its
+// counter past the old version before the next watch. No event shows the restore;
+// without a check of the store, the newest lines would be lost with the last entry
+// host that has them.
+func TestStoreRestoredWithoutEvent(t *testing.T) {
 	c := quicktest.New(t)
 	api := newStore()
-	f := start(c, api, nil)
+	w := startWatcher(c, api, nil)
 	<-api.after
-	api.watches <- object(lines(c, 5), 40)
+	api.watches <- configChange(encodedConfig(c, 5), 40)
 	<-api.after
-	api.object = store.Object{Key: conf.Key, Version: 3, Value: lines(c, 3)}
+	api.object = store.Object{Key: conf.Key, Version: 3, Value: encodedConfig(c, 3)}
 	api.watches <- store.Changes{Version: 50}
-	<-f.StoreStale()
-	c.Assert(f.View.Load().Config.Revision, quicktest.Equals, uint64(5))
+	<-w.StoreStale()
+	c.Assert(w.View.Load().Config.Revision, quicktest.Equals, uint64(5))
 }
