--- a/entry/internal/poll/poll.go
+++ b/entry/internal/poll/poll.go
@@ -1,8 +1,8 @@
-// Package poll asks the engines for their reports and folds these into the
-// snapshot: load, capacity, whether a server is leaving, and whether it is
-// there at all.
+// Package poll polls the status of the backend servers that run models and updates
+// the snapshot: load, capacity, whether a server is leaving, and whether it
+// answers at all.
 //
-// Reports lag, so they never undo what a server said later on a request.
+// Reports lag, so they never override a later refusal of a request.
 package poll
 
 import (
@@ -24,97 +24,101 @@
 	"fuchsiashelf.dev/parts/wait"
 )
 
-// Poller asks engines. Set the exported fields, then Run.
+// Poller polls the servers of the host list. Set the exported fields, then call
+// Run.
 type Poller struct {
 	View   *view.Publisher
 	Engine *engine.Client
 	Trace  *trace.Recorder
 	Log    *slog.Logger
-	// Workers run the calls.
+	// Workers runs the calls.
 	Workers *ants.Pool
-	// Interval is the time between two questions to one engine.
+	// Interval is the time between two polls of a server.
 	Interval time.Duration
-	// MaxRate is the most questions a second to all of them; with many engines
-	// the period grows.
+	// MaxRate is the maximum number of polls per second of all servers together.
+	// With many servers, it makes the interval longer.
 	MaxRate float64
-	// Done is closed when Run has ended. Make it before Run.
+	// Done is closed when Run returns. It must be set.
 	Done chan struct{}
 }
 
-// timeout ends a question. A healthy engine answers in a millisecond.
-const timeout = time.Second
+// statusTimeout bounds a poll. A healthy server answers within a millisecond.
+const statusTimeout = time.Second
 
 var (
-	polled = metrics.NewRegisteredCounter("poll.reports", nil)
-	failed = metrics.NewRegisteredCounter("poll.failed", nil)
+	reportCount  = metrics.NewRegisteredCounter("poll.reports", nil)
+	failureCount = metrics.NewRegisteredCounter("poll.failed", nil)
 )
 
-// Run asks until the context ends.
+// Run polls until the context is cancelled and the calls in flight have ended.
 func (p *Poller) Run(ctx context.Context) {
 	defer close(p.Done)
-	pace := rate.NewLimiter(rate.Limit(p.MaxRate), 1)
-	var open atomic.Int64
+	limiter := rate.NewLimiter(rate.Limit(p.MaxRate), 1)
+	var inFlight atomic.Int64
 	for ctx.Err() == nil {
-		round := time.Now()
+		startedAt := time.Now()
 		for _, h := range p.View.Load().Hosts {
-			if h.Role != host.Engine || pace.Wait(ctx) != nil {
+			if h.Role != host.Engine || limiter.Wait(ctx) != nil {
 				continue
 			}
-			open.Add(1)
-			if p.Workers.Submit(func() { defer open.Add(-1); p.ask(ctx, h) }) != nil {
-				open.Add(-1)
+			inFlight.Add(1)
+			if p.Workers.Submit(func() { defer inFlight.Add(-1); p.poll(ctx, h) }) != nil {
+				inFlight.Add(-1)
 			}
 		}
-		wait.For(ctx, p.Interval-time.Since(round))
+		wait.For(ctx, p.Interval-time.Since(startedAt))
 	}
-	// A worker that is still asking ends soon, since its context has.
-	for open.Load() > 0 {
+	// The calls in flight end soon, since their context is cancelled.
+	for inFlight.Load() > 0 {
 		wait.For(context.Background(), time.Millisecond)
 	}
 }
 
-func (p *Poller) ask(ctx context.Context, h host.Host) {
+// poll polls one server and records the result. A failure after the context was
+// cancelled is ignored.
+func (p *Poller) poll(ctx context.Context, h host.Host) {
 	meter := p.View.Load().Meters[h.Name]
 	if meter == nil || ctx.Err() != nil {
 		return
 	}
-	call, cancel := context.WithTimeout(ctx, timeout)
+	callCtx, cancel := context.WithTimeout(ctx, statusTimeout)
 	defer cancel()
-	status, err := p.Engine.Status(call, h.Address)
+	status, err := p.Engine.Status(callCtx, h.Address)
 	switch {
 	case err == nil:
-		polled.Inc(1)
-		p.take(h.Name, meter, &status, time.Now())
+		reportCount.Inc(1)
+		p.applyStatus(h.Name, meter, &status, time.Now())
 	case ctx.Err() == nil:
-		failed.Inc(1)
-		p.miss(h.Name, meter, time.Now())
+		failureCount.Inc(1)
+		p.recordFailure(h.Name, meter, time.Now())
 	}
 }
 
-// take folds a report in.
-func (p *Poller) take(name string, m *server.Meter, s *engine.Status, now time.Time) {
-	made := now.Add(-time.Duration(s.AgeMs) * time.Millisecond)
-	m.Waiting.Store(int64(s.Waiting))
-	m.ReportedAt.Store(made.UnixNano())
-	m.Capacity.Store(int64(s.Capacity))
-	if m.Step.Current() == 0 && s.TokenUs > 0 {
-		m.Step.Observe(time.Duration(s.TokenUs) * time.Microsecond)
+// applyStatus updates the meter from a report, and whether the server is cordoned.
+// It lifts the cordon of a refusal only if the report is newer than the refusal.
+func (p *Poller) applyStatus(name string, meter *server.Meter, status *engine.Status, now time.Time) {
+	reportedAt := now.Add(-time.Duration(status.AgeMs) * time.Millisecond)
+	meter.Waiting.Store(int64(status.Waiting))
+	meter.ReportedAt.Store(reportedAt.UnixNano())
+	meter.Capacity.Store(int64(status.Capacity))
+	if meter.Step.Current() == 0 && status.TokenUs > 0 {
+		meter.Step.Observe(time.Duration(status.TokenUs) * time.Microsecond)
 	}
-	_, out := p.View.Load().CordonedBy[view.Refusing][name]
+	_, cordoned := p.View.Load().CordonedBy[view.Refusing][name]
 	switch {
-	case s.State == host.Leaving && !out:
+	case status.State == host.Leaving && !cordoned:
 		p.Trace.Record("poll", "", "server "+name+" is leaving")
 		p.View.Update(func(s *view.Snapshot) { s.Cordon(view.Refusing, name) })
-	case s.State != host.Leaving && out && made.UnixNano() > m.RefusedAt.Load():
+	case status.State != host.Leaving && cordoned && reportedAt.UnixNano() > meter.RefusedAt.Load():
 		p.Trace.Record("poll", "", "server "+name+" takes work again")
 		p.View.Update(func(s *view.Snapshot) { s.Uncordon(view.Refusing, name) })
 	}
 }
 
-// miss has a server avoided that does not answer. Without it a frozen server
-// would be tried by a request each time that its avoidance ends.
-func (p *Poller) miss(name string, m *server.Meter, now time.Time) {
-	until := now.Add(p.Interval + health.SuspectFor(m.Failures.Add(1)))
+// recordFailure suspects a server that does not answer until after the next poll.
+// Otherwise a request would try a frozen server each time its suspicion ends.
+func (p *Poller) recordFailure(name string, meter *server.Meter, now time.Time) {
+	until := now.Add(p.Interval + health.SuspectFor(meter.Failures.Add(1)))
 	p.View.Update(func(s *view.Snapshot) { s.Suspect(name, until, now) })
 	p.Log.Warn("poll: server does not answer", "server", name)
 }
--- a/entry/internal/poll/poll_test.go
+++ b/entry/internal/poll/poll_test.go
@@ -18,7 +18,7 @@
 	"fuchsiashelf.dev/parts/view"
 )
 
-func make1(address string) *Poller {
+func newPoller(address string) *Poller {
 	p := &Poller{
 		View: view.New("e1", "a"), Engine: &engine.Client{HTTP: &http.Client{Transport: &http.Transport{}}},
 		Log: slog.New(slog.NewTextHandler(io.Discard, nil)), Interval: time.Millisecond, MaxRate: 1000,
@@ -30,49 +30,49 @@
 	return p
 }
 
-// A server refuses a request since it is leaving, and its report, which lags,
-// still calls it live. Were the report believed, the server would get new
-// work again.
-func TestLateReportDoesNotUndoARefusal(t *testing.T) {
+// A server refuses a request because it is leaving, and a report from before the
+// refusal still calls it live. If that report lifted the cordon, the server would
+// get new work again.
+func TestLateReportDoesNotUndoRefusal(t *testing.T) {
 	c := quicktest.New(t)
-	p := make1("")
+	p := newPoller("")
 	m := p.View.Load().Meters["a1"]
-	refused := time.Unix(100, 0)
-	m.RefusedAt.Store(refused.UnixNano())
+	refusedAt := time.Unix(100, 0)
+	m.RefusedAt.Store(refusedAt.UnixNano())
 	p.View.Update(func(s *view.Snapshot) { s.Cordon(view.Refusing, "a1") })
 	live := &engine.Status{State: host.Live, AgeMs: 2000}
-	p.take("a1", m, live, refused.Add(time.Second))
+	p.applyStatus("a1", m, live, refusedAt.Add(time.Second))
 	c.Assert(p.View.Load().Cordoned["a1"], quicktest.Equals, view.Refusing)
-	p.take("a1", m, live, refused.Add(3*time.Second))
+	p.applyStatus("a1", m, live, refusedAt.Add(3*time.Second))
 	c.Assert(p.View.Load().Cordoned, quicktest.HasLen, 0)
-	p.take("a1", m, &engine.Status{State: host.Leaving}, refused.Add(4*time.Second))
+	p.applyStatus("a1", m, &engine.Status{State: host.Leaving}, refusedAt.Add(4*time.Second))
 	c.Assert(p.View.Load().Cordoned["a1"], quicktest.Equals, view.Refusing)
 }
 
-// A server that does not answer is avoided for longer and longer, and taken
-// back by its first answer on a request.
-func TestMissesAddUp(t *testing.T) {
+// A server that does not answer is avoided for longer with each failure, and the
+// first token that it serves resets its failures.
+func TestRepeatedFailuresExtendSuspicion(t *testing.T) {
 	c := quicktest.New(t)
-	p := make1("")
+	p := newPoller("")
 	m := p.View.Load().Meters["a1"]
 	now := time.Unix(100, 0)
-	p.miss("a1", m, now)
+	p.recordFailure("a1", m, now)
 	first := p.View.Load().SuspectedServers["a1"]
 	c.Assert(first.After(now), quicktest.IsTrue)
-	p.miss("a1", m, now)
+	p.recordFailure("a1", m, now)
 	c.Assert(p.View.Load().SuspectedServers["a1"].After(first), quicktest.IsTrue)
 	m.Observe(now.UnixNano(), time.Millisecond, 0)
 	c.Assert(m.Failures.Load(), quicktest.Equals, int64(0))
 }
 
-func TestRunAsksAndEnds(t *testing.T) {
+func TestRunPollsUntilCancelled(t *testing.T) {
 	defer goleak.VerifyNone(t, goleak.IgnoreCurrent())
 	c := quicktest.New(t)
-	stand := httptest.NewServer(http.HandlerFunc(func(w http.ResponseWriter, _ *http.Request) {
+	srv := httptest.NewServer(http.HandlerFunc(func(w http.ResponseWriter, _ *http.Request) {
 		_, _ = io.WriteString(w, `{"name":"a1","state":"leaving","capacity":7,"tokenUs":900,"waiting":3}`)
 	}))
-	defer stand.Close()
-	p := make1(stand.Listener.Addr().String())
+	defer srv.Close()
+	p := newPoller(srv.Listener.Addr().String())
 	defer p.Engine.HTTP.CloseIdleConnections()
 	workers, err := ants.NewPool(2)
 	c.Assert(err, quicktest.IsNil)
