--- a/entry/internal/setup/admit.go
+++ b/entry/internal/setup/admission.go
@@ -6,18 +6,20 @@
 	"time"
 )
 
-// AdmissionSettings are the settings of admission.
+// AdmissionSettings are the settings of admission control.
 type AdmissionSettings struct {
-	// MaxWait is the longest time that a request waits for its pool.
+	// MaxWait is the maximum time that a request waits for its pool.
 	MaxWait time.Duration
-	// TargetWait is the wait of tokens at engines to aim at, in steps.
+	// TargetWait is the target for the wait of tokens at backend servers, in steps
+	// of the server.
 	TargetWait float64
-	// MaxRequests and MaxBytes bound what waits for one pool.
+	// MaxRequests and MaxBytes bound the requests that wait for one pool.
 	MaxRequests, MaxBytes int
-	// Reserve is the part above a pool's limit for teams below their share.
+	// Reserve is the capacity above a pool's limit for teams below their share, as a
+	// fraction of the limit.
 	Reserve float64
-	// Credit is the work that a team may save up, in tokens for each unit of
-	// its share.
+	// Credit is the number of tokens, for each unit of its share, that a team may
+	// accumulate while it uses less than its share.
 	Credit float64
 }
 
@@ -31,24 +33,24 @@
 }
 
 func (a *AdmissionSettings) check() []error {
-	var faults []error
+	var errs []error
 	if a.MaxWait < 0 {
-		faults = append(faults, fmt.Errorf("-queue-wait: %s is below 0", a.MaxWait))
+		errs = append(errs, fmt.Errorf("-queue-wait: %s is below 0", a.MaxWait))
 	}
 	if a.MaxRequests < 0 {
-		faults = append(faults, fmt.Errorf("-queue-requests: %d is below 0", a.MaxRequests))
+		errs = append(errs, fmt.Errorf("-queue-requests: %d is below 0", a.MaxRequests))
 	}
 	if a.MaxBytes < 0 {
-		faults = append(faults, fmt.Errorf("-queue-bytes: %d is below 0", a.MaxBytes))
+		errs = append(errs, fmt.Errorf("-queue-bytes: %d is below 0", a.MaxBytes))
 	}
 	if a.TargetWait <= 0 {
-		faults = append(faults, fmt.Errorf("-queue-target: %v is not above 0", a.TargetWait))
+		errs = append(errs, fmt.Errorf("-queue-target: %v is not above 0", a.TargetWait))
 	}
 	if a.Reserve < 0 || a.Reserve > 4 {
-		faults = append(faults, fmt.Errorf("-queue-reserve: %v is not from 0 to 4", a.Reserve))
+		errs = append(errs, fmt.Errorf("-queue-reserve: %v is not from 0 to 4", a.Reserve))
 	}
 	if a.Credit < 0 {
-		faults = append(faults, fmt.Errorf("-queue-credit: %v is below 0", a.Credit))
+		errs = append(errs, fmt.Errorf("-queue-credit: %v is below 0", a.Credit))
 	}
-	return faults
+	return errs
 }
--- a/entry/internal/setup/claims.go
+++ b/entry/internal/setup/claims.go
@@ -11,36 +11,36 @@
 
 // ClaimSettings are the settings of claims.
 type ClaimSettings struct {
-	// Terms are the times that claims rest on.
+	// Timing holds the deadlines and expiry of claims.
 	claim.Timing
-	// WriteRate is the number of claim writes a second.
+	// WriteRate is the maximum number of claim writes per second; 0 means no limit.
 	WriteRate float64
 }
 
-// The defaults of the claims' settings.
+// The defaults of the claim settings.
 const (
-	defaultLongest = 30 * time.Second
-	// defaultWrites is a quarter of what the platform's object API takes for
-	// claims, for four entry hosts.
-	defaultWrites = 75
+	defaultMaxDeadline = 30 * time.Second
+	// defaultWriteRate is a quarter of the claim writes per second that the
+	// platform's object API accepts, for four entry hosts.
+	defaultWriteRate = 75
 )
 
 func (c *ClaimSettings) flags(fs *flag.FlagSet) {
-	fs.DurationVar(&c.MaxDeadline, "claim-longest", defaultLongest,
+	fs.DurationVar(&c.MaxDeadline, "claim-longest", defaultMaxDeadline,
 		"longest deadline of a call that may not be repeated; the same on all entry hosts")
-	fs.DurationVar(&c.Expiry, "claim-expiry", claim.ExpiryFactor*defaultLongest,
+	fs.DurationVar(&c.Expiry, "claim-expiry", claim.ExpiryFactor*defaultMaxDeadline,
 		"how long an id is remembered, at least 1000 times -claim-longest; the same on all entry hosts")
-	fs.Float64Var(&c.WriteRate, "claim-writes", defaultWrites,
+	fs.Float64Var(&c.WriteRate, "claim-writes", defaultWriteRate,
 		"claim writes a second of this entry host, its share of what the store takes; 0 means any number")
 }
 
 func (c *ClaimSettings) check() error {
-	var faults []error
+	var errs []error
 	if err := c.Timing.Check(); err != nil {
-		faults = append(faults, fmt.Errorf("-claim-expiry: %w", err))
+		errs = append(errs, fmt.Errorf("-claim-expiry: %w", err))
 	}
 	if c.WriteRate < 0 {
-		faults = append(faults, fmt.Errorf("-claim-writes: %g is below 0", c.WriteRate))
+		errs = append(errs, fmt.Errorf("-claim-writes: %g is below 0", c.WriteRate))
 	}
-	return errors.Join(faults...)
+	return errors.Join(errs...)
 }
--- a/entry/internal/setup/setup.go
+++ b/entry/internal/setup/setup.go
@@ -20,43 +20,51 @@
 
 // Settings are the settings of one entry host.
 type Settings struct {
-	Name    string
-	Domain  string
+	// Name and Domain are the name and failure domain of this entry host.
+	Name   string
+	Domain string
+	// Callers, Peers, Desk and Ops are the addresses of the listeners for callers,
+	// peers, operators and metrics.
 	Callers string
 	Peers   string
 	Desk    string
 	Ops     string
-	Store   string
-	// Seeds are peers' addresses, separated by commas.
+	// Store is the address of the platform's object API.
+	Store string
+	// Seeds are the addresses of peers, separated by commas.
 	Seeds string
-	// PeerSecret and DeskSecret are never logged.
+	// PeerSecret and DeskSecret authenticate peers and operators. They are never
+	// logged.
 	PeerSecret string
 	DeskSecret string
-	MaxBody    int
-	Grace      time.Duration
-	// Policy names how servers are chosen.
+	// MaxBody is the maximum size of a request body, in bytes.
+	MaxBody int
+	// Grace is the maximum time that a stop waits for requests in flight.
+	Grace time.Duration
+	// Policy is the name of the policy that picks servers.
 	Policy string
-	// Poll and PollRate say how often engines are asked for their reports.
+	// Poll is the interval at which a backend server is polled, PollRate the
+	// maximum number of polls per second of all of them.
 	Poll     time.Duration
 	PollRate float64
 	Claims   ClaimSettings
 	Admit    AdmissionSettings
-	// OrderTerm is how long one renewal of the lease of orders holds.
+	// OrderTerm is how long the lease of orders holds after a renewal.
 	OrderTerm time.Duration
-	// Linger is how long callers are taken after the stop began.
+	// Linger is how long callers are accepted after a stop begins.
 	Linger time.Duration
-	// Certs secure the listeners of peers and operators.
+	// Certs are the certificates for the listeners of peers and operators.
 	Certs certs.Bundle
 }
 
-// leastOrderTerm leaves a few round trips to the object API within a term.
-const leastOrderTerm = time.Second
+// minOrderTerm leaves time for a few round trips to the object API within a term.
+const minOrderTerm = time.Second
 
 // EnvPrefix is the prefix of the environment variables.
 const EnvPrefix = "FSENTRY"
 
-// Parse reads flags and environment, and checks every setting. The error
-// lists all faults, each with the name of its flag.
+// Parse reads the settings from flags and environment variables and validates them.
+// The error lists every invalid setting with the name of its flag.
 func Parse(args []string, stderr io.Writer) (*Settings, error) {
 	s := &Settings{}
 	fs := s.Flags(stderr)
@@ -66,7 +74,7 @@
 	return s, s.check()
 }
 
-// Flags returns the flags, bound to the settings.
+// Flags returns a flag set whose flags are bound to the settings.
 func (s *Settings) Flags(stderr io.Writer) *flag.FlagSet {
 	fs := flag.NewFlagSet("fsentry", flag.ContinueOnError)
 	fs.SetOutput(stderr)
@@ -93,69 +101,69 @@
 	return fs
 }
 
-// LocalDomain returns the failure domain.
+// LocalDomain returns the failure domain of this entry host.
 func (s *Settings) LocalDomain() domain.Name {
 	return domain.Name(s.Domain)
 }
 
 func (s *Settings) check() error {
-	var faults []error
-	need := func(flag, value string) {
+	var errs []error
+	require := func(name, value string) {
 		if value == "" {
-			faults = append(faults, fmt.Errorf("-%s: missing", flag))
+			errs = append(errs, fmt.Errorf("-%s: missing", name))
 		}
 	}
-	address := func(flag, value string) {
+	checkAddress := func(name, value string) {
 		if value == "" {
 			return
 		}
 		if _, _, err := net.SplitHostPort(value); err != nil {
-			faults = append(faults, fmt.Errorf("-%s: %q is not host:port", flag, value))
+			errs = append(errs, fmt.Errorf("-%s: %q is not host:port", name, value))
 		}
 	}
-	need("name", s.Name)
-	need("domain", s.Domain)
-	need("store", s.Store)
-	need("peer-secret", s.PeerSecret)
-	need("desk-secret", s.DeskSecret)
-	address("callers", s.Callers)
-	address("peers", s.Peers)
-	address("desk", s.Desk)
-	address("ops", s.Ops)
-	address("store", s.Store)
+	require("name", s.Name)
+	require("domain", s.Domain)
+	require("store", s.Store)
+	require("peer-secret", s.PeerSecret)
+	require("desk-secret", s.DeskSecret)
+	checkAddress("callers", s.Callers)
+	checkAddress("peers", s.Peers)
+	checkAddress("desk", s.Desk)
+	checkAddress("ops", s.Ops)
+	checkAddress("store", s.Store)
 	for seed := range strings.SplitSeq(s.Seeds, ",") {
-		address("seeds", seed)
+		checkAddress("seeds", seed)
 	}
 	if s.MaxBody <= 0 {
-		faults = append(faults, fmt.Errorf("-max-body: %d is not above 0", s.MaxBody))
+		errs = append(errs, fmt.Errorf("-max-body: %d is not above 0", s.MaxBody))
 	}
 	if err := s.Certs.Check(certs.Entry); err != nil {
-		faults = append(faults, err)
+		errs = append(errs, err)
 	}
 	if s.Linger < 0 {
-		faults = append(faults, fmt.Errorf("-linger: %s is below 0", s.Linger))
+		errs = append(errs, fmt.Errorf("-linger: %s is below 0", s.Linger))
 	}
-	if s.OrderTerm < leastOrderTerm {
-		faults = append(faults, fmt.Errorf("-order-term: %s is below %s", s.OrderTerm, leastOrderTerm))
+	if s.OrderTerm < minOrderTerm {
+		errs = append(errs, fmt.Errorf("-order-term: %s is below %s", s.OrderTerm, minOrderTerm))
 	}
 	if s.Grace <= 0 {
-		faults = append(faults, fmt.Errorf("-grace: %s is not above 0", s.Grace))
+		errs = append(errs, fmt.Errorf("-grace: %s is not above 0", s.Grace))
 	}
 	if _, err := pick.ParsePolicy(s.Policy); err != nil {
-		faults = append(faults, fmt.Errorf("-policy: %w", err))
+		errs = append(errs, fmt.Errorf("-policy: %w", err))
 	}
 	if s.Poll <= 0 {
-		faults = append(faults, fmt.Errorf("-poll: %s is not above 0", s.Poll))
+		errs = append(errs, fmt.Errorf("-poll: %s is not above 0", s.Poll))
 	}
 	if s.PollRate <= 0 {
-		faults = append(faults, fmt.Errorf("-poll-rate: %v is not above 0", s.PollRate))
+		errs = append(errs, fmt.Errorf("-poll-rate: %v is not above 0", s.PollRate))
 	}
 	if s.PeerSecret != "" && s.PeerSecret == s.DeskSecret {
-		faults = append(faults, errors.New("-desk-secret: must differ from -peer-secret"))
+		errs = append(errs, errors.New("-desk-secret: must differ from -peer-secret"))
 	}
-	faults = append(faults, s.Admit.check()...)
+	errs = append(errs, s.Admit.check()...)
 	if err := s.Claims.check(); err != nil {
-		faults = append(faults, err)
+		errs = append(errs, err)
 	}
-	return errors.Join(faults...)
+	return errors.Join(errs...)
 }
--- a/entry/internal/setup/setup_test.go
+++ b/entry/internal/setup/setup_test.go
@@ -9,9 +9,9 @@
 	"fuchsiashelf.dev/entry/internal/setup"
 )
 
-// All faults are told at once, each with its flag: a host is replaced by a
-// script, and one fault a try would cost as many tries.
-func TestParseFaults(t *testing.T) {
+// The error lists every invalid setting, each with its flag: a script replaces
+// hosts, and reporting one error per run would cost a run for each.
+func TestParseInvalidSettings(t *testing.T) {
 	c := quicktest.New(t)
 	_, err := setup.Parse([]string{
 		"-callers", "here", "-store", "there", "-max-body", "0", "-grace", "-1s",
@@ -25,7 +25,7 @@
 	} {
 		c.Assert(err.Error(), quicktest.Contains, want)
 	}
-	// A secret never gets into an error, which ends up in logs.
+	// A secret must not appear in an error, since errors are logged.
 	c.Assert(err.Error(), quicktest.Not(quicktest.Contains), "same")
 }
 
