--- a/entry/internal/watch/watch.go
+++ b/entry/internal/watch/watch.go
@@ -196,6 +196,6 @@
 	state.answeredAt.Store(time.Now().UnixNano())
 	if state.failing.Swap(false) {
 		w.Log.Info("watch: store answers again", "watch", kind)
-		w.Trace.Record("watch", "", "store answers again the watch of "+kind)
+		w.Trace.Record("watch", "", "store again answers the watch of "+kind)
 	}
 }
