--- a/entry/internal/edge/handler.go
+++ b/entry/internal/edge/handler.go
@@ -196,7 +196,7 @@
 	}
 	requestID := h.nextID(snap)
 	c.Header(RequestHeader, requestID)
-	h.Trace.Record("gate", requestID, "model request from team "+tm.Name)
+	h.Trace.Record("gate", requestID, "took a model request of team "+tm.Name)
 	h.forward(ctx, c, snap, &admissionRequest{
 		id: requestID, team: tm, pool: p, cost: req.Max,
 		bytes: len(c.Request.Body()), deadline: time.Now().Add(s.EffectiveDeadline()),
--- a/entry/internal/edge/plain.go
+++ b/entry/internal/edge/plain.go
@@ -46,7 +46,7 @@
 	}
 	requestID := h.nextID(snap)
 	c.Header(RequestHeader, requestID)
-	h.Trace.Record("gate", requestID, "call from team "+tm.Name)
+	h.Trace.Record("gate", requestID, "took a call of team "+tm.Name)
 	requestCount.Inc(1)
 	deadline := time.Now().Add(s.EffectiveDeadline())
 	grant, e := h.Admission.admit(ctx, snap, &admissionRequest{
--- a/entry/internal/relay/attempt.go
+++ b/entry/internal/relay/attempt.go
@@ -93,7 +93,7 @@
 	if errors.Is(ctx.Err(), context.DeadlineExceeded) {
 		code = fault.Deadline
 	}
-	return &fault.Error{Code: code, Verdict: e.Verdict, Message: "request ended before its answer was complete", Cause: ctx.Err()}
+	return &fault.Error{Code: code, Verdict: e.Verdict, Message: "no whole answer came in time", Cause: ctx.Err()}
 }
 
 // stream starts the attempt on its chain and copies the answer to the caller.
--- a/entry/internal/relay/monitor.go
+++ b/entry/internal/relay/monitor.go
@@ -12,7 +12,7 @@
 )
 
 // errSilent cancels an attempt whose chain has sent nothing for too long.
-var errSilent = errors.New("relay: no token from the chain before the timeout")
+var errSilent = errors.New("relay: the chain is silent")
 
 // monitor cancels one attempt if its chain stays silent for too long. The stream
 // only stores the time of its last token, and a timer checks it periodically, so
--- a/entry/internal/watch/objects.go
+++ b/entry/internal/watch/objects.go
@@ -121,7 +121,7 @@
 	}
 	metrics.GetOrRegisterCounter("watch.store_behind", nil).Inc(1)
 	w.Log.Error("watch: store lacks lines in force, keeping them", "held", c.Revision, "in_force", current.Revision)
-	w.Trace.Record("watch", "", fmt.Sprintf("store holds revision %d, keeping %d", c.Revision, current.Revision))
+	w.Trace.Record("watch", "", fmt.Sprintf("store holds revision %d, kept %d", c.Revision, current.Revision))
 	w.MarkStoreStale()
 }
 
--- a/entry/internal/watch/watch.go
+++ b/entry/internal/watch/watch.go
@@ -159,7 +159,7 @@
 		// on top of an older copy that lacks lines in force here.
 		metrics.GetOrRegisterCounter("watch.diverged", nil).Inc(1)
 		w.Log.Error("watch: configuration not applied: lines in force are missing", "revision", c.Revision)
-		w.Trace.Record("watch", "", fmt.Sprintf("revision %d not applied: lines in force are missing", c.Revision))
+		w.Trace.Record("watch", "", fmt.Sprintf("revision %d lacks lines in force, not taken", c.Revision))
 		w.MarkStoreStale()
 	}
 	if applied {
@@ -186,7 +186,7 @@
 	}
 	if !state.failing.Swap(true) {
 		w.Log.Warn("watch: store does not answer", "watch", kind, "err", err)
-		w.Trace.Record("watch", "", "store does not answer the watch of "+kind)
+		w.Trace.Record("watch", "", "store does not answer about "+kind)
 	}
 	wait.For(ctx, retryWait/2+rand.N(retryWait))
 }
@@ -196,6 +196,6 @@
 	state.answeredAt.Store(time.Now().UnixNano())
 	if state.failing.Swap(false) {
 		w.Log.Info("watch: store answers again", "watch", kind)
-		w.Trace.Record("watch", "", "store again answers the watch of "+kind)
+		w.Trace.Record("watch", "", "store answers again about "+kind)
 	}
 }
