--- a/parts/view/out.go
+++ b/parts/view/cordon.go
@@ -5,23 +5,23 @@
 	"time"
 )
 
-// sources are the reasons in the order in which they are told: a server that
-// several sources take out is listed under the first of them.
-var sources = []Reason{HostLeaving, Stopping, Refusing, PeerReported}
+// cordonPrecedence lists the reasons by precedence: Snapshot.Cordoned holds the
+// first of them for a server that several sources have cordoned.
+var cordonPrecedence = []Reason{HostLeaving, Stopping, Refusing, PeerReported}
 
-// SetCordoned replaces the servers that one source takes out, for use within
-// Update. A server stays out until the last source lets it in again: if one
-// source could clear what another has set, a server that is leaving would get
-// new work as soon as a late host list still calls it live.
+// SetCordoned replaces the set of servers that one source has cordoned, for use
+// within Update. A server stays cordoned until no source cordons it: if one
+// source could clear what another has set, a leaving server would get new work
+// as soon as an outdated host list still showed it as live.
 func (s *Snapshot) SetCordoned(source Reason, servers map[string]bool) {
 	if maps.Equal(s.CordonedBy[source], servers) {
 		return
 	}
 	s.CordonedBy = Edit(s.CordonedBy, func(m map[Reason]map[string]bool) { m[source] = maps.Clone(servers) })
 	merged := map[string]Reason{}
-	for _, reason := range sources {
+	for _, reason := range cordonPrecedence {
 		for name := range s.CordonedBy[reason] {
-			if _, known := merged[name]; !known {
+			if _, exists := merged[name]; !exists {
 				merged[name] = reason
 			}
 		}
@@ -29,19 +29,21 @@
 	s.Cordoned = merged
 }
 
-// Cordon takes one server out for one source, for use within Update.
+// Cordon adds a server to the set that one source has cordoned, for use within
+// Update.
 func (s *Snapshot) Cordon(source Reason, server string) {
 	s.SetCordoned(source, Edit(s.CordonedBy[source], func(m map[string]bool) { m[server] = true }))
 }
 
-// Uncordon ends what MarkOut began.
+// Uncordon removes a server from the set that one source has cordoned, for use
+// within Update.
 func (s *Snapshot) Uncordon(source Reason, server string) {
 	s.SetCordoned(source, Edit(s.CordonedBy[source], func(m map[string]bool) { delete(m, server) }))
 }
 
-// Suspect has a server avoided until a time, or longer if it is already, for
-// use within Update. What is over is dropped, so that the request path looks
-// at nothing while all servers are well.
+// Suspect marks a server as suspected until a time, unless it already is for
+// longer, for use within Update. Expired entries are dropped, so that the
+// request path finds an empty map while all servers are healthy.
 func (s *Snapshot) Suspect(server string, until, now time.Time) {
 	if !until.After(s.SuspectedServers[server]) {
 		return
--- a/parts/view/view.go
+++ b/parts/view/view.go
@@ -1,9 +1,9 @@
-// Package view joins what an entry host knows about the world into one
-// immutable [Snapshot].
+// Package view combines all that an entry host knows about configuration,
+// hosts, teams and peers into one immutable [Snapshot].
 //
 // The request path loads the current snapshot once per request from an atomic
-// pointer and works on that alone (read-copy-update). Writers make a changed
-// copy under a lock and publish it, so a request never sees half a change.
+// pointer and uses only that one (read-copy-update). Writers modify a copy
+// under a lock and publish it, so a request never sees a partial change.
 package view
 
 import (
@@ -23,15 +23,16 @@
 // Reason says why a backend server gets no new work.
 type Reason string
 
-// The reasons.
 const (
-	// HostLeaving: the host list says that the host is leaving.
+	// HostLeaving means that the host list shows the host as leaving.
 	HostLeaving Reason = "host-leaving"
-	// Stopping: the operators have planned a stop, and it has begun.
+	// Stopping means that a stop planned by the operators has begun.
 	Stopping Reason = "stopping"
-	// Refusing: the server itself has answered that it is leaving.
+	// Refusing means that the server has answered a request with a refusal
+	// because it is leaving.
 	Refusing Reason = "refusing"
-	// PeerReported: another entry has said that the server is leaving.
+	// PeerReported means that another entry host has reported the server as
+	// leaving.
 	PeerReported Reason = "peer-word"
 )
 
@@ -39,21 +40,22 @@
 type Peer struct {
 	// Name is the name of the entry host.
 	Name string
-	// Address is host:port of its peers' listener.
+	// Address is the host:port on which it listens for peers.
 	Address string
 	// Domain is its failure domain.
 	Domain domain.Name
-	// Incarnation tells one run of the entry from the next.
+	// Incarnation distinguishes successive runs of the entry host.
 	Incarnation uint64
-	// Revision is the configuration revision that it has in force.
+	// Revision is the revision of the configuration in force on it.
 	Revision uint64
-	// Alive says that it answered lately or that others heard it.
+	// Alive reports whether it has recently answered this entry host or another
+	// peer.
 	Alive bool
-	// Left says that it said goodbye.
+	// Left reports whether it announced its own departure.
 	Left bool
 }
 
-// Snapshot is what an entry host knows at one moment. All of it is read only.
+// Snapshot is the state that an entry host knows at one moment. It is read-only.
 type Snapshot struct {
 	// Self is the name of this entry host.
 	Self string
@@ -61,52 +63,54 @@
 	Domain domain.Name
 	// Config is the configuration in force; nil before the first one.
 	Config *conf.Config
-	// Teams is the book of teams; nil before the first one.
+	// Teams is the directory of teams; nil before the first one.
 	Teams *team.Directory
 	// Hosts is the host list by name.
 	Hosts map[string]host.Host
 	// HostsRevision is the revision of the host list.
 	HostsRevision uint64
-	// Cordoned holds the backend servers that get no new work: the union of Outs.
+	// Cordoned holds the backend servers that get no new work: the union of
+	// CordonedBy over all sources.
 	Cordoned map[string]Reason
-	// CordonedBy holds the same by source. Change it with SetOut, MarkOut and
-	// ClearOut only, which keep Out in step.
+	// CordonedBy holds the cordoned servers by source. Only SetCordoned, Cordon
+	// and Uncordon may change it; they keep Cordoned consistent.
 	CordonedBy map[Reason]map[string]bool
-	// Epoch grows whenever Config, Hosts or Out is replaced, so that what is
-	// derived from these can be kept until it does.
+	// Epoch increases whenever Config, Hosts or Cordoned is replaced, so that
+	// values derived from them can be cached until then.
 	Epoch uint64
-	// SuspectedServers holds backend servers that failed lately, with the time until
-	// which they are avoided.
+	// SuspectedServers holds backend servers that have recently failed, with the
+	// time until which they are avoided.
 	SuspectedServers map[string]time.Time
-	// PoisonedRequests holds fingerprints of requests that are known to crash backend
+	// PoisonedRequests holds the fingerprints of requests known to crash backend
 	// servers, with the time until which they are refused.
 	PoisonedRequests map[string]time.Time
-	// SuspectedRequests holds fingerprints of requests that ran on a backend server
-	// when it died and are neither cleared nor convicted, with the time until
-	// which that is believed.
+	// SuspectedRequests holds the fingerprints of requests that were running on a
+	// backend server when it crashed and are neither cleared nor convicted, with
+	// the time at which the suspicion expires.
 	SuspectedRequests map[string]time.Time
 	// Peers holds the other entry hosts by name.
 	Peers map[string]Peer
-	// Meters holds the figures of each backend server. The map is replaced
-	// with the snapshot; the meters themselves live on.
+	// Meters holds the metrics of each backend server. The map may be replaced
+	// with the snapshot; the meters carry over.
 	Meters map[string]*server.Meter
 }
 
-// Publisher publishes snapshots. Make one with New.
+// Publisher holds the current snapshot and publishes new ones. Use New to
+// create one.
 type Publisher struct {
 	mu      sync.Mutex
 	current atomic.Pointer[Snapshot]
 	changed atomic.Pointer[chan struct{}]
 }
 
-// New returns a holder with an empty snapshot for the given entry host.
-func New(self string, in domain.Name) *Publisher {
-	h := &Publisher{}
-	wake := make(chan struct{})
-	h.changed.Store(&wake)
-	h.current.Store(&Snapshot{
+// New returns a publisher with an empty snapshot for the given entry host.
+func New(self string, dom domain.Name) *Publisher {
+	p := &Publisher{}
+	changed := make(chan struct{})
+	p.changed.Store(&changed)
+	p.current.Store(&Snapshot{
 		Self:             self,
-		Domain:           in,
+		Domain:           dom,
 		Hosts:            map[string]host.Host{},
 		Cordoned:         map[string]Reason{},
 		CordonedBy:       map[Reason]map[string]bool{},
@@ -115,56 +119,56 @@
 		Peers:            map[string]Peer{},
 		Meters:           map[string]*server.Meter{},
 	})
-	return h
+	return p
 }
 
 // Load returns the current snapshot. It is never nil.
-func (h *Publisher) Load() *Snapshot {
-	return h.current.Load()
+func (p *Publisher) Load() *Snapshot {
+	return p.current.Load()
 }
 
-// Update publishes a changed copy of the snapshot. The function gets a
-// shallow copy: it replaces maps (see Edit), and never writes into a map that
-// it found there, since readers may hold it.
-func (h *Publisher) Update(change func(*Snapshot)) {
-	h.mu.Lock()
-	defer h.mu.Unlock()
-	old := h.current.Load()
+// Update publishes a modified copy of the snapshot. The function gets a shallow
+// copy: it must replace maps (see Edit) and never modify one in place, since
+// readers may be using it.
+func (p *Publisher) Update(change func(*Snapshot)) {
+	p.mu.Lock()
+	defer p.mu.Unlock()
+	old := p.current.Load()
 	next := *old
 	change(&next)
 	next.addMeters()
-	if next.Config != old.Config || !same(next.Hosts, old.Hosts) || !same(next.Cordoned, old.Cordoned) {
+	if next.Config != old.Config || !sameMap(next.Hosts, old.Hosts) || !sameMap(next.Cordoned, old.Cordoned) {
 		next.Epoch = old.Epoch + 1
 	}
-	h.current.Store(&next)
-	wake := make(chan struct{})
-	close(*h.changed.Swap(&wake))
+	p.current.Store(&next)
+	changed := make(chan struct{})
+	close(*p.changed.Swap(&changed))
 }
 
-// Changed returns a channel that is closed at the next change. Call it before
-// Load to miss nothing.
-func (h *Publisher) Changed() <-chan struct{} {
-	return *h.changed.Load()
+// Changed returns a channel that is closed at the next update. Call it before
+// Load so as not to miss one.
+func (p *Publisher) Changed() <-chan struct{} {
+	return *p.changed.Load()
 }
 
-// addMeters gives each newly listed host a meter.
+// addMeters adds a meter for each newly listed host.
 func (s *Snapshot) addMeters() {
-	var grown map[string]*server.Meter
+	var meters map[string]*server.Meter
 	for name := range s.Hosts {
 		if s.Meters[name] != nil {
 			continue
 		}
-		if grown == nil {
-			grown = maps.Clone(s.Meters)
+		if meters == nil {
+			meters = maps.Clone(s.Meters)
 		}
-		grown[name] = &server.Meter{}
+		meters[name] = &server.Meter{}
 	}
-	if grown != nil {
-		s.Meters = grown
+	if meters != nil {
+		s.Meters = meters
 	}
 }
 
-// Edit returns a copy of a map after a change, for use within Update.
+// Edit returns a modified copy of a map, for use within Update.
 func Edit[K comparable, V any](old map[K]V, change func(map[K]V)) map[K]V {
 	next := maps.Clone(old)
 	if next == nil {
@@ -174,7 +178,7 @@
 	return next
 }
 
-// same reports whether two variables hold one and the same map.
-func same[K comparable, V any](a, b map[K]V) bool {
+// sameMap reports whether a and b are the same map, not just equal ones.
+func sameMap[K comparable, V any](a, b map[K]V) bool {
 	return reflect.ValueOf(a).UnsafePointer() == reflect.ValueOf(b).UnsafePointer()
 }
