--- a/parts/conf/apply.go
+++ b/parts/conf/apply.go
@@ -7,32 +7,33 @@
 	"slices"
 )
 
-// MaxHistory is how many accepted lines a configuration keeps. At 490 lines a
-// day it reaches back half a day.
+// MaxHistory is how many accepted lines a configuration keeps: half a day at
+// 490 lines a day.
 const MaxHistory = 256
 
-// Clone returns a copy whose maps and slices can be changed.
+// Clone returns a copy whose maps and slices can be modified. The clone of a
+// nil Config is empty.
 func (c *Config) Clone() *Config {
 	next := &Config{}
 	if c != nil {
 		*next = *c
 	}
-	next.Services = cloned(next.Services)
-	next.Pools = cloned(next.Pools)
-	next.Stops = cloned(next.Stops)
+	next.Services = cloneMap(next.Services)
+	next.Pools = cloneMap(next.Pools)
+	next.Stops = cloneMap(next.Stops)
 	next.Rules = slices.Clone(next.Rules)
 	next.History = slices.Clone(next.History)
 	return next
 }
 
-func cloned[V any](m map[string]V) map[string]V {
+func cloneMap[V any](m map[string]V) map[string]V {
 	if m == nil {
 		return map[string]V{}
 	}
 	return maps.Clone(m)
 }
 
-// Decode reads the configuration object. An empty object is the empty
+// Decode decodes the configuration object. An empty value is the empty
 // configuration.
 func Decode(value []byte) (*Config, error) {
 	c := (*Config)(nil).Clone()
@@ -45,12 +46,12 @@
 	return c, nil
 }
 
-// Encode returns the form that the object API keeps.
+// Encode returns the encoding that the object API stores.
 func (c *Config) Encode() ([]byte, error) {
 	return json.Marshal(c)
 }
 
-// Find returns the record of a line that was accepted lately.
+// Find returns the record of a recently accepted line.
 func (c *Config) Find(id string) (Line, bool) {
 	if c == nil {
 		return Line{}, false
@@ -63,7 +64,8 @@
 	return Line{}, false
 }
 
-// Record adds an accepted line, and drops the oldest beyond TailSize.
+// Record appends an accepted line to the history, and drops the oldest lines
+// beyond MaxHistory.
 func (c *Config) Record(line Line) {
 	c.History = append(c.History, line)
 	if len(c.History) > MaxHistory {
--- a/parts/conf/basis.go
+++ b/parts/conf/basis.go
@@ -1,48 +1,49 @@
 package conf
 
-// Basis says what the next line is built on.
+// Basis says which configuration the next line is applied to.
 type Basis int
 
-// The bases.
+// The possible bases of a line.
 const (
-	// Stored: the configuration that the object API holds.
+	// Stored is the configuration that the object API holds.
 	Stored Basis = iota
-	// Own: the configuration in force here, which the object API has lost.
-	Own
-	// Peers: the configuration in force on another entry host, which the
-	// object API has lost and which is newer than the one here.
+	// Local is the configuration in force on this entry host, which the object
+	// API has lost.
+	Local
+	// Peers is the configuration in force on another entry host, which the
+	// object API has lost and which is newer than the one in force here.
 	Peers
-	// None: nothing may be built now.
+	// None means that no line may be applied now.
 	None
 )
 
-// ChooseBasis decides on the basis of the next line. It takes what the object API
-// holds, what is in force here, and the highest revision that another entry
-// host has in force, and whether an entry host did not answer. What is in
-// force must have been asked for before the object was read, so that a line
-// accepted in between does not look like a loss.
+// ChooseBasis chooses the basis of the next line from the configuration that
+// the object API holds, the one in force on this entry host, the highest
+// revision in force on another entry host, and whether an entry host did not
+// answer. What is in force must have been queried before the object was read,
+// so that a line accepted in between does not look like a loss.
 //
-// The object API can hold less than what is in force, when the platform has
-// restored it from an older copy, or something else with the same revisions,
-// when lines were accepted since by an entry host that had not seen the newest.
-// A line built on that would undo what was answered with done. A silent entry
-// host may have a higher revision still, so nothing is built until it answers
-// or is gone.
-func ChooseBasis(stored, own *Config, peers uint64, silent bool) Basis {
+// The object API can hold less than what is in force after the platform has
+// restored it from an older copy. It can hold other lines under the same
+// revisions if, after a restore, an entry host that had not seen the latest
+// configuration accepted lines. A line applied to either would undo lines that
+// operators were told are done. An unresponsive entry host may have a higher
+// revision, so nothing is applied until it answers or has left.
+func ChooseBasis(stored, local *Config, peerRevision uint64, unresponsive bool) Basis {
 	switch {
-	case stored.DescendsFrom(own) && stored.Revision >= peers:
+	case stored.DescendsFrom(local) && stored.Revision >= peerRevision:
 		return Stored
-	case silent:
+	case unresponsive:
 		return None
-	case own != nil && own.Revision >= peers:
-		return Own
+	case local != nil && local.Revision >= peerRevision:
+		return Local
 	}
 	return Peers
 }
 
-// DescendsFrom reports whether a configuration came of another one by lines that
-// were accepted since, or is the same. It knows by the id of the newest line.
-// When the tail no longer reaches back to it, the higher revision has to do.
+// DescendsFrom reports whether c is old, or was made from it by lines accepted
+// since. It looks for the ID of the newest line of old; once the history of c
+// no longer reaches back that far, the higher revision decides.
 func (c *Config) DescendsFrom(old *Config) bool {
 	switch {
 	case old == nil || old.Revision == 0:
@@ -52,28 +53,29 @@
 	case len(c.History) > 0 && c.History[0].Revision > old.Revision:
 		return true
 	}
-	_, found := c.Find(old.last())
-	return found || old.last() == ""
+	_, found := c.Find(old.lastID())
+	return found || old.lastID() == ""
 }
 
-// Supersedes reports whether a configuration may come into force in place of
-// another one: it has a higher revision and holds all its lines.
+// Supersedes reports whether c may come into force in place of old: it has a
+// higher revision and contains all lines of old.
 func (c *Config) Supersedes(old *Config) bool {
 	return old == nil || c.Revision > old.Revision && c.DescendsFrom(old)
 }
 
-// SupersedesAtStart reports whether a configuration that is in force on another entry
-// host may come in place of what an entry host has gathered at its start,
-// before it has served anybody. What is in force elsewhere goes before what a
-// restored store holds, also under a lower revision, unless the latter holds
-// all its lines.
+// SupersedesAtStart reports whether c, which is in force on another entry host,
+// may replace the configuration that an entry host has gathered at its start,
+// before it has served any request. A configuration in force elsewhere takes
+// precedence over that of a restored store, even with a lower revision, unless
+// the latter contains all its lines.
 func (c *Config) SupersedesAtStart(gathered *Config) bool {
 	return c.Supersedes(gathered) || !gathered.DescendsFrom(c)
 }
 
-// RebaseOnto returns a configuration, chosen with Own or Peers, in the form in which
-// it is written over what the object API holds: above its revision, so that
-// no revision stands for two things, and with the next epoch.
+// RebaseOnto returns c, chosen as Local or Peers, in the form in which it
+// overwrites the stored configuration: with a revision that is at least the
+// stored one, so that the line applied to it gets a revision that neither has
+// used, and with the next epoch.
 func (c *Config) RebaseOnto(stored *Config) *Config {
 	next := c.Clone()
 	next.Revision = max(c.Revision, stored.Revision)
--- a/parts/conf/explore_test.go
+++ b/parts/conf/explore_test.go
@@ -11,12 +11,12 @@
 	"fuchsiashelf.dev/parts/fault"
 )
 
-// exploreSteps is the mean length of an exploration. A restore that matters
-// needs a dozen steps in the right order.
+// exploreSteps is the mean number of steps of an exploration. A restore that
+// matters takes a dozen steps in the right order.
 const exploreSteps = "120"
 
-// fixSeed makes explorations repeat. More are run with -rapid.checks=N
-// -rapid.seed=S.
+// fixSeed makes explorations reproducible. Use -rapid.checks=N -rapid.seed=S to
+// run others.
 func fixSeed(t *testing.T) {
 	for _, set := range []struct{ name, standard, value string }{
 		{"rapid.seed", "0", "1"}, {"rapid.steps", "30", exploreSteps},
@@ -30,305 +30,305 @@
 	}
 }
 
-// kept is an object with its version.
-type kept struct {
+// storedObject is the configuration object with its version.
+type storedObject struct {
 	version uint64
 	config  *conf.Config
 }
 
-// copyOut is a copy of a write that is still on its way.
-type copyOut struct {
+// pendingWrite is a copy of a write that has not reached the object API yet.
+type pendingWrite struct {
 	base  uint64
 	value *conf.Config
 }
 
-// seat is an entry host with an operator's line in progress.
-type seat struct {
+// entryHost is an entry host that may be applying an operator's line.
+type entryHost struct {
 	inForce *conf.Config
 	// highest is the highest revision that was ever in force.
-	highest uint64
-	busy    bool
-	id      string
-	seen    uint64
-	peers   uint64
-	silent  bool
-	write   conf.Write
-	sent    *conf.Config
+	highest      uint64
+	inProgress   bool
+	lineID       string
+	seen         uint64
+	peers        uint64
+	unresponsive bool
+	write        conf.Write
+	built        *conf.Config
 }
 
-// take puts a configuration in force that may come in place of the one that
-// is.
-func (s *seat) take(c *conf.Config) {
-	if c.Supersedes(s.inForce) {
-		s.inForce = c
+// take puts a configuration in force if it supersedes the current one.
+func (h *entryHost) take(c *conf.Config) {
+	if c.Supersedes(h.inForce) {
+		h.inForce = c
 	}
 }
 
-// world is a model of the object API and of some entry hosts.
-type world struct {
-	store, backup kept
-	// former are the versions that older copies may answer with.
-	former   []kept
-	flying   []copyOut
-	seats    []*seat
-	next     int
-	restores bool
+// model is a model of the object API and of some entry hosts.
+type model struct {
+	store, backup storedObject
+	// former holds the objects that stale replicas may answer with.
+	former    []storedObject
+	pending   []pendingWrite
+	hosts     []*entryHost
+	lineCount int
+	restores  bool
 
 	accepted, done, refused map[string]uint64
 }
 
-func newWorld(restores bool) *world {
-	empty := kept{config: (*conf.Config)(nil).Clone()}
-	w := &world{
-		store: empty, former: []kept{empty}, backup: empty, restores: restores,
+func newModel(restores bool) *model {
+	empty := storedObject{config: (*conf.Config)(nil).Clone()}
+	m := &model{
+		store: empty, former: []storedObject{empty}, backup: empty, restores: restores,
 		accepted: map[string]uint64{}, done: map[string]uint64{}, refused: map[string]uint64{},
 	}
 	for range 3 {
-		w.seats = append(w.seats, &seat{inForce: empty.config})
+		m.hosts = append(m.hosts, &entryHost{inForce: empty.config})
 	}
-	return w
+	return m
 }
 
-func (w *world) pick(t *rapid.T) *seat {
-	return w.seats[rapid.IntRange(0, len(w.seats)-1).Draw(t, "seat")]
+func (m *model) pickHost(t *rapid.T) *entryHost {
+	return m.hosts[rapid.IntRange(0, len(m.hosts)-1).Draw(t, "entry host")]
 }
 
-// begin starts a line, after a survey of the other entry hosts of which some
-// may not answer.
-func (w *world) begin(t *rapid.T) {
-	s := w.pick(t)
-	if s.busy {
+// begin starts a line by querying the other entry hosts, some of which may not
+// answer.
+func (m *model) begin(t *rapid.T) {
+	h := m.pickHost(t)
+	if h.inProgress {
 		t.Skip("busy")
 	}
-	w.next++
-	*s = seat{inForce: s.inForce, highest: s.highest, busy: true, id: fmt.Sprint("line-", w.next), seen: s.inForce.Revision}
-	for _, other := range w.seats {
-		if other == s {
+	m.lineCount++
+	*h = entryHost{inForce: h.inForce, highest: h.highest, inProgress: true, lineID: fmt.Sprint("line-", m.lineCount), seen: h.inForce.Revision}
+	for _, other := range m.hosts {
+		if other == h {
 			continue
 		}
 		if rapid.Bool().Draw(t, "answers") {
-			s.peers = max(s.peers, other.inForce.Revision)
+			h.peers = max(h.peers, other.inForce.Revision)
 			continue
 		}
-		s.silent = true
+		h.unresponsive = true
 	}
 }
 
-// read has a seat read the object, sometimes from an older copy, and go on.
-func (w *world) read(t *rapid.T) {
-	s := w.pick(t)
-	if !s.busy {
+// read lets an entry host read the object, sometimes from a stale replica, and
+// take the next step.
+func (m *model) read(t *rapid.T) {
+	h := m.pickHost(t)
+	if !h.inProgress {
 		t.Skip("idle")
 	}
-	object := w.store
-	if rapid.IntRange(0, 4).Draw(t, "old") == 0 {
-		object = w.former[rapid.IntRange(0, len(w.former)-1).Draw(t, "copy")]
+	object := m.store
+	if rapid.IntRange(0, 4).Draw(t, "stale") == 0 {
+		object = m.former[rapid.IntRange(0, len(m.former)-1).Draw(t, "copy")]
 	}
 	var found *conf.Line
-	for _, c := range []*conf.Config{object.config, s.inForce} {
-		if line, ok := c.Find(s.id); ok {
+	for _, c := range []*conf.Config{object.config, h.inForce} {
+		if line, ok := c.Find(h.lineID); ok {
 			found = &line
 		}
 	}
-	switch step := s.write.Read(object.version, object.config, found).(type) {
+	switch step := h.write.Read(object.version, object.config, found).(type) {
 	case conf.Accepted:
-		w.accept(s, step.Line.Revision)
+		m.accept(h, step.Line.Revision)
 	case conf.Build:
-		w.build(t, s, object)
+		m.build(t, h, object)
 	case conf.Resend:
-		w.send(t, s, object)
+		m.send(t, h, object)
 	}
 }
 
-func (w *world) build(t *rapid.T, s *seat, object kept) {
+func (m *model) build(t *rapid.T, h *entryHost, object storedObject) {
 	var base *conf.Config
-	switch conf.ChooseBasis(object.config, s.inForce, s.peers, s.silent) {
+	switch conf.ChooseBasis(object.config, h.inForce, h.peers, h.unresponsive) {
 	case conf.Stored:
 		base = object.config
-	case conf.Own:
-		base = s.inForce.RebaseOnto(object.config)
+	case conf.Local:
+		base = h.inForce.RebaseOnto(object.config)
 	case conf.Peers:
-		for _, other := range w.seats {
+		for _, other := range m.hosts {
 			if base == nil || other.inForce.Revision > base.Revision {
 				base = other.inForce
 			}
 		}
-		if !base.Supersedes(s.inForce) {
+		if !base.Supersedes(h.inForce) {
 			return
 		}
 		base = base.RebaseOnto(object.config)
 	case conf.None:
 		return
 	}
-	thing := rapid.SampledFrom([]string{"pool a", "pool b"}).Draw(t, "thing")
-	if _, clash, complete := base.Conflict(thing, s.seen); clash || !complete || s.seen > base.Revision {
-		w.end(s)
+	resource := rapid.SampledFrom([]string{"pool a", "pool b"}).Draw(t, "resource")
+	if _, conflict, complete := base.Conflict(resource, h.seen); conflict || !complete || h.seen > base.Revision {
+		m.end(h)
 		return
 	}
-	s.sent = base.Clone()
-	s.sent.Revision++
-	s.sent.Record(conf.Line{ID: s.id, Revision: s.sent.Revision, Resource: thing})
-	w.send(t, s, object)
+	h.built = base.Clone()
+	h.built.Revision++
+	h.built.Record(conf.Line{ID: h.lineID, Revision: h.built.Revision, Resource: resource})
+	m.send(t, h, object)
 }
 
-// send lets a copy of the write take one of the ways that it can go.
-func (w *world) send(t *rapid.T, s *seat, object kept) {
-	out := copyOut{base: object.version, value: s.sent}
-	switch rapid.SampledFrom([]string{"answered", "reply lost", "lost", "late", "never left"}).Draw(t, "way") {
+// send gives a copy of the write one of the possible outcomes.
+func (m *model) send(t *rapid.T, h *entryHost, object storedObject) {
+	write := pendingWrite{base: object.version, value: h.built}
+	switch rapid.SampledFrom([]string{"answered", "reply lost", "lost", "late", "never left"}).Draw(t, "outcome") {
 	case "answered":
-		if w.land(out) {
-			w.accept(s, s.sent.Revision)
+		if m.deliver(write) {
+			m.accept(h, h.built.Revision)
 			return
 		}
-		s.write.Sent(out.base, object.config, fault.NotRun)
+		h.write.Sent(write.base, object.config, fault.NotRun)
 	case "reply lost":
-		w.land(out)
-		s.write.Sent(out.base, object.config, fault.MayHaveRun)
+		m.deliver(write)
+		h.write.Sent(write.base, object.config, fault.MayHaveRun)
 	case "lost":
-		s.write.Sent(out.base, object.config, fault.MayHaveRun)
+		h.write.Sent(write.base, object.config, fault.MayHaveRun)
 	case "late":
-		w.flying = append(w.flying, out)
-		s.write.Sent(out.base, object.config, fault.MayHaveRun)
+		m.pending = append(m.pending, write)
+		h.write.Sent(write.base, object.config, fault.MayHaveRun)
 	case "never left":
-		s.write.Sent(out.base, object.config, fault.NotRun)
+		h.write.Sent(write.base, object.config, fault.NotRun)
 	}
 }
 
-func (w *world) land(out copyOut) bool {
-	if out.base != w.store.version {
+func (m *model) deliver(write pendingWrite) bool {
+	if write.base != m.store.version {
 		return false
 	}
-	w.former = append(w.former, w.store)
-	w.store = kept{version: w.store.version + 1, config: out.value}
+	m.former = append(m.former, m.store)
+	m.store = storedObject{version: m.store.version + 1, config: write.value}
 	return true
 }
 
-func (w *world) landLate(t *rapid.T) {
-	if len(w.flying) == 0 {
-		t.Skip("none on the way")
+func (m *model) deliverLate(t *rapid.T) {
+	if len(m.pending) == 0 {
+		t.Skip("no pending writes")
 	}
-	at := rapid.IntRange(0, len(w.flying)-1).Draw(t, "copy")
-	w.land(w.flying[at])
-	w.flying = append(w.flying[:at:at], w.flying[at+1:]...)
+	at := rapid.IntRange(0, len(m.pending)-1).Draw(t, "copy")
+	m.deliver(m.pending[at])
+	m.pending = append(m.pending[:at:at], m.pending[at+1:]...)
 }
 
-func (w *world) accept(s *seat, revision uint64) {
-	w.accepted[s.id] = revision
-	s.busy = false
-	if s.sent != nil {
-		s.take(s.sent)
+func (m *model) accept(h *entryHost, revision uint64) {
+	m.accepted[h.lineID] = revision
+	h.inProgress = false
+	if h.built != nil {
+		h.take(h.built)
 	}
 }
 
-// end gives a line up. It is refused unless it may have taken effect.
-func (w *world) end(s *seat) {
-	if !s.write.Uncertain() {
-		w.refused[s.id] = 0
+// end abandons a line. It counts as refused unless it may have taken effect.
+func (m *model) end(h *entryHost) {
+	if !h.write.Uncertain() {
+		m.refused[h.lineID] = 0
 	}
-	s.busy = false
+	h.inProgress = false
 }
 
-func (w *world) giveUp(t *rapid.T) {
-	s := w.pick(t)
-	if !s.busy {
+func (m *model) abandon(t *rapid.T) {
+	h := m.pickHost(t)
+	if !h.inProgress {
 		t.Skip("idle")
 	}
-	w.end(s)
+	m.end(h)
 }
 
-func (w *world) watch(t *rapid.T) {
-	s := w.pick(t)
-	s.take(w.store.config)
+func (m *model) watch(t *rapid.T) {
+	h := m.pickHost(t)
+	h.take(m.store.config)
 }
 
-func (w *world) handOn(t *rapid.T) {
-	to, from := w.pick(t), w.pick(t)
+func (m *model) gossip(t *rapid.T) {
+	to, from := m.pickHost(t), m.pickHost(t)
 	to.take(from.inForce)
 }
 
-// restart has an entry host begin anew: it takes the newest of what the store
-// and at least one other have, in any order.
-func (w *world) restart(t *rapid.T) {
-	s := w.pick(t)
-	if s.busy {
+// restart lets an entry host start afresh: it takes the newest configuration of
+// the object API and of at least one other entry host, in either order.
+func (m *model) restart(t *rapid.T) {
+	h := m.pickHost(t)
+	if h.inProgress {
 		t.Skip("busy")
 	}
-	*s = seat{inForce: (*conf.Config)(nil).Clone()}
-	early := rapid.Bool().Draw(t, "store first")
-	if early {
-		s.take(w.store.config)
+	*h = entryHost{inForce: (*conf.Config)(nil).Clone()}
+	storeFirst := rapid.Bool().Draw(t, "store first")
+	if storeFirst {
+		h.take(m.store.config)
 	}
-	asked := false
-	for _, other := range w.seats {
-		if other != s && (!asked || rapid.Bool().Draw(t, "answers")) {
-			asked = true
-			if other.inForce.SupersedesAtStart(s.inForce) {
-				s.inForce = other.inForce
+	queried := false
+	for _, other := range m.hosts {
+		if other != h && (!queried || rapid.Bool().Draw(t, "answers")) {
+			queried = true
+			if other.inForce.SupersedesAtStart(h.inForce) {
+				h.inForce = other.inForce
 			}
 		}
 	}
-	if !early {
-		s.take(w.store.config)
+	if !storeFirst {
+		h.take(m.store.config)
 	}
 }
 
-// confirm calls accepted lines done that are in force on every entry host.
-func (w *world) confirm(*rapid.T) {
-	for id, revision := range w.accepted {
+// confirm marks accepted lines as done that are in force on every entry host.
+func (m *model) confirm(*rapid.T) {
+	for lineID, revision := range m.accepted {
 		all := true
-		for _, s := range w.seats {
-			_, has := s.inForce.Find(id)
-			all = all && has
+		for _, h := range m.hosts {
+			_, found := h.inForce.Find(lineID)
+			all = all && found
 		}
 		if all {
-			w.done[id] = revision
+			m.done[lineID] = revision
 		}
 	}
 }
 
-func (w *world) copyStore(t *rapid.T) {
-	if !w.restores {
+func (m *model) backUp(t *rapid.T) {
+	if !m.restores {
 		t.Skip("no restores")
 	}
-	w.backup = w.store
+	m.backup = m.store
 }
 
-// restore brings the store's copy back, its count of versions included, while
-// no line is in progress.
-func (w *world) restore(t *rapid.T) {
-	for _, s := range w.seats {
-		if s.busy || !w.restores {
+// restore replaces the stored object with its backup, version counter included,
+// while no line is in progress.
+func (m *model) restore(t *rapid.T) {
+	for _, h := range m.hosts {
+		if h.inProgress || !m.restores {
 			t.Skip("busy")
 		}
 	}
-	w.store, w.former, w.flying = w.backup, []kept{w.backup}, nil
+	m.store, m.former, m.pending = m.backup, []storedObject{m.backup}, nil
 }
 
-// check holds after every step.
-func (w *world) check(t *rapid.T) {
-	for _, s := range w.seats {
-		if s.inForce.Revision < s.highest {
-			t.Fatalf("revision %d went back to %d", s.highest, s.inForce.Revision)
+// check verifies the invariants after every step.
+func (m *model) check(t *rapid.T) {
+	for _, h := range m.hosts {
+		if h.inForce.Revision < h.highest {
+			t.Fatalf("revision went back from %d to %d", h.highest, h.inForce.Revision)
 		}
-		s.highest = s.inForce.Revision
-		for id := range w.done {
-			if _, has := s.inForce.Find(id); !has {
-				t.Fatalf("%s was done and is undone", id)
+		h.highest = h.inForce.Revision
+		for lineID := range m.done {
+			if _, found := h.inForce.Find(lineID); !found {
+				t.Fatalf("%s was done and is not in force", lineID)
 			}
 		}
-		for id, revision := range w.accepted {
-			_, has := s.inForce.Find(id)
-			if !has && !w.restores && s.inForce.Revision >= revision {
-				t.Fatalf("%s of revision %d is undone at revision %d", id, revision, s.inForce.Revision)
+		for lineID, revision := range m.accepted {
+			_, found := h.inForce.Find(lineID)
+			if !found && !m.restores && h.inForce.Revision >= revision {
+				t.Fatalf("%s, accepted at revision %d, is not in force at revision %d", lineID, revision, h.inForce.Revision)
 			}
 		}
-		times := map[string]int{}
-		for _, line := range s.inForce.History {
-			times[line.ID]++
-			if _, is := w.refused[line.ID]; is {
+		counts := map[string]int{}
+		for _, line := range h.inForce.History {
+			counts[line.ID]++
+			if _, is := m.refused[line.ID]; is {
 				t.Fatalf("%s was refused and is in force", line.ID)
 			}
-			if times[line.ID] > 1 {
+			if counts[line.ID] > 1 {
 				t.Fatalf("%s is in force twice", line.ID)
 			}
 		}
@@ -338,25 +338,25 @@
 func explore(t *testing.T, restores bool) {
 	fixSeed(t)
 	rapid.Check(t, func(t *rapid.T) {
-		w := newWorld(restores)
+		m := newModel(restores)
 		t.Repeat(map[string]func(*rapid.T){
-			"begin": w.begin, "read": w.read, "read again": w.read, "land late": w.landLate,
-			"give up": w.giveUp, "watch": w.watch, "hand on": w.handOn, "confirm": w.confirm,
-			"restart": w.restart,
-			"copy":    w.copyStore, "restore": w.restore, "": w.check,
+			"begin": m.begin, "read": m.read, "read again": m.read, "late write": m.deliverLate,
+			"give up": m.abandon, "watch": m.watch, "gossip": m.gossip, "confirm": m.confirm,
+			"restart":    m.restart,
+			"copy store": m.backUp, "restore": m.restore, "": m.check,
 		})
 	})
 }
 
-// Seats write at once, replies and writes are lost or come late, and old
-// copies answer. Were one answer wrong, a line that was refused would be in
-// force, or one that was accepted would be undone.
+// Guards against a refused line that is in force and an accepted line that is
+// undone, while several entry hosts write at once, writes and replies are lost
+// or delayed, and stale replicas answer reads.
 func TestExploreWrites(t *testing.T) {
 	explore(t, false)
 }
 
-// The same with a store that is restored from older copies: what was in force
-// on every entry host stays.
+// The same when the object API is also restored from older copies: lines that
+// were in force on every entry host stay in force.
 func TestExploreRestores(t *testing.T) {
 	explore(t, true)
 }
--- a/parts/conf/size_test.go
+++ b/parts/conf/size_test.go
@@ -12,10 +12,10 @@
 	"fuchsiashelf.dev/parts/rule"
 )
 
-// target is a configuration of the target size: 600 backend servers in 38
-// pools of 19 models, 400 teams with two rules each, stops of a twentieth of
-// the servers, and a full tail.
-func target() *conf.Config {
+// targetSizeConfig returns a configuration of the target size: 600 backend
+// servers in 38 pools of 19 models, 400 teams with two rules each, stops for a
+// twentieth of the servers, and a full history.
+func targetSizeConfig() *conf.Config {
 	c := (*conf.Config)(nil).Clone()
 	for i := range 38 {
 		p := pool.Pool{Name: fmt.Sprintf("pool-%02d", i), Model: fmt.Sprintf("model-%02d", i/2), Layers: 80, Revision: 1}
@@ -47,16 +47,16 @@
 	return c
 }
 
-// A configuration that the object API cannot hold would be refused on the day
-// that the fleet has grown to it.
-func TestTargetFits(t *testing.T) {
-	value, err := target().Encode()
+// Guards against a configuration that outgrows the object API as the fleet
+// grows to its target size.
+func TestTargetSizeFits(t *testing.T) {
+	value, err := targetSizeConfig().Encode()
 	quicktest.Assert(t, err, quicktest.IsNil)
 	quicktest.Assert(t, len(value) < 1<<19, quicktest.IsTrue, quicktest.Commentf("%d bytes", len(value)))
 }
 
 func BenchmarkEncode(b *testing.B) {
-	c := target()
+	c := targetSizeConfig()
 	for b.Loop() {
 		value, err := c.Encode()
 		if err != nil {
@@ -67,7 +67,7 @@
 }
 
 func BenchmarkDecode(b *testing.B) {
-	value, err := target().Encode()
+	value, err := targetSizeConfig().Encode()
 	if err != nil {
 		b.Fatal(err)
 	}
--- a/parts/conf/write.go
+++ b/parts/conf/write.go
@@ -2,38 +2,41 @@
 
 import "fuchsiashelf.dev/parts/fault"
 
-// Write is the state of one line on its way into the object API. It decides,
-// without I/O, what to do next after each answer of the object API.
+// Write is the state of the write of one line to the object API. It decides,
+// without I/O, what to do after each answer of the object API.
 //
-// A reply to a write can be lost after the write took effect. Then the object
-// is read again: if it holds the line's id, the write took effect; if its
-// version is unchanged, the same write is sent again, since it can land only
-// once; if the version moved on without the id, the write did not take effect
-// and cannot any more, since its condition no longer holds.
+// The reply to a write can be lost after the write took effect. Then the object
+// is read again. If it contains the line's ID, the write took effect. If its
+// version is unchanged, the same write is sent again, since it can take effect
+// only once. If the version has increased without the ID, the write did not
+// take effect and no longer can, since its condition no longer holds.
 type Write struct {
-	// lost is set while a copy of the write may have taken effect, or may
-	// yet.
-	lost bool
-	// base is the version that the write is conditional on. On is the newest
-	// line that the object held then, and epoch the epoch.
-	base, epoch uint64
-	on          string
+	// uncertain is set while a copy of the write may have taken effect or may
+	// still do so.
+	uncertain bool
+	// baseVersion is the version that the write is conditional on. baseEpoch
+	// and baseLineID are the epoch and the newest line of the object at that
+	// version.
+	baseVersion, baseEpoch uint64
+	baseLineID             string
 }
 
-// Step is what to do next: one of the types below.
+// Step is what to do next: Accepted, Build, Resend or Reread.
 type Step interface{ step() }
 
-// Accepted: the line took effect; its record says at which revision.
+// Accepted means that the line took effect; its record holds the revision.
 type Accepted struct{ Line Line }
 
-// Build: no copy of a write is out. Build the next configuration on what was
-// read, and send it conditional on the version read.
+// Build means that no copy of the write is pending: build the next
+// configuration on the object that was read, and write it conditional on the
+// version read.
 type Build struct{}
 
-// Resend: send the same write once more.
+// Resend means that the same write is to be sent again.
 type Resend struct{}
 
-// Reread: read again, since what came tells nothing.
+// Reread means that the object is to be read again, since this read is
+// inconclusive.
 type Reread struct{}
 
 func (Accepted) step() {}
@@ -41,56 +44,57 @@
 func (Resend) step()   {}
 func (Reread) step()   {}
 
-// Read takes the object as read at a version, and the configuration that it
-// holds. Found is the record of the line, in the object or in a configuration
-// that an entry host has in force; nil if there is none.
-func (w *Write) Read(version uint64, held *Config, found *Line) Step {
+// Read takes the version and the configuration of the object as read. Found is
+// the record of the line in the object or in a configuration that is in force
+// on an entry host; nil if there is none.
+func (w *Write) Read(version uint64, stored *Config, found *Line) Step {
 	switch {
 	case found != nil:
-		w.lost = false
+		w.uncertain = false
 		return Accepted{Line: *found}
-	case !w.lost:
+	case !w.uncertain:
 		return Build{}
-	case version < w.base:
-		// An older copy answers. Were it taken for a version that moved on,
-		// a line that is in force would be answered with refused.
+	case version < w.baseVersion:
+		// A stale replica answered. If its version counted as a later one, a
+		// line that is in force would be reported as refused.
 		return Reread{}
-	case version > w.base && held.Epoch == w.epoch:
-		w.lost = false
+	case version > w.baseVersion && stored.Epoch == w.baseEpoch:
+		w.uncertain = false
 		return Build{}
-	case version > w.base:
+	case version > w.baseVersion:
 		// The object API was restored, and what it held after that was
-		// replaced: the line may have been in it, and be in force on an
-		// entry host that saw it.
+		// replaced: the line may have been in it, and be in force on an entry
+		// host that read it.
 		return Reread{}
-	case held.last() != w.on:
-		// The version is the same and what it stands for is not: the object
-		// API was restored and counts anew. The same write would undo lines
-		// that came since.
+	case stored.lastID() != w.baseLineID:
+		// The version is the same but stands for another configuration: the
+		// object API was restored and counts versions anew. The same write
+		// would undo lines accepted since.
 		return Reread{}
 	}
 	return Resend{}
 }
 
-// last returns the id of the newest line.
-func (c *Config) last() string {
+// lastID returns the ID of the newest line; empty if there is none.
+func (c *Config) lastID() string {
 	if len(c.History) == 0 {
 		return ""
 	}
 	return c.History[len(c.History)-1].ID
 }
 
-// Sent takes what became of a write that was conditional on a version, at
-// which the object held a configuration: the verdict of its error. A copy that
-// certainly did nothing tells nothing about an earlier copy of the same write.
-func (w *Write) Sent(version uint64, held *Config, verdict fault.Verdict) {
-	w.base, w.epoch, w.on = version, held.Epoch, held.last()
+// Sent takes the outcome of a write: the version it was conditional on, the
+// configuration that the object held at that version, and the verdict of the
+// error. A copy that certainly had no effect says nothing about an earlier copy
+// of the same write.
+func (w *Write) Sent(version uint64, stored *Config, verdict fault.Verdict) {
+	w.baseVersion, w.baseEpoch, w.baseLineID = version, stored.Epoch, stored.lastID()
 	if verdict != fault.NotRun {
-		w.lost = true
+		w.uncertain = true
 	}
 }
 
-// Uncertain reports whether a write may have taken effect, or may yet.
+// Uncertain reports whether a write may have taken effect or may still do so.
 func (w *Write) Uncertain() bool {
-	return w.lost
+	return w.uncertain
 }
--- a/parts/conf/write_test.go
+++ b/parts/conf/write_test.go
@@ -10,62 +10,62 @@
 	"fuchsiashelf.dev/parts/fault"
 )
 
-// held is what the object holds when the writes are built.
-var held = &conf.Config{Revision: 2, History: []conf.Line{{ID: "w", Revision: 2}}}
+// stored is the configuration that the object holds when the writes are built.
+var stored = &conf.Config{Revision: 2, History: []conf.Line{{ID: "w", Revision: 2}}}
 
-// The store carries out a line's write, and its reply is lost on the way.
-// If the line were called refused, its operator would send it again on top
-// of itself; if it were called done without a look, it may never be in force.
+// Guards against a wrong answer to the operator when a write takes effect but
+// its reply is lost: reported as refused, the line would be sent again;
+// reported as done without a read, it might never be in force.
 func TestWriteLostReply(t *testing.T) {
 	c := quicktest.New(t)
 	var w conf.Write
-	c.Assert(w.Read(5, held, nil), quicktest.Equals, conf.Build{})
-	w.Sent(5, held, fault.MayHaveRun)
+	c.Assert(w.Read(5, stored, nil), quicktest.Equals, conf.Build{})
+	w.Sent(5, stored, fault.MayHaveRun)
 	c.Assert(w.Uncertain(), quicktest.IsTrue)
-	c.Assert(w.Read(5, held, nil), quicktest.Equals, conf.Resend{})
-	// The second copy finds the version moved on, perhaps by the first copy.
-	w.Sent(5, held, fault.NotRun)
+	c.Assert(w.Read(5, stored, nil), quicktest.Equals, conf.Resend{})
+	// The second copy finds a later version, perhaps written by the first copy.
+	w.Sent(5, stored, fault.NotRun)
 	c.Assert(w.Uncertain(), quicktest.IsTrue)
 	line := conf.Line{ID: "x", Revision: 3}
-	c.Assert(w.Read(6, held, &line), quicktest.Equals, conf.Accepted{Line: line})
+	c.Assert(w.Read(6, stored, &line), quicktest.Equals, conf.Accepted{Line: line})
 	c.Assert(w.Uncertain(), quicktest.IsFalse)
 }
 
-// Another seat's line moves the version on after the reply was lost. The
-// write cannot land any more, and may be built anew.
-func TestWriteOvertaken(t *testing.T) {
+// Another entry host's line increases the version after the reply was lost. The
+// write can no longer take effect and may be built anew.
+func TestWriteSuperseded(t *testing.T) {
 	c := quicktest.New(t)
 	var w conf.Write
-	w.Sent(5, held, fault.MayHaveRun)
-	c.Assert(w.Read(7, held, nil), quicktest.Equals, conf.Build{})
+	w.Sent(5, stored, fault.MayHaveRun)
+	c.Assert(w.Read(7, stored, nil), quicktest.Equals, conf.Build{})
 	c.Assert(w.Uncertain(), quicktest.IsFalse)
 }
 
-// A replica of the store that lags answers the read after a lost reply. Its
-// version is below the one that the write was built on, and tells nothing.
-func TestWriteOldCopy(t *testing.T) {
+// Guards against a stale replica that answers the read after a lost reply: its
+// version is below that of the write and says nothing about it.
+func TestWriteStaleRead(t *testing.T) {
 	c := quicktest.New(t)
 	var w conf.Write
-	w.Sent(5, held, fault.MayHaveRun)
-	c.Assert(w.Read(4, held, nil), quicktest.Equals, conf.Reread{})
+	w.Sent(5, stored, fault.MayHaveRun)
+	c.Assert(w.Read(4, stored, nil), quicktest.Equals, conf.Reread{})
 	c.Assert(w.Uncertain(), quicktest.IsTrue)
 }
 
-// The store is restored after a reply was lost, and its versions count anew:
-// the version is the one that the write was built on, but it stands for other
-// lines. Sent again, the write would undo them.
-func TestWriteRestored(t *testing.T) {
+// Guards against a write that undoes other lines: the object API is restored
+// after a reply was lost and counts versions anew, so the version of the write
+// stands for another configuration.
+func TestWriteAfterRestore(t *testing.T) {
 	c := quicktest.New(t)
 	var w conf.Write
-	w.Sent(5, held, fault.MayHaveRun)
+	w.Sent(5, stored, fault.MayHaveRun)
 	other := &conf.Config{Revision: 2, History: []conf.Line{{ID: "v", Revision: 2}}}
 	c.Assert(w.Read(5, other, nil), quicktest.Equals, conf.Reread{})
-	c.Assert(w.Read(5, held, nil), quicktest.Equals, conf.Resend{})
-	// What was held after the restore has been replaced.
-	c.Assert(w.Read(7, held.RebaseOnto(held), nil), quicktest.Equals, conf.Reread{})
+	c.Assert(w.Read(5, stored, nil), quicktest.Equals, conf.Resend{})
+	// The configuration that was stored after the restore has been replaced.
+	c.Assert(w.Read(7, stored.RebaseOnto(stored), nil), quicktest.Equals, conf.Reread{})
 }
 
-// lines makes a configuration of the lines with these ids.
+// lines returns a configuration made by lines with the given IDs.
 func lines(ids ...string) *conf.Config {
 	c := (*conf.Config)(nil).Clone()
 	for _, id := range ids {
@@ -75,52 +75,53 @@
 	return c
 }
 
-func TestChoose(t *testing.T) {
+func TestChooseBasis(t *testing.T) {
 	abc, ab, abx := lines("a", "b", "c"), lines("a", "b"), lines("a", "b", "x")
 	for _, test := range []struct {
-		stored, own *conf.Config
-		peers       uint64
-		silent      bool
-		want        conf.Basis
+		stored, local *conf.Config
+		peers         uint64
+		unresponsive  bool
+		want          conf.Basis
 	}{
 		{abc, abc, 3, true, conf.Stored},
 		{abc, ab, 2, true, conf.Stored},
 		{abc, nil, 0, true, conf.Stored},
-		{ab, abc, 2, false, conf.Own},
+		{ab, abc, 2, false, conf.Local},
 		{ab, abc, 4, false, conf.Peers},
 		{ab, abc, 3, true, conf.None},
 		{ab, ab, 3, true, conf.None},
-		// The same revision, and other lines.
-		{abx, abc, 3, false, conf.Own},
+		// The same revision with other lines.
+		{abx, abc, 3, false, conf.Local},
 		{abx, abc, 3, true, conf.None},
 	} {
-		got := conf.ChooseBasis(test.stored, test.own, test.peers, test.silent)
+		got := conf.ChooseBasis(test.stored, test.local, test.peers, test.unresponsive)
 		quicktest.Assert(t, got, quicktest.Equals, test.want, quicktest.Commentf("%+v", test))
 	}
 }
 
-// A store was restored, and an entry host that had not seen the newest line
-// has written others on the older copy. Their revision is higher; taken, they
-// would undo what was answered with done.
-func TestReplaces(t *testing.T) {
+// Guards against lines undone after a restore: an entry host that had not seen
+// the newest line has written others on top of the older copy, and their
+// revision is higher.
+func TestSupersedes(t *testing.T) {
 	c := quicktest.New(t)
 	inForce := lines("a", "b", "c")
 	c.Assert(lines("a", "b", "x", "y").Supersedes(inForce), quicktest.IsFalse)
 	c.Assert(lines("a", "b", "c", "d").Supersedes(inForce), quicktest.IsTrue)
 	c.Assert(lines("a", "b", "c").Supersedes(inForce), quicktest.IsFalse)
 	c.Assert(lines("a").Supersedes(nil), quicktest.IsTrue)
-	// A host that was away for longer than the tail reaches takes what is
-	// higher.
-	far := lines("a", "b")
+	// An entry host that was away for longer than the history reaches takes the
+	// higher revision.
+	newer := lines("a", "b")
 	for i := range conf.MaxHistory + 5 {
-		far.Revision++
-		far.Record(conf.Line{ID: fmt.Sprint(i), Revision: far.Revision})
+		newer.Revision++
+		newer.Record(conf.Line{ID: fmt.Sprint(i), Revision: newer.Revision})
 	}
-	c.Assert(far.Supersedes(lines("a", "b")), quicktest.IsTrue)
+	c.Assert(newer.Supersedes(lines("a", "b")), quicktest.IsTrue)
 }
 
-// An entry host starts after a restore, and hears the store before the others.
-func TestBegins(t *testing.T) {
+// An entry host starts after a restore, and reads the object API before it
+// hears from the other entry hosts.
+func TestSupersedesAtStart(t *testing.T) {
 	c := quicktest.New(t)
 	inForce, fork := lines("a", "b"), lines("a", "x", "y")
 	c.Assert(inForce.SupersedesAtStart(nil), quicktest.IsTrue)
@@ -130,17 +131,17 @@
 	c.Assert(inForce.SupersedesAtStart(lines("a")), quicktest.IsTrue)
 }
 
-func TestClash(t *testing.T) {
+func TestConflict(t *testing.T) {
 	c := quicktest.New(t)
-	at := &conf.Config{Revision: 9, History: []conf.Line{
+	config := &conf.Config{Revision: 9, History: []conf.Line{
 		{Revision: 7, Resource: "pool lake"}, {Revision: 8, Resource: "server a1"}, {Revision: 9, Resource: "pool lake"},
 	}}
-	line, clash, complete := at.Conflict("pool lake", 8)
-	c.Assert([]any{line.Revision, clash, complete}, quicktest.DeepEquals, []any{uint64(9), true, true})
-	_, clash, complete = at.Conflict("server a1", 8)
-	c.Assert([]any{clash, complete}, quicktest.DeepEquals, []any{false, true})
-	_, _, complete = at.Conflict("pool pond", 5)
+	line, conflict, complete := config.Conflict("pool lake", 8)
+	c.Assert([]any{line.Revision, conflict, complete}, quicktest.DeepEquals, []any{uint64(9), true, true})
+	_, conflict, complete = config.Conflict("server a1", 8)
+	c.Assert([]any{conflict, complete}, quicktest.DeepEquals, []any{false, true})
+	_, _, complete = config.Conflict("pool pond", 5)
 	c.Assert(complete, quicktest.IsFalse)
-	_, _, complete = at.Conflict("pool pond", 6)
+	_, _, complete = config.Conflict("pool pond", 6)
 	c.Assert(complete, quicktest.IsTrue)
 }
