--- a/parts/fleet/fleet_test.go
+++ b/parts/fleet/fleet_test.go
@@ -10,9 +10,9 @@
 	"fuchsiashelf.dev/parts/fleet"
 )
 
-// Guards against requests to a server that has ended, whose entry stays for a
-// while and whose address another has by then: that one refuses them all.
-func TestAddressBelongsToTheYoungest(t *testing.T) {
+// Guards against requests to a server that has ended: its entry remains for a
+// while, and a newer server that refuses them may use its address.
+func TestAddressBelongsToNewestServer(t *testing.T) {
 	v := fleet.New([]*fleet.Server{
 		{ID: "old", Service: "assist", Address: "a:1", StartedAt: time.Unix(1, 0), First: 0, End: 80},
 		{ID: "young", Service: "assist", Address: "a:1", StartedAt: time.Unix(9, 0)},
@@ -26,8 +26,9 @@
 	qt.Check(t, v.ByAddress("b:1").ID, qt.Equals, "moved")
 }
 
-// Guards against a view that mixes servers of two moments after a change of one.
-func TestViewsOfTheSameServers(t *testing.T) {
+// Guards against a view that mixes servers of two moments after one of them
+// changed.
+func TestWithStates(t *testing.T) {
 	before := fleet.New([]*fleet.Server{
 		{ID: "b", Service: "assist", Address: "b:1"}, {ID: "a", Service: "assist", Address: "a:1"}, {ID: "c", Service: "booking", Address: "c:1"},
 	})
