--- a/parts/route/route.go
+++ b/parts/route/route.go
@@ -1,10 +1,9 @@
-// Package route decides where a request belongs: which route of the
-// configuration it matches, which service it goes to, and whose team's key it
-// carries.
+// Package route matches requests to the configuration: which route a request
+// takes, which service it goes to, and which team its key belongs to.
 //
 // A [Table] is one accepted configuration. It is built once, never changed
-// afterwards, and replaced as a whole, so a request sees one version of all of
-// it.
+// afterwards, and replaced as a whole, so a request sees a single version of
+// all of it.
 package route
 
 import (
@@ -13,16 +12,17 @@
 	"time"
 )
 
-// Kind says what may be repeated.
+// Kind says how often the requests of a route may run, and how they are
+// answered.
 type Kind uint8
 
-// The kinds.
+// The kinds of routes.
 const (
 	// AtMostOnce requests run at most once for each attempt of the caller.
 	AtMostOnce Kind = iota
 	// Idempotent requests may run more than once.
 	Idempotent
-	// Stream requests are answered by a series of events.
+	// Stream requests are answered by a stream of events.
 	Stream
 )
 
@@ -39,7 +39,7 @@
 	return "unknown"
 }
 
-// Share is a service's part of the requests of a route.
+// Share is a service's share of the requests of a route.
 type Share struct {
 	Service string
 	// Weight is relative to the sum of all weights of the route.
@@ -54,23 +54,23 @@
 	Kind   Kind
 	Shares []Share
 	// Timeout is the longest time that a request may be kept waiting; zero
-	// means that only the caller's deadline bounds it.
+	// means that only the caller's deadline applies.
 	Timeout time.Duration
-	// Target is the time to the answer, or to its first event, that counts
-	// as on time.
+	// Target is the target for the time to the response, or to its first event.
 	Target time.Duration
-	// MaxGap is the longest pause between two events that is still on time.
+	// MaxGap is the longest gap between two events that counts as on time.
 	MaxGap time.Duration
-	// CallerTimeout is the pause after which callers leave a stream; zero means that it
-	// is not known.
+	// CallerTimeout is the gap after which callers abandon a stream; zero means
+	// unknown.
 	CallerTimeout time.Duration
-	// Attempts is how many backend servers one request may be sent to.
+	// Attempts is the maximum number of backend servers that a request is sent
+	// to.
 	Attempts int
-	// Priority is the rank of the route; 0 is the highest.
+	// Priority is the priority of the route; 0 is the highest.
 	Priority int
 	// Public requests need no key.
 	Public bool
-	// Resumable streams may go on at another backend server.
+	// Resumable streams may continue on another backend server.
 	Resumable bool
 }
 
@@ -79,24 +79,24 @@
 	return r.Kind == Idempotent || r.Kind == Stream && r.Resumable
 }
 
-// ServiceFor returns the service of the share that a number drawn evenly from
-// [0, 1) falls into.
+// ServiceFor returns the service whose share contains draw, a random number
+// with uniform distribution over [0, 1).
 func (r *Route) ServiceFor(draw float64) string {
 	total := 0
 	for _, s := range r.Shares {
 		total += s.Weight
 	}
-	at := draw * float64(total)
+	remaining := draw * float64(total)
 	for _, s := range r.Shares {
-		at -= float64(s.Weight)
-		if at < 0 {
+		remaining -= float64(s.Weight)
+		if remaining < 0 {
 			return s.Service
 		}
 	}
 	return r.Shares[len(r.Shares)-1].Service
 }
 
-// Team is a team with its rank.
+// Team is a team with its keys and its priority.
 type Team struct {
 	Name string
 	Keys []string
@@ -104,16 +104,16 @@
 	Priority int
 }
 
-// Limits bound what callers may send.
+// Limits bounds what callers may send.
 type Limits struct {
-	// HeaderBytes and BodyBytes bound a request's header and body.
+	// HeaderBytes and BodyBytes bound the size of a request's header and body.
 	HeaderBytes, BodyBytes int
-	// HeaderTime bounds how long a caller may take to send a header, and Idle
-	// how long it may leave a connection unused.
+	// HeaderTime bounds the time that a caller takes to send a header, and Idle
+	// the time that it may leave a connection unused.
 	HeaderTime, Idle time.Duration
 }
 
-// Table is one configuration.
+// Table is one version of the configuration.
 type Table struct {
 	Version  uint64
 	Routes   []Route
@@ -125,7 +125,7 @@
 	byKey  map[string]*Team
 }
 
-// Index prepares the table for lookups. It is called once, before the table is
+// Index builds the lookup tables. It must be called once, before the table is
 // shared.
 func (t *Table) Index() {
 	t.byHost = map[string][]*Route{}
@@ -145,8 +145,8 @@
 	}
 }
 
-// Match returns the route of the host with the longest prefix that begins the
-// path, or nil.
+// Match returns the route of the host with the longest prefix of the path, or
+// nil.
 func (t *Table) Match(host, path string) *Route {
 	host = strings.ToLower(host)
 	routes, known := t.byHost[host]
--- a/parts/route/route_test.go
+++ b/parts/route/route_test.go
@@ -24,7 +24,7 @@
 	// <nil>
 }
 
-func TestPickByWeight(t *testing.T) {
+func TestServiceForWeights(t *testing.T) {
 	r := &route.Route{Shares: []route.Share{{Service: "old", Weight: 90}, {Service: "new", Weight: 10}}}
 	qt.Assert(t, r.ServiceFor(0), qt.Equals, "old")
 	qt.Assert(t, r.ServiceFor(0.89), qt.Equals, "old")
@@ -32,7 +32,7 @@
 	qt.Assert(t, r.ServiceFor(0.9999), qt.Equals, "new")
 }
 
-func TestKeys(t *testing.T) {
+func TestTeamKeys(t *testing.T) {
 	table := &route.Table{Teams: []route.Team{{Name: "choir", Keys: []string{"k1", "k2"}}}}
 	table.Index()
 	qt.Assert(t, table.Team("k2").Name, qt.Equals, "choir")
