--- a/parts/mirror/mirror.go
+++ b/parts/mirror/mirror.go
@@ -1,13 +1,13 @@
-// Package mirror keeps a copy of objects of the platform's object API, fed by
-// watches of its own and by other entry hosts.
+// Package mirror keeps a copy of objects of the platform's object API, updated
+// by this entry host's own watches and by other entry hosts.
 //
-// All changes of the object API are numbered by one counter. The mirror of a
-// kind is complete through its cursor: it shows every change of the kind up to
-// that revision. So what another entry host has seen after one's own cursor
-// can be taken over as if it had come from the object API, in any order and
-// more than once; a change that is not newer than the cursor is old news. An
-// entry host whose path to the object API is silent learns of configuration,
-// and of backend servers that leave, through any other that is not.
+// A single counter numbers all changes of the object API. The mirror of a kind
+// is complete up to its cursor: it reflects every change of the kind up to that
+// revision. So changes after the cursor that another entry host has seen can be
+// merged as if they had come from the object API, in any order and more than
+// once; changes up to the cursor are ignored. An entry host that has lost its
+// connection to the object API learns of configuration changes and of leaving
+// backend servers through any entry host that has not.
 package mirror
 
 import (
@@ -16,50 +16,52 @@
 	"sync"
 )
 
-// Object is the newest known state of an object.
+// Object is the latest known state of an object.
 type Object struct {
 	Name string
-	// Revision is that of its last change.
+	// Revision is the revision of its last change.
 	Revision uint64
-	// Deleted says that it is gone.
+	// Deleted reports whether the object has been deleted.
 	Deleted bool
-	// Spec is what its owner wrote, in the codec of the object API.
+	// Spec is the content written by its owner, in the encoding of the object
+	// API.
 	Spec []byte
 }
 
-// Batch holds all changes of a kind after one revision, up to another.
+// Batch holds all changes of a kind in a range of revisions.
 type Batch struct {
 	Kind string
-	// After and Cursor bound the changes: those after After up to Cursor.
+	// After and Cursor bound the changes: those with revisions above After, up
+	// to Cursor.
 	After, Cursor uint64
 	Items         []Object
 }
 
-// maxGone bounds the deletions that are remembered for others. One that needs
-// an older one gets everything.
-const maxGone = 4096
+// maxDeletions bounds the remembered deletions. A mirror that needs an older
+// one gets a complete list.
+const maxDeletions = 4096
 
 // Mirror is the copy of one kind. The zero value is empty.
 type Mirror struct {
 	Kind string
 
-	mu     sync.Mutex
-	cursor uint64
-	items  map[string]Object
-	gone   []Object
-	// goneFrom is the revision after which all deletions are remembered.
-	goneFrom uint64
+	mu        sync.Mutex
+	cursor    uint64
+	items     map[string]Object
+	deletions []Object
+	// deletionsAfter is the revision after which all deletions are remembered.
+	deletionsAfter uint64
 }
 
 // Cursor returns the revision up to which the mirror is complete; zero means
-// that nothing is known.
+// that it is empty.
 func (m *Mirror) Cursor() uint64 {
 	m.mu.Lock()
 	defer m.mu.Unlock()
 	return m.cursor
 }
 
-// Items returns the objects that exist, ordered by name.
+// Items returns the existing objects, ordered by name.
 func (m *Mirror) Items() []Object {
 	m.mu.Lock()
 	defer m.mu.Unlock()
@@ -71,34 +73,34 @@
 	return list
 }
 
-// Replace takes a complete list of the objects as of a revision. It returns
-// the names of objects that were dropped because the list lacks them, and
-// whether it was newer than what is known.
+// Replace replaces all objects by a complete list as of a revision, unless the
+// list is not newer than the mirror. It returns the names of objects that are
+// missing from the list, and whether the list was newer.
 func (m *Mirror) Replace(items []Object, cursor uint64) (dropped []string, newer bool) {
 	m.mu.Lock()
 	defer m.mu.Unlock()
 	if cursor < m.cursor || cursor == m.cursor && m.items != nil {
 		return nil, false
 	}
-	fresh := make(map[string]Object, len(items))
+	objects := make(map[string]Object, len(items))
 	for _, item := range items {
-		fresh[item.Name] = item
+		objects[item.Name] = item
 	}
 	for name := range m.items {
-		if _, kept := fresh[name]; !kept {
+		if _, exists := objects[name]; !exists {
 			dropped = append(dropped, name)
 		}
 	}
-	m.items = fresh
+	m.items = objects
 	m.cursor = cursor
-	m.gone = nil
-	m.goneFrom = cursor
+	m.deletions = nil
+	m.deletionsAfter = cursor
 	slices.Sort(dropped)
 	return dropped, true
 }
 
-// Merge takes changes. It reports whether they changed anything; changes that
-// begin after the cursor leave a gap and are not taken.
+// Merge applies a batch of changes and reports whether any object changed. A
+// batch that begins after the cursor would leave a gap and is ignored.
 func (m *Mirror) Merge(b Batch) (changed bool) {
 	m.mu.Lock()
 	defer m.mu.Unlock()
@@ -109,13 +111,13 @@
 		if item.Revision <= m.cursor {
 			continue
 		}
-		changed = m.take(item) || changed
+		changed = m.apply(item) || changed
 	}
 	m.cursor = b.Cursor
 	return changed
 }
 
-func (m *Mirror) take(item Object) bool {
+func (m *Mirror) apply(item Object) bool {
 	known, exists := m.items[item.Name]
 	if exists && known.Revision >= item.Revision {
 		return false
@@ -125,37 +127,37 @@
 		return true
 	}
 	delete(m.items, item.Name)
-	m.gone = append(m.gone, item)
-	if len(m.gone) > maxGone {
-		m.goneFrom = m.gone[0].Revision
-		m.gone = m.gone[1:]
+	m.deletions = append(m.deletions, item)
+	if len(m.deletions) > maxDeletions {
+		m.deletionsAfter = m.deletions[0].Revision
+		m.deletions = m.deletions[1:]
 	}
 	return exists
 }
 
-// Since returns what another that is complete through the given revision
-// lacks. Whole says that the batch is a complete list, because deletions since
-// then are not remembered.
-func (m *Mirror) Since(after uint64) (b Batch, whole bool) {
+// Since returns the changes that a mirror lacks which is complete up to the
+// given revision. Complete reports that the batch is a complete list, because
+// not all deletions since that revision are remembered.
+func (m *Mirror) Since(after uint64) (b Batch, complete bool) {
 	m.mu.Lock()
 	defer m.mu.Unlock()
 	b = Batch{Kind: m.Kind, After: after, Cursor: m.cursor}
 	if m.items == nil || after >= m.cursor {
 		return b, false
 	}
-	whole = after < m.goneFrom
-	if whole {
+	complete = after < m.deletionsAfter
+	if complete {
 		b.After = 0
 	}
 	for _, item := range m.items {
-		if whole || item.Revision > after {
+		if complete || item.Revision > after {
 			b.Items = append(b.Items, item)
 		}
 	}
-	if whole {
+	if complete {
 		return b, true
 	}
-	for _, item := range m.gone {
+	for _, item := range m.deletions {
 		if item.Revision > after {
 			b.Items = append(b.Items, item)
 		}
