--- a/parts/fault/error.go
+++ b/parts/fault/error.go
@@ -7,10 +7,10 @@
 	"time"
 )
 
-// Code names the kind of an error. It is part of the callers' interface.
+// Code identifies the kind of an error. It is part of the API for callers.
 type Code string
 
-// The codes.
+// The error codes.
 const (
 	BadRequest    Code = "bad-request"
 	TooLarge      Code = "too-large"
@@ -38,23 +38,24 @@
 
 // Error is an error on the request path.
 type Error struct {
-	// Code names the kind of the error.
+	// Code is the kind of the error.
 	Code Code
 	// Verdict says whether the request may have run.
 	Verdict Verdict
-	// Message tells a person what went wrong.
+	// Message describes the error to a person.
 	Message string
-	// Field names the faulty field of the input, if there is one.
+	// Field is the name of the invalid input field, if any.
 	Field string
-	// Server names the backend server that the error came from, if any.
+	// Server is the name of the backend server that caused the error, if any.
 	Server string
-	// RetryAfter is when coming back helps; zero means that it does not.
+	// RetryAfter is the time after which a retry may succeed; zero means that a
+	// retry does not help.
 	RetryAfter time.Duration
-	// Cause is the error underneath, if any.
+	// Cause is the underlying error, if any.
 	Cause error
 }
 
-// Error returns the code, the field and the message in one line.
+// Error returns the code, the field, the message and the cause in one line.
 func (e *Error) Error() string {
 	var b strings.Builder
 	b.WriteString(string(e.Code))
@@ -78,7 +79,7 @@
 	return e.Cause
 }
 
-// As returns err as an *Error. Any other error becomes Internal and
+// As returns err as an *Error. Any other error becomes Internal with verdict
 // MayHaveRun, since nothing is known about it.
 func As(err error) *Error {
 	if err == nil {
--- a/parts/fault/example_test.go
+++ b/parts/fault/example_test.go
@@ -7,7 +7,7 @@
 	"fuchsiashelf.dev/parts/fault"
 )
 
-// A request is NotRun only if each of its attempts is.
+// A request is NotRun only if all of its attempts are.
 func ExampleVerdict_Weaken() {
 	refused := fault.NotRun
 	lost := fault.MayHaveRun
@@ -20,7 +20,8 @@
 	// ran
 }
 
-// Nothing is known of an error from elsewhere, so it promises nothing.
+// Nothing is known about an error of another package, so its verdict is
+// MayHaveRun.
 func ExampleAs() {
 	e := fault.As(errors.New("connection reset"))
 	fmt.Println(e.Code, e.Verdict, e.Status())
--- a/parts/fault/verdict.go
+++ b/parts/fault/verdict.go
@@ -1,10 +1,9 @@
-// Package fault holds the errors of the request path.
+// Package fault defines the errors of the request path.
 //
-// Every error carries a [Verdict], which says whether the request it belongs
-// to may have run on a backend server. A verdict starts as [NotRun] and only
-// ever weakens: once the first byte of a request could have left for a
-// backend server, nothing turns it back into [NotRun] but the backend
-// server's own word.
+// Every error carries a [Verdict], which says whether the request may have run
+// on a backend server. A verdict starts as [NotRun] and only weakens: once the
+// first byte of a request could have been sent to a backend server, only a
+// reply of that backend server can make it [NotRun] again.
 package fault
 
 import "fmt"
@@ -12,10 +11,10 @@
 // Verdict says whether a request may have run on a backend server.
 type Verdict uint8
 
-// The verdicts, from the strongest refusal to a known run. The zero value is
-// MayHaveRun, so that a forgotten verdict promises nothing.
+// The verdicts. The zero value is MayHaveRun, so that an unset verdict promises
+// nothing.
 const (
-	// MayHaveRun means that the request left for a backend server and its
+	// MayHaveRun means that the request was sent to a backend server and its
 	// outcome is unknown.
 	MayHaveRun Verdict = iota
 	// NotRun means that no backend server has run or will run the request.
@@ -24,10 +23,10 @@
 	Ran
 )
 
-// Header is the HTTP header in which a caller sees the verdict.
+// Header is the HTTP header that reports the verdict to a caller.
 const Header = "Fuchsia-Verdict"
 
-// String returns the wire form: not-run, may-have-run or ran.
+// String returns the wire format: not-run, may-have-run or ran.
 func (v Verdict) String() string {
 	switch v {
 	case NotRun:
@@ -40,12 +39,13 @@
 	return "may-have-run"
 }
 
-// MarshalText returns the wire form.
+// MarshalText implements encoding.TextMarshaler.
 func (v Verdict) MarshalText() ([]byte, error) {
 	return []byte(v.String()), nil
 }
 
-// UnmarshalText reads the wire form. It fails on any other text.
+// UnmarshalText implements encoding.TextUnmarshaler. It fails on any unknown
+// text.
 func (v *Verdict) UnmarshalText(text []byte) error {
 	for _, known := range []Verdict{MayHaveRun, NotRun, Ran} {
 		if known.String() == string(text) {
@@ -56,8 +56,8 @@
 	return fmt.Errorf("fault: unknown verdict %q", text)
 }
 
-// Weaken joins the verdicts of two attempts of one request. The request is
-// NotRun only if both attempts are, and Ran as soon as either is.
+// Weaken combines the verdicts of two attempts of one request. The result is
+// NotRun only if both are, and Ran if either is.
 func (v Verdict) Weaken(other Verdict) Verdict {
 	if v == Ran || other == Ran {
 		return Ran
