--- a/parts/host/host.go
+++ b/parts/host/host.go
@@ -1,14 +1,14 @@
-// Package host models the platform's host list: which hosts there are, what
-// runs on each, and which are leaving. The list lags behind the truth, so a
-// host that it calls live may be gone.
+// Package host models the platform's host list: which hosts exist, what runs on
+// each, and which are leaving. The list lags behind reality, so a host that it
+// shows as live may be gone.
 package host
 
 import "fuchsiashelf.dev/parts/domain"
 
-// State is what the platform says about a host.
+// State is the state of a host according to the platform.
 type State string
 
-// The states of a host. A host that is gone is not listed at all.
+// The states of a host. A host that is gone is not listed.
 const (
 	Live    State = "live"
 	Leaving State = "leaving"
@@ -27,12 +27,12 @@
 	Plain Role = "plain"
 )
 
-// Host is one line of the host list.
+// Host is one entry of the host list.
 type Host struct {
-	// Name is unique over all regions.
+	// Name is unique across all regions.
 	Name string `json:"name"`
-	// Address is host:port of what runs there; for an entry host it is the
-	// peers' address.
+	// Address is the host:port of what runs on the host; for an entry host,
+	// that of its listener for peers.
 	Address string `json:"address"`
 	// Domain is the failure domain that the host is in.
 	Domain domain.Name `json:"domain"`
@@ -40,7 +40,7 @@
 	Role Role `json:"role"`
 	// State is Live or Leaving.
 	State State `json:"state"`
-	// Kind names the kind of accelerator of an engine.
+	// Kind is the kind of accelerator of an engine.
 	Kind string `json:"kind,omitempty"`
 	// Model is the model whose layers an engine holds.
 	Model string `json:"model,omitempty"`
@@ -48,8 +48,8 @@
 	First int `json:"first,omitempty"`
 	// End is one past the last layer that an engine holds.
 	End int `json:"end,omitempty"`
-	// Fencing says that the engine refuses an order whose fencing number is
-	// older than one it has seen.
+	// Fencing reports whether the engine refuses an order whose fencing number
+	// is lower than one it has seen.
 	Fencing bool `json:"fencing,omitempty"`
 }
 
