--- a/parts/team/team.go
+++ b/parts/team/team.go
@@ -1,6 +1,6 @@
-// Package team models the teams that call the system. Teams are provisioned
-// by the users' own engineers in one object of the object API; the operators'
-// language does not reach them.
+// Package team models the teams that call the system. The users' engineers
+// provision the teams in one object of the object API; the operators' command
+// language cannot change them.
 package team
 
 import (
@@ -11,47 +11,47 @@
 	"fuchsiashelf.dev/parts/quota"
 )
 
-// Team is one caller of the system.
+// Team is a customer: a caller with a token and a quota.
 type Team struct {
 	// Name is unique among teams.
 	Name string `json:"name"`
-	// TokenHash is the SHA-256 of the bearer token, in lower-case hex. The
-	// token itself is kept nowhere.
+	// TokenHash is the SHA-256 of the bearer token in lower-case hex. The token
+	// itself is not stored anywhere.
 	TokenHash string `json:"tokenHash"`
-	// Quota is the team's contract.
+	// Quota is the team's quota.
 	Quota quota.Quota `json:"deal"`
 }
 
-// Directory holds all teams at one version of their object.
+// Directory holds all teams at one version of the teams object.
 type Directory struct {
-	// Version is the version of the object that the book was read from.
+	// Version is the version of the object that the directory was read from.
 	Version uint64 `json:"-"`
-	// Teams are in no particular order.
+	// Teams holds the teams in no particular order.
 	Teams []Team `json:"teams"`
 }
 
-// HashToken returns the form in which a bearer token is kept.
+// HashToken returns the hash under which a bearer token is stored.
 func HashToken(token string) string {
 	sum := sha256.Sum256([]byte(token))
 	return hex.EncodeToString(sum[:])
 }
 
 // ByToken returns the team that a bearer token belongs to. It compares with all
-// teams in constant time, so that the time taken tells nothing about how much
-// of a guessed token was right.
-func (b *Directory) ByToken(token string) (Team, bool) {
-	if b == nil {
+// teams in constant time, so that the duration does not reveal how much of a
+// guessed token was right.
+func (d *Directory) ByToken(token string) (Team, bool) {
+	if d == nil {
 		return Team{}, false
 	}
-	want := []byte(HashToken(token))
+	hash := []byte(HashToken(token))
 	found := -1
-	for i := range b.Teams {
-		if subtle.ConstantTimeCompare(want, []byte(b.Teams[i].TokenHash)) == 1 {
+	for i := range d.Teams {
+		if subtle.ConstantTimeCompare(hash, []byte(d.Teams[i].TokenHash)) == 1 {
 			found = i
 		}
 	}
 	if found < 0 {
 		return Team{}, false
 	}
-	return b.Teams[found], true
+	return d.Teams[found], true
 }
