--- a/parts/pool/pool.go
+++ b/parts/pool/pool.go
@@ -2,7 +2,7 @@
 // model, or one plain service.
 package pool
 
-// Pool is a set of backend servers. Data only; it is never changed in place.
+// Pool is a set of backend servers. It is never changed in place.
 type Pool struct {
 	// Name is unique among pools.
 	Name string `json:"name"`
@@ -10,13 +10,13 @@
 	Model string `json:"model,omitempty"`
 	// Layers is the number of layers of the model; zero for a plain pool.
 	Layers int `json:"layers,omitempty"`
-	// Servers are names of backend servers, sorted.
+	// Servers holds the names of the backend servers, sorted.
 	Servers []string `json:"servers"`
 	// Revision is the configuration revision that last changed the pool.
 	Revision uint64 `json:"revision"`
 }
 
-// IsPlain reports whether the pool serves a plain service.
+// IsPlain reports whether the pool serves plain services.
 func (p Pool) IsPlain() bool {
 	return p.Model == ""
 }
