--- a/parts/link/link.go
+++ b/parts/link/link.go
@@ -1,6 +1,6 @@
-// Package link models the links between backend servers. Their delays differ
-// a hundredfold and change without warning, so a delay is always a
-// measurement and never a setting.
+// Package link measures the links between backend servers. Their delays differ
+// by a factor of a hundred and change without warning, so a delay is always
+// measured and never configured.
 package link
 
 import (
@@ -10,40 +10,42 @@
 	"fuchsiashelf.dev/parts/health"
 )
 
-// Meter holds the measured one-way delay of one link. It survives changes of
-// the snapshot, and the request path updates it without locks.
+// Meter holds the measured one-way delay of one link. It outlives snapshots,
+// and the request path updates it without locks.
 type Meter struct {
-	// Delay is the one-way delay, compared with its own past.
+	// Delay is the trend of the one-way delay, relative to its own history.
 	Delay health.Trend
-	// AvoidUntil is until when the link is used only if there is no other, in
-	// Unix nanoseconds.
+	// AvoidUntil is the time until which the link is used only if there is no
+	// other, in Unix nanoseconds.
 	AvoidUntil atomic.Int64
-	// failures counts failures in a row since the last token.
+	// failures counts the consecutive failures since the last token.
 	failures atomic.Int64
 }
 
-// Observe folds in the delay that one token met.
-func (m *Meter) Observe(d time.Duration) {
-	m.Delay.Observe(d)
+// Observe records the delay of one token.
+func (m *Meter) Observe(delay time.Duration) {
+	m.Delay.Observe(delay)
 	if m.failures.Load() != 0 {
 		m.failures.Store(0)
 	}
 }
 
-// failFor is how long a link is avoided after its first failure. To find out
-// that it still swallows everything costs a request a second or more, so it
-// is longer than for a server, whose death shows at once.
-const failFor = 5 * time.Second
+// baseAvoidTime is how long a link is avoided after its first failure.
+// Detecting that a link still drops everything costs a request at least a
+// second, so the time is longer than for a server, whose crash shows at once.
+const baseAvoidTime = 5 * time.Second
 
-// maxDoublings bounds the time that a link is avoided, at some minutes.
+// maxDoublings bounds the time that a link is avoided to a few minutes.
 const maxDoublings = 6
 
-// RecordFailure has the link avoided, for twice as long with each failure in a row.
+// RecordFailure marks the link as avoided, for twice as long with each
+// consecutive failure.
 func (m *Meter) RecordFailure(now time.Time) {
-	m.Avoid(now.Add(failFor << min(m.failures.Add(1)-1, maxDoublings)))
+	m.Avoid(now.Add(baseAvoidTime << min(m.failures.Add(1)-1, maxDoublings)))
 }
 
-// Avoid keeps requests off the link until the given time, if they can.
+// Avoid keeps requests off the link until the given time, unless there is no
+// other.
 func (m *Meter) Avoid(until time.Time) {
 	m.AvoidUntil.Store(until.UnixNano())
 }
