--- a/parts/order/order.go
+++ b/parts/order/order.go
@@ -1,11 +1,11 @@
-// Package order decides which orders the engines are due.
+// Package order plans the orders that engines are to get.
 //
-// An engine whose planned stop has begun is told to drain, so that it takes
-// no new work from anyone else either; one whose stop was taken back is told
-// to load again. The engines that may have been told to drain are noted in the
-// lease before they are: a holder that is gone right after the order would
-// otherwise leave an engine drained that nobody tells to load. A successor
-// orders them once more, which changes nothing.
+// An engine whose planned stop has begun is told to drain, so that it takes no
+// new work from any other client either; one whose stop was taken back is told
+// to load again. Engines are recorded in the lease before they are told to
+// drain: if the holder of the lease failed right after the order, an engine
+// would otherwise stay drained with nobody to tell it to load. The next holder
+// repeats the order, which is idempotent.
 package order
 
 import (
@@ -16,50 +16,51 @@
 	"fuchsiashelf.dev/parts/host"
 )
 
-// The orders.
+// The kinds of orders.
 const (
 	Drain = "drain"
 	Load  = "load"
 )
 
-// Pending is one order for one engine.
+// Pending is one order to be sent to one engine.
 type Pending struct {
 	// Kind is Drain or Load.
 	Kind string
+	// Host is the engine that gets the order.
 	Host host.Host
 }
 
-// Plan returns the orders that are due, by name of the engine. Noted are the
-// engines that may have been told to drain and not to load since; ordered are
-// those that this holder told itself.
-func Plan(c *conf.Config, hosts map[string]host.Host, noted, ordered []string, now time.Time) []Pending {
-	var due []Pending
+// Plan returns the pending orders, sorted by the name of the engine. Recorded
+// holds the engines that may have been told to drain and not to load since;
+// ordered holds those that this holder of the lease has told to drain itself.
+func Plan(c *conf.Config, hosts map[string]host.Host, recorded, ordered []string, now time.Time) []Pending {
+	var pending []Pending
 	if c == nil {
 		return nil
 	}
 	for name, stop := range c.Stops {
 		h, listed := hosts[name]
 		if listed && h.Role == host.Engine && stop.Begun(now) && !slices.Contains(ordered, name) {
-			due = append(due, Pending{Drain, h})
+			pending = append(pending, Pending{Drain, h})
 		}
 	}
-	for _, name := range noted {
+	for _, name := range recorded {
 		h, listed := hosts[name]
 		stop, stopped := c.Stops[name]
 		if listed && (!stopped || !stop.Begun(now)) {
-			due = append(due, Pending{Load, h})
+			pending = append(pending, Pending{Load, h})
 		}
 	}
-	slices.SortFunc(due, func(a, b Pending) int {
+	slices.SortFunc(pending, func(a, b Pending) int {
 		if a.Host.Name < b.Host.Name {
 			return -1
 		}
 		return 1
 	})
-	return due
+	return pending
 }
 
-// Insert returns a list of names, sorted, with one more.
+// Insert returns a sorted list of names with one name added.
 func Insert(names []string, name string) []string {
 	if slices.Contains(names, name) {
 		return names
@@ -69,13 +70,13 @@
 	return next
 }
 
-// Remove returns a list of names without one.
+// Remove returns a list of names with one name removed.
 func Remove(names []string, name string) []string {
 	return slices.DeleteFunc(slices.Clone(names), func(n string) bool { return n == name })
 }
 
-// FilterListed returns the names that the host list has: a host that comes back
-// under a name is a new one.
+// FilterListed returns the names that are in the host list: a host that comes
+// back under the same name is a new one.
 func FilterListed(names []string, hosts map[string]host.Host) []string {
 	return slices.DeleteFunc(slices.Clone(names), func(name string) bool {
 		_, listed := hosts[name]
