--- a/parts/store/client_test.go
+++ b/parts/store/client_test.go
@@ -13,10 +13,10 @@
 	"fuchsiashelf.dev/parts/store"
 )
 
-// A write takes effect, and what stands before the platform's service loses
-// its answer and sends an error status of its own. An operator who is told
-// that nothing was changed would give the line again, and find it in force.
-func TestStatusOfWriteDecidesVerdict(t *testing.T) {
+// Guards against a write that took effect but is reported as refused because a
+// proxy in front of the platform's service lost the reply and sent an error
+// status of its own.
+func TestWriteVerdictByStatus(t *testing.T) {
 	for _, test := range []struct {
 		status int
 		code   fault.Code
@@ -42,8 +42,8 @@
 	}
 }
 
-// Nothing listens at the address: no write can have left.
-func TestNoConnectionMeansNotRun(t *testing.T) {
+// If nothing listens at the address, no write can have been sent.
+func TestConnectionRefusedIsNotRun(t *testing.T) {
 	server := httptest.NewServer(nil)
 	client := &store.Client{Address: strings.TrimPrefix(server.URL, "http://")}
 	server.Close()
