--- a/parts/logs/bench_test.go
+++ b/parts/logs/bench_test.go
@@ -9,24 +9,24 @@
 	"fuchsiashelf.dev/parts/logs"
 )
 
-// The line that each request ends with, at a rate at which the limit a second
-// leaves nearly all of them out: 0.8 us and 1 allocation a line on an eight-core
-// machine beside other work.
-func BenchmarkBoundedLine(b *testing.B) {
+// The line that ends each request, logged fast enough that nearly all lines
+// exceed the limit per second: about 0.8 us and 1 allocation per line on an
+// eight-core machine under other load.
+func BenchmarkLimitedLine(b *testing.B) {
 	w := &logs.Writer{Out: io.Discard}
 	go w.Run(b.Context())
-	line(b, logs.New(w))
+	benchmarkLine(b, logs.New(w))
 }
 
-// The same without the limit, which is what a line costs that is written: 2.5 us
-// and 2 allocations.
+// The same line without the limit, which is the cost of a line that is written:
+// about 2.5 us and 2 allocations.
 func BenchmarkWrittenLine(b *testing.B) {
 	w := &logs.Writer{Out: io.Discard}
 	go w.Run(b.Context())
-	line(b, slog.New(slog.NewJSONHandler(w, nil)))
+	benchmarkLine(b, slog.New(slog.NewJSONHandler(w, nil)))
 }
 
-func line(b *testing.B, log *slog.Logger) {
+func benchmarkLine(b *testing.B, log *slog.Logger) {
 	b.ReportAllocs()
 	for b.Loop() {
 		log.Info("request: answered", "status", 200, "took", 3737*time.Millisecond, "first", 51*time.Millisecond,
--- a/parts/logs/logs.go
+++ b/parts/logs/logs.go
@@ -1,10 +1,11 @@
-// Package logs writes structured logs that never slow a request.
+// Package logs writes structured logs without delaying requests.
 //
 // Lines are JSON objects of log/slog. They go into a bounded queue, and one
-// goroutine writes them out. A full queue, because nobody reads standard
-// output, drops lines and counts them; so does a limit a second on the lines
-// of one kind, so that a fault which hits every request leaves the log
-// readable. Dropped lines are told in the log as soon as there is room.
+// goroutine writes them out. If the queue is full because nobody reads standard
+// output, lines are dropped and counted. The lines with the same message are
+// also limited per second, so that a fault which affects every request leaves
+// the log readable; the next line of that message reports how many were
+// skipped.
 package logs
 
 import (
@@ -16,16 +17,18 @@
 	"time"
 )
 
-// The bounds of a log.
+// The limits of a log.
 const (
-	// queued lines wait for standard output at most, some 300 bytes each.
-	queued = 2048
-	// perSecond lines of one message are written. At some 3 us a line, 20
-	// kinds of lines at their limit take under a hundredth of a core.
-	perSecond = 100
+	// queueLength is the maximum number of lines that wait for standard output,
+	// about 300 bytes each.
+	queueLength = 2048
+	// maxLinesPerSecond limits the lines with the same message. At about 3 us
+	// per line, 20 messages at their limit take less than a hundredth of a
+	// core.
+	maxLinesPerSecond = 100
 )
 
-// Writer is the queue in front of an output. Set Out before Run.
+// Writer queues lines for an output. Set Out before Run.
 type Writer struct {
 	Out io.Writer
 
@@ -37,7 +40,7 @@
 
 func (w *Writer) init() {
 	w.once.Do(func() {
-		w.lines = make(chan []byte, queued)
+		w.lines = make(chan []byte, queueLength)
 		w.done = make(chan struct{})
 	})
 }
@@ -53,81 +56,83 @@
 	return len(line), nil
 }
 
-// Dropped returns how many lines found the queue full.
+// Dropped returns the number of lines that were lost because the queue was full
+// or the output failed.
 func (w *Writer) Dropped() int64 {
 	return w.dropped.Load()
 }
 
-// Run writes lines out until the context ends and the queue is empty.
+// Run writes out lines until the context ends and the queue is empty.
 func (w *Writer) Run(ctx context.Context) {
 	w.init()
 	defer close(w.done)
 	for {
 		select {
 		case line := <-w.lines:
-			w.out(line)
+			w.writeOut(line)
 		case <-ctx.Done():
-			w.rest()
+			w.flush()
 			return
 		}
 	}
 }
 
-// rest writes what is queued at the end.
-func (w *Writer) rest() {
+// flush writes out the lines that are still queued at the end.
+func (w *Writer) flush() {
 	for {
 		select {
 		case line := <-w.lines:
-			w.out(line)
+			w.writeOut(line)
 		default:
 			return
 		}
 	}
 }
 
-// out writes one line. An output that fails has nobody to tell.
-func (w *Writer) out(line []byte) {
+// writeOut writes one line. An error of the output cannot be reported, so the
+// line is counted as dropped.
+func (w *Writer) writeOut(line []byte) {
 	if _, err := w.Out.Write(line); err != nil {
 		w.dropped.Add(1)
 	}
 }
 
-// Done is closed when Run has written the last line.
+// Done returns a channel that is closed once Run has written the last line.
 func (w *Writer) Done() <-chan struct{} {
 	w.init()
 	return w.done
 }
 
-// Limiter bounds the lines of each message to a number a second. Further ones
-// are counted, and the count goes into the next line of the same message.
+// Limiter limits the lines with the same message per second. Further lines are
+// skipped and counted, and the next line with that message reports the count.
 type Limiter struct {
 	slog.Handler
 	counts *sync.Map
 }
 
-// New returns a logger to the writer.
+// New returns a logger that writes to w, limited by a Limiter.
 func New(w *Writer) *slog.Logger {
 	return slog.New(&Limiter{Handler: slog.NewJSONHandler(w, nil), counts: &sync.Map{}})
 }
 
-type count struct {
+type messageCount struct {
 	second  atomic.Int64
 	lines   atomic.Int64
 	skipped atomic.Int64
 }
 
-// Handle implements slog.Handler.
+// Handle implements slog.Handler. Errors are never skipped.
 func (h *Limiter) Handle(ctx context.Context, r slog.Record) error {
 	found, ok := h.counts.Load(r.Message)
 	if !ok {
-		found, _ = h.counts.LoadOrStore(r.Message, &count{})
+		found, _ = h.counts.LoadOrStore(r.Message, &messageCount{})
 	}
-	c := found.(*count)
+	c := found.(*messageCount)
 	second := r.Time.Truncate(time.Second).Unix()
 	if c.second.Swap(second) != second {
 		c.lines.Store(0)
 	}
-	if c.lines.Add(1) > perSecond && r.Level < slog.LevelError {
+	if c.lines.Add(1) > maxLinesPerSecond && r.Level < slog.LevelError {
 		c.skipped.Add(1)
 		return nil
 	}
--- a/parts/logs/logs_test.go
+++ b/parts/logs/logs_test.go
@@ -12,7 +12,7 @@
 	"fuchsiashelf.dev/parts/logs"
 )
 
-// buffer is an output that can be read while it is written to.
+// buffer is an output that is safe for concurrent writes.
 type buffer struct {
 	mu sync.Mutex
 	b  bytes.Buffer
@@ -24,9 +24,9 @@
 	return b.b.Write(line)
 }
 
-// Nobody reads standard output. A log that waited would hold up every request
-// that writes a line.
-func TestUnreadOutputHoldsNobodyUp(t *testing.T) {
+// Guards against requests that block on the log when nobody reads standard
+// output.
+func TestWriteNeverBlocks(t *testing.T) {
 	w := &logs.Writer{Out: &buffer{}}
 	const lines = 5000
 	for range lines {
@@ -38,9 +38,9 @@
 	qt.Assert(t, w.Dropped() < lines, qt.IsTrue)
 }
 
-// A fault hits every request, and each writes the same line. The log would
-// grow by megabytes a second and hide the line that tells the cause.
-func TestOneKindOfLineIsBounded(t *testing.T) {
+// Guards against a log that grows by megabytes a second and hides the cause
+// when a fault makes every request log the same line.
+func TestLinesPerMessageAreLimited(t *testing.T) {
 	out := &buffer{}
 	w := &logs.Writer{Out: out}
 	ctx, end := context.WithCancel(context.Background())
