--- a/parts/boot/boot.go
+++ b/parts/boot/boot.go
@@ -1,5 +1,5 @@
-// Package boot runs a program as a process: with its arguments and streams,
-// a context that ends with SIGTERM or SIGINT, and its exit status.
+// Package boot runs a program as a process: with its arguments and standard
+// streams, a context that ends on SIGTERM or SIGINT, and its exit status.
 package boot
 
 import (
@@ -11,19 +11,19 @@
 	"syscall"
 )
 
-// Version is the version of all programs; they are released together.
+// Version is the version of all programs, which are released together.
 const Version = "0.1.0"
 
-// The exit statuses of all programs, beside 0.
+// The exit statuses of all programs, besides 0.
 const (
-	// ExitFailed: the program ran and did not do what was asked.
+	// ExitFailed means that the program ran and did not do what was asked.
 	ExitFailed = 1
-	// ExitUsage: the settings are faulty, and nothing was done.
+	// ExitUsage means that the settings are invalid and nothing was done.
 	ExitUsage = 2
 )
 
-// PrintVersion prints name and version if the arguments ask for it, and reports
-// whether they do.
+// PrintVersion prints the name and the version if the arguments ask for them,
+// and reports whether they do.
 func PrintVersion(name string, args []string, stdout io.Writer) bool {
 	if len(args) != 1 || args[0] != "version" {
 		return false
@@ -32,8 +32,8 @@
 	return true
 }
 
-// Main is a program. It ends when the context does, and returns its exit
-// status.
+// Main is the main function of a program. It returns when the context ends or
+// the program is done, with the exit status.
 type Main func(ctx context.Context, args []string, stdin io.Reader, stdout, stderr io.Writer) int
 
 // Run runs a program and exits with its status.
