--- a/parts/certs/certs.go
+++ b/parts/certs/certs.go
@@ -1,14 +1,14 @@
-// Package certs makes the TLS settings of the system's own processes.
+// Package certs creates the TLS configurations of the processes of the system.
 //
 // One certificate authority, run by the users, signs a certificate for each
-// process. Both sides of a connection show theirs. A certificate carries a
-// role as its DNS name, [Entry] or [Desk], and not an address: hosts are
-// replaced all the time and talk by IP number. So whoever holds a desk's
-// certificate can give lines but cannot pose as an entry host.
+// process. Both sides of a connection present theirs. A certificate carries a
+// role, [Entry] or [Desk], as its DNS name rather than an address, since hosts
+// are replaced all the time and connect by IP address. So the holder of a desk
+// certificate can send commands but cannot impersonate an entry host.
 //
-// Without TLS the secrets of peers and operators cross the network in the
-// clear, and whoever reads them can change the configuration. Hosts keep no
-// files, so certificate and key come as PEM text, from the environment.
+// Without TLS, the secrets of peers and operators cross the network in clear
+// text, and anyone who reads them can change the configuration. Hosts store no
+// files, so the certificate and the key are PEM text from the environment.
 package certs
 
 import (
@@ -19,59 +19,62 @@
 	"fmt"
 )
 
-// Role is what a certificate says that a process is.
+// Role is the role of a process according to its certificate.
 type Role string
 
 // The roles.
 const (
 	// Entry is an entry host.
 	Entry Role = "entry"
-	// Desk is an operators' command line.
+	// Desk is the command line of an operator.
 	Desk Role = "desk"
 )
 
-// Bundle is what a process is given, as PEM text. An empty one means no TLS.
+// Bundle holds the certificate, the key and the authority of a process as PEM
+// text. An empty bundle means no TLS.
 type Bundle struct {
 	// Cert is the certificate of this process.
 	Cert string
-	// Key is the private key that belongs to it. It is never logged.
+	// Key is the private key of the certificate. It is never logged.
 	Key string
-	// CA is the certificate of the authority that signs all of them.
+	// CA is the certificate of the authority that signs the certificates of all
+	// processes.
 	CA string
 }
 
-// Flags binds the bundle to flags.
+// Flags registers flags that set the bundle.
 func (b *Bundle) Flags(fs *flag.FlagSet) {
 	fs.StringVar(&b.Cert, "tls-cert", "", "certificate of this process, as PEM text; empty for no TLS")
 	fs.StringVar(&b.Key, "tls-key", "", "private key of the certificate, as PEM text")
 	fs.StringVar(&b.CA, "tls-ca", "", "certificate of the authority, as PEM text")
 }
 
-// Empty reports whether TLS is off.
+// Empty reports whether the bundle is empty, which means no TLS.
 func (b *Bundle) Empty() bool {
 	return *b == Bundle{}
 }
 
-// Check returns all faults of the bundle at once, each with its flag.
+// Check validates the bundle for a process with the role. It returns all errors
+// at once, each with the name of its flag.
 func (b *Bundle) Check(role Role) error {
 	if b.Empty() {
 		return nil
 	}
-	var faults []error
+	var errs []error
 	if b.Cert == "" || b.Key == "" || b.CA == "" {
 		return errors.New("-tls-cert, -tls-key, -tls-ca: want all three or none")
 	}
 	pair, err := tls.X509KeyPair([]byte(b.Cert), []byte(b.Key))
 	switch {
 	case err != nil:
-		faults = append(faults, fmt.Errorf("-tls-cert, -tls-key: %w", err))
+		errs = append(errs, fmt.Errorf("-tls-cert, -tls-key: %w", err))
 	case pair.Leaf.VerifyHostname(string(role)) != nil:
-		faults = append(faults, fmt.Errorf("-tls-cert: has no DNS name %q", role))
+		errs = append(errs, fmt.Errorf("-tls-cert: has no DNS name %q", role))
 	}
 	if _, err := b.pool(); err != nil {
-		faults = append(faults, err)
+		errs = append(errs, err)
 	}
-	return errors.Join(faults...)
+	return errors.Join(errs...)
 }
 
 func (b *Bundle) pool() (*x509.CertPool, error) {
@@ -82,21 +85,22 @@
 	return pool, nil
 }
 
-// Server returns the settings of a listener that takes connections from one
-// role alone; nil without TLS.
-func (b *Bundle) Server(from Role) (*tls.Config, error) {
+// Server returns the TLS configuration of a listener that accepts connections
+// from one role only; nil without TLS.
+func (b *Bundle) Server(clientRole Role) (*tls.Config, error) {
 	config, err := b.config()
 	if config == nil || err != nil {
 		return nil, err
 	}
 	config.ClientAuth = tls.RequireAndVerifyClientCert
 	config.VerifyConnection = func(state tls.ConnectionState) error {
-		return state.PeerCertificates[0].VerifyHostname(string(from))
+		return state.PeerCertificates[0].VerifyHostname(string(clientRole))
 	}
 	return config, nil
 }
 
-// Client returns the settings of connections to entry hosts; nil without TLS.
+// Client returns the TLS configuration of connections to entry hosts; nil
+// without TLS.
 func (b *Bundle) Client() (*tls.Config, error) {
 	config, err := b.config()
 	if config == nil || err != nil {
--- a/parts/certs/certs_test.go
+++ b/parts/certs/certs_test.go
@@ -19,9 +19,9 @@
 	return b
 }
 
-// talk connects to an entry host's listener for one role and returns whether
-// a byte came through.
-func talk(t *testing.T, server certs.Bundle, from certs.Role, client certs.Bundle) bool {
+// connects connects to an entry host's listener for one role and reports
+// whether a byte was received.
+func connects(t *testing.T, server certs.Bundle, from certs.Role, client certs.Bundle) bool {
 	t.Helper()
 	config, err := server.Server(from)
 	qt.Assert(t, err, qt.IsNil)
@@ -46,16 +46,17 @@
 	return string(got) == "!"
 }
 
-// Somebody on the network connects to a listener without a certificate, with
-// one of another authority, or with one of the other role. Were it let in, it
-// could change the configuration, or pose as an entry host.
-func TestStrangersStayOut(t *testing.T) {
+// Guards against clients that change the configuration or impersonate an entry
+// host: those without a certificate, with one of another authority, or with one
+// of another role.
+func TestUnauthorizedPeersAreRejected(t *testing.T) {
 	ours, err := certs.NewAuthority(time.Hour)
 	qt.Assert(t, err, qt.IsNil)
 	theirs, err := certs.NewAuthority(time.Hour)
 	qt.Assert(t, err, qt.IsNil)
 	entry := issue(t, ours, certs.Entry)
-	// A stranger who knows our authority's certificate, which is no secret.
+	// The certificate of our authority is public, so a client of another
+	// authority can have it.
 	forged := issue(t, theirs, certs.Entry)
 	forged.CA = entry.CA
 	for _, test := range []struct {
@@ -75,12 +76,12 @@
 		{"server is no entry host", issue(t, ours, certs.Desk), certs.Entry, entry, false},
 	} {
 		t.Run(test.name, func(t *testing.T) {
-			qt.Assert(t, talk(t, test.server, test.from, test.client), qt.Equals, test.want)
+			qt.Assert(t, connects(t, test.server, test.from, test.client), qt.Equals, test.want)
 		})
 	}
 }
 
-func TestCheckNamesTheFlag(t *testing.T) {
+func TestCheckNamesFlag(t *testing.T) {
 	a, err := certs.NewAuthority(time.Hour)
 	qt.Assert(t, err, qt.IsNil)
 	good := issue(t, a, certs.Entry)
@@ -90,8 +91,8 @@
 		bundle certs.Bundle
 		want   string
 	}{
-		{"one missing", certs.Bundle{Cert: good.Cert, Key: good.Key}, ".*want all three or none"},
-		{"key of another", certs.Bundle{Cert: good.Cert, Key: other.Key, CA: good.CA}, "-tls-cert, -tls-key: .*"},
+		{"missing CA", certs.Bundle{Cert: good.Cert, Key: good.Key}, ".*want all three or none"},
+		{"key of another certificate", certs.Bundle{Cert: good.Cert, Key: other.Key, CA: good.CA}, "-tls-cert, -tls-key: .*"},
 		{"wrong role", issue(t, a, certs.Desk), `-tls-cert: has no DNS name "entry"`},
 		{"no authority", certs.Bundle{Cert: good.Cert, Key: good.Key, CA: "text"}, "-tls-ca: no certificate in it"},
 	} {
--- a/parts/certs/issue.go
+++ b/parts/certs/issue.go
@@ -11,24 +11,25 @@
 	"time"
 )
 
-// Authority signs certificates, for tests and for trying the system out. The
-// users run one of their own.
+// Authority signs certificates for tests and evaluation. In production the
+// users run their own.
 type Authority struct {
 	cert *x509.Certificate
 	key  *ecdsa.PrivateKey
 	pem  string
 }
 
-// serialBits bounds the serial numbers, which are drawn at random.
+// serialBits is the size of the random serial numbers.
 const serialBits = 120
 
-// NewAuthority returns an authority whose certificates are valid for a time.
+// NewAuthority returns an authority that is valid for the given time from now,
+// as are its certificates.
 func NewAuthority(valid time.Duration) (*Authority, error) {
 	key, err := ecdsa.GenerateKey(elliptic.P256(), rand.Reader)
 	if err != nil {
 		return nil, err
 	}
-	template, err := template("fuchsiashelf authority", valid)
+	template, err := newTemplate("fuchsiashelf authority", valid)
 	if err != nil {
 		return nil, err
 	}
@@ -42,16 +43,16 @@
 	if err != nil {
 		return nil, err
 	}
-	return &Authority{cert: cert, key: key, pem: block("CERTIFICATE", der)}, nil
+	return &Authority{cert: cert, key: key, pem: encodePEM("CERTIFICATE", der)}, nil
 }
 
-// Issue returns the bundle of a process with a role.
+// Issue returns the bundle of a process with the role.
 func (a *Authority) Issue(role Role) (Bundle, error) {
 	key, err := ecdsa.GenerateKey(elliptic.P256(), rand.Reader)
 	if err != nil {
 		return Bundle{}, err
 	}
-	template, err := template("fuchsiashelf "+string(role), time.Until(a.cert.NotAfter))
+	template, err := newTemplate("fuchsiashelf "+string(role), time.Until(a.cert.NotAfter))
 	if err != nil {
 		return Bundle{}, err
 	}
@@ -66,10 +67,10 @@
 	if err != nil {
 		return Bundle{}, err
 	}
-	return Bundle{Cert: block("CERTIFICATE", der), Key: block("PRIVATE KEY", private), CA: a.pem}, nil
+	return Bundle{Cert: encodePEM("CERTIFICATE", der), Key: encodePEM("PRIVATE KEY", private), CA: a.pem}, nil
 }
 
-func template(name string, valid time.Duration) (*x509.Certificate, error) {
+func newTemplate(name string, valid time.Duration) (*x509.Certificate, error) {
 	serial, err := rand.Int(rand.Reader, new(big.Int).Lsh(big.NewInt(1), serialBits))
 	if err != nil {
 		return nil, err
@@ -78,12 +79,13 @@
 	return &x509.Certificate{
 		SerialNumber: serial,
 		Subject:      pkix.Name{CommonName: name},
-		// Clocks of hosts differ; a certificate is valid on a slow one too.
+		// The clocks of hosts differ; the certificate is valid on a host with a
+		// slow clock too.
 		NotBefore: now.Add(-time.Hour),
 		NotAfter:  now.Add(valid),
 	}, nil
 }
 
-func block(kind string, der []byte) string {
-	return string(pem.EncodeToMemory(&pem.Block{Type: kind, Bytes: der}))
+func encodePEM(blockType string, der []byte) string {
+	return string(pem.EncodeToMemory(&pem.Block{Type: blockType, Bytes: der}))
 }
