--- a/parts/httpd/drain.go
+++ b/parts/httpd/drain.go
@@ -9,29 +9,29 @@
 	"github.com/cloudwego/hertz/pkg/app"
 )
 
-// settle is how long the last answers may take to leave, after their handlers
-// have returned.
-const settle = 200 * time.Millisecond
+// exitWait is how long the last responses may take to be sent after their
+// handlers have returned.
+const exitWait = 200 * time.Millisecond
 
-// drainTick is the pause between two looks at the requests in flight.
-const drainTick = 10 * time.Millisecond
+// drainPollInterval is the interval between checks for requests in flight.
+const drainPollInterval = 10 * time.Millisecond
 
-// traffic counts the requests in flight.
-type traffic struct {
+// requestTracker counts the requests in flight.
+type requestTracker struct {
 	active   atomic.Int64
 	draining atomic.Bool
 }
 
-// count keeps the number of requests in flight, and refuses new ones once the
-// server drains. hertz's own shutdown waits for connections, idle ones
-// included, and not for requests: a stream would be cut, or a kept-alive
-// connection of the balancer would hold the process.
-func (s *Server) count(ctx context.Context, c *app.RequestContext) {
-	// Counted before the look at draining, so that a request either sees that
-	// the server drains or is waited for.
-	s.traffic.active.Add(1)
-	defer s.traffic.active.Add(-1)
-	if !s.traffic.draining.Load() {
+// trackRequest counts a request while it is in flight, and rejects it if the
+// server is draining. The shutdown of hertz waits for connections, idle ones
+// included, and not for requests: it would truncate streams, or an idle
+// keep-alive connection of a load balancer would delay the exit.
+func (s *Server) trackRequest(ctx context.Context, c *app.RequestContext) {
+	// The request is counted before draining is checked, so that it either sees
+	// that the server is draining or is waited for.
+	s.requests.active.Add(1)
+	defer s.requests.active.Add(-1)
+	if !s.requests.draining.Load() {
 		c.Next(ctx)
 		return
 	}
@@ -44,17 +44,17 @@
 	c.AbortWithStatus(http.StatusServiceUnavailable)
 }
 
-// drain refuses new requests and waits until none is in flight, or the
-// context ends. It reports whether all ended.
+// drain rejects new requests and waits until none is in flight or the context
+// ends. It reports whether all requests ended.
 func (s *Server) drain(ctx context.Context) bool {
-	s.traffic.draining.Store(true)
-	tick := time.NewTicker(drainTick)
-	defer tick.Stop()
-	for s.traffic.active.Load() > 0 {
+	s.requests.draining.Store(true)
+	ticker := time.NewTicker(drainPollInterval)
+	defer ticker.Stop()
+	for s.requests.active.Load() > 0 {
 		select {
 		case <-ctx.Done():
 			return false
-		case <-tick.C:
+		case <-ticker.C:
 		}
 	}
 	return true
--- a/parts/httpd/drain_test.go
+++ b/parts/httpd/drain_test.go
@@ -14,18 +14,18 @@
 	"fuchsiashelf.dev/parts/httpd"
 )
 
-// A process is told to stop while it answers a request. Its caller must get
-// the whole answer, callers who come too late a refusal, and a balancer's idle
-// connection must not hold the process up.
+// Guards against a truncated response when the process is told to stop during a
+// request, late requests that are not rejected, and a shutdown that waits for a
+// load balancer's idle connection.
 func TestRunDrains(t *testing.T) {
 	c := quicktest.New(t)
 	listener, err := net.Listen("tcp", "127.0.0.1:0")
 	c.Assert(err, quicktest.IsNil)
 	s := &httpd.Server{Listener: listener}
 	s.Init()
-	begun, finish := make(chan struct{}), make(chan struct{})
+	started, finish := make(chan struct{}), make(chan struct{})
 	s.Hertz.GET("/long", func(_ context.Context, c *app.RequestContext) {
-		close(begun)
+		close(started)
 		<-finish
 		c.String(200, "whole")
 	})
@@ -49,7 +49,7 @@
 		_, body := get("/long")
 		answer <- body
 	}()
-	<-begun
+	<-started
 	stop()
 	for status != 503 {
 		status, _ = get("/short")
@@ -59,24 +59,24 @@
 	c.Assert(<-ended, quicktest.IsNil)
 }
 
-// The time of a stop is over and a request still runs. The process ends all
-// the same and says that it cut something.
-func TestRunCuts(t *testing.T) {
+// Guards against a process that does not exit because a request still runs
+// after the grace period: Run returns and reports that requests were aborted.
+func TestRunAbortsAfterGracePeriod(t *testing.T) {
 	c := quicktest.New(t)
 	listener, err := net.Listen("tcp", "127.0.0.1:0")
 	c.Assert(err, quicktest.IsNil)
 	s := &httpd.Server{Listener: listener}
 	s.Init()
-	begun, finish := make(chan struct{}), make(chan struct{})
+	started, finish := make(chan struct{}), make(chan struct{})
 	s.Hertz.GET("/long", func(context.Context, *app.RequestContext) {
-		close(begun)
+		close(started)
 		<-finish
 	})
 	ctx, stop := context.WithCancel(context.Background())
 	ended := make(chan error, 1)
 	go func() { ended <- s.Run(ctx, time.Millisecond) }()
 	go func() { _, _ = http.Get("http://" + listener.Addr().String() + "/long") }()
-	<-begun
+	<-started
 	stop()
 	c.Assert(<-ended, quicktest.ErrorIs, httpd.ErrAborted)
 	close(finish)
--- a/parts/httpd/httpd.go
+++ b/parts/httpd/httpd.go
@@ -1,4 +1,4 @@
-// Package httpd makes the HTTP servers that all programs share.
+// Package httpd provides the HTTP server that all programs share.
 package httpd
 
 import (
@@ -15,33 +15,33 @@
 	"github.com/cloudwego/hertz/pkg/common/hlog"
 )
 
-// Server is an HTTP server on one listener. Set the exported fields, then
-// call Make and add routes to Hertz, then Run.
+// Server is an HTTP server on one listener. Set the exported fields, then call
+// Init and add routes to Hertz, then call Run.
 type Server struct {
-	// Listener is where the server accepts connections.
+	// Listener is the listener on which the server accepts connections.
 	Listener net.Listener
-	// MaxBody is the largest request body, in bytes.
+	// MaxBody is the maximum size of a request body in bytes; zero means 4 MiB.
 	MaxBody int
-	// TooLarge answers a request whose body is larger than MaxBody; nil means
-	// a plain 413.
+	// TooLarge answers a request whose body is larger than MaxBody; nil means a
+	// plain 413.
 	TooLarge app.HandlerFunc
-	// DrainDelay is how long the server goes on taking requests after its stop
-	// began, so that a balancer notices in time.
+	// DrainDelay is how long the server still accepts requests after its
+	// context has ended, so that load balancers notice the shutdown in time.
 	DrainDelay time.Duration
-	// Draining answers requests that come after that; nil answers a bare 503.
+	// Draining answers requests that arrive after that; nil means a plain 503.
 	Draining app.HandlerFunc
-	// Hertz is the server that routes are added to. Make sets it.
+	// Hertz is the underlying server, to which routes are added. Init sets it.
 	Hertz *server.Hertz
 
-	traffic traffic
+	requests requestTracker
 }
 
-// defaultMaxBody bounds a request body where the server sets nothing.
+// defaultMaxBody is the default of Server.MaxBody.
 const defaultMaxBody = 4 << 20
 
-// Init creates the underlying server. The context of a handler ends when its
+// Init creates the underlying server. The context of a handler ends when the
 // client disconnects.
-func (s *Server) Init(more ...config.Option) {
+func (s *Server) Init(extra ...config.Option) {
 	hlog.SetOutput(io.Discard)
 	if s.MaxBody == 0 {
 		s.MaxBody = defaultMaxBody
@@ -50,23 +50,23 @@
 		server.WithListener(s.Listener),
 		server.WithMaxRequestBodySize(s.MaxBody),
 		server.WithDisablePrintRoute(true),
-		server.WithExitWaitTime(settle),
+		server.WithExitWaitTime(exitWait),
 		server.WithSenseClientDisconnection(true),
 		server.WithDisablePreParseMultipartForm(true),
 		server.WithRedirectTrailingSlash(false),
-		// hertz answers an oversize body by itself, with an answer that
-		// cannot be changed, unless bodies are streams. Then bound reads them.
+		// Unless bodies are streamed, hertz answers an oversized body by itself
+		// with a fixed response. limitBody reads the streams.
 		server.WithStreamBody(true),
 	}
-	s.Hertz = server.New(append(options, more...)...)
-	s.Hertz.Use(s.count, s.bound)
+	s.Hertz = server.New(append(options, extra...)...)
+	s.Hertz.Use(s.trackRequest, s.limitBody)
 }
 
-// bound reads the request body, and answers one that is too large without
-// reading the rest of it.
-func (s *Server) bound(ctx context.Context, c *app.RequestContext) {
+// limitBody reads the request body, and rejects a request whose body is too
+// large without reading the rest of it.
+func (s *Server) limitBody(ctx context.Context, c *app.RequestContext) {
 	if c.Request.Header.ContentLength() > s.MaxBody {
-		s.tooLarge(ctx, c)
+		s.rejectTooLarge(ctx, c)
 		return
 	}
 	if !c.Request.IsBodyStream() {
@@ -78,13 +78,13 @@
 		return
 	}
 	if len(body) > s.MaxBody {
-		s.tooLarge(ctx, c)
+		s.rejectTooLarge(ctx, c)
 		return
 	}
 	c.Request.SetBody(body)
 }
 
-func (s *Server) tooLarge(ctx context.Context, c *app.RequestContext) {
+func (s *Server) rejectTooLarge(ctx context.Context, c *app.RequestContext) {
 	c.SetConnectionClose()
 	if s.TooLarge == nil {
 		c.AbortWithStatus(http.StatusRequestEntityTooLarge)
@@ -94,8 +94,8 @@
 	c.Abort()
 }
 
-// Run serves until the context ends. Then it goes on for Linger, refuses new
-// requests and waits for those in flight, at most for the given time.
+// Run serves until the context ends. It then accepts requests for DrainDelay,
+// rejects new ones, and waits for those in flight for at most the grace period.
 func (s *Server) Run(ctx context.Context, grace time.Duration) error {
 	failed := make(chan error, 1)
 	go func() { failed <- s.Hertz.Run() }()
@@ -109,16 +109,18 @@
 		return err
 	case <-time.After(s.DrainDelay):
 	}
-	stop, cancel := context.WithTimeout(context.Background(), grace)
+	drainCtx, cancel := context.WithTimeout(context.Background(), grace)
 	defer cancel()
-	whole := s.drain(stop)
-	// What is left of the time of a shutdown is for answers on their way.
+	drained := s.drain(drainCtx)
+	// All requests have ended or timed out; the rest of the shutdown is for
+	// responses that are still being sent.
 	err := s.Hertz.Shutdown(context.Background())
-	if !whole {
+	if !drained {
 		return errors.Join(ErrAborted, err)
 	}
 	return err
 }
 
-// ErrAborted says that requests were still in flight when the time was over.
-var ErrAborted = errors.New("httpd: requests in flight were cut")
+// ErrAborted is returned by Run if requests were still in flight at the end of
+// the grace period.
+var ErrAborted = errors.New("httpd: requests in flight were aborted")
--- a/parts/httpd/httpd_test.go
+++ b/parts/httpd/httpd_test.go
@@ -21,13 +21,14 @@
 	"fuchsiashelf.dev/parts/httpd"
 )
 
-// start runs a server with one route until the test ends and returns its URL.
-func start(t testing.TB, route app.HandlerFunc, more ...config.Option) (string, context.CancelFunc, <-chan error) {
+// start runs a server with one route until the test ends, and returns its URL,
+// a function that stops it, and the channel with the result of Run.
+func start(t testing.TB, route app.HandlerFunc, extra ...config.Option) (string, context.CancelFunc, <-chan error) {
 	t.Helper()
 	listener, err := net.Listen("tcp", "127.0.0.1:0")
 	qt.Assert(t, err, qt.IsNil)
 	s := &httpd.Server{Listener: listener}
-	s.Init(more...)
+	s.Init(extra...)
 	s.Hertz.GET("/", route)
 	ctx, cancel := context.WithCancel(context.Background())
 	done := make(chan error, 1)
@@ -36,14 +37,13 @@
 	return "http://" + listener.Addr().String() + "/", cancel, done
 }
 
-// A caller closes its connection while the answer is still being worked out.
-// Nothing is written, so a failed write cannot tell; without notice from the
-// server the work would go on for nobody.
-func TestContextEndsWithItsCaller(t *testing.T) {
-	began := make(chan struct{})
+// Guards against work that continues after the client has disconnected: a
+// handler that writes nothing yet sees no failed write.
+func TestContextEndsOnDisconnect(t *testing.T) {
+	started := make(chan struct{})
 	ended := make(chan struct{})
 	url, _, _ := start(t, func(ctx context.Context, _ *app.RequestContext) {
-		close(began)
+		close(started)
 		<-ctx.Done()
 		close(ended)
 	})
@@ -55,21 +55,21 @@
 			resp.Body.Close()
 		}
 	}()
-	<-began
+	<-started
 	cancel()
 	<-ended
 }
 
-// A server is told to stop while it is in the middle of an answer. The caller
-// still gets the rest of it.
-func TestStopLetsAnswersEnd(t *testing.T) {
+// Guards against a response that is truncated because the server is told to
+// stop in the middle of it.
+func TestStopCompletesResponses(t *testing.T) {
 	halfway := make(chan struct{})
-	goOn := make(chan struct{})
+	proceed := make(chan struct{})
 	url, stop, done := start(t, func(_ context.Context, c *app.RequestContext) {
 		w := sse.NewWriter(c)
 		_ = w.WriteEvent("", "token", []byte("one"))
 		close(halfway)
-		<-goOn
+		<-proceed
 		_ = w.WriteEvent("", "token", []byte("two"))
 	})
 	resp, err := http.Get(url)
@@ -77,7 +77,7 @@
 	defer resp.Body.Close()
 	<-halfway
 	stop()
-	close(goOn)
+	close(proceed)
 	body, err := io.ReadAll(resp.Body)
 	qt.Assert(t, err, qt.IsNil)
 	qt.Assert(t, string(body), qt.Contains, "one")
@@ -90,8 +90,8 @@
 	benchStreams = 64
 )
 
-// BenchmarkStreams compares hertz's transports on token streams: 64 callers
-// at a time, 64 events each. It reports events a second of this machine.
+// BenchmarkStreams compares the transports of hertz on token streams: 64
+// concurrent clients, 64 events per stream. It reports events per second.
 func BenchmarkStreams(b *testing.B) {
 	for _, transport := range []struct {
 		name string
