--- a/parts/frame/frame.go
+++ b/parts/frame/frame.go
@@ -1,9 +1,10 @@
-// Package frame accepts or rejects the frames of an answer.
+// Package frame validates the frames of a response.
 //
-// A frame is accepted only for the current attempt of its request, with
-// exactly the next index, and with spans that tile all layers of the model.
-// So answers that arrive late or crossed cannot mix, and that each layer ran
-// once and in order is checked for every token.
+// A frame is accepted only for the current attempt of its request, with exactly
+// the next index, and with spans that tile all layers of the model. So frames
+// that arrive late or belong to another request cannot be mixed into a
+// response, and every token is checked to have passed through each layer once
+// and in order.
 package frame
 
 import (
@@ -13,20 +14,20 @@
 	"fuchsiashelf.dev/parts/fault"
 )
 
-// Result is what to do with a frame.
+// Result is the result of the validation of a frame.
 type Result uint8
 
-// The verdicts.
+// The results.
 const (
 	// Drop means that the frame belongs to another attempt or request.
 	Drop Result = iota
 	// Token means that the frame carries the next token.
 	Token
-	// End means that the answer is whole.
+	// End means that the response is complete.
 	End
 	// Failed means that a server of the chain failed.
 	Failed
-	// Invalid means that the attempt cannot be trusted any more.
+	// Invalid means that the attempt can no longer be trusted.
 	Invalid
 )
 
@@ -36,41 +37,41 @@
 	Request string
 	Attempt int
 	Layers  int
-	// Chain is the chain that the request was sent to. Each token has to come
-	// from exactly these servers and ranges; nil leaves that unchecked.
+	// Chain is the chain that the request was sent to. Each token must come
+	// from exactly these servers and ranges; nil disables this check.
 	Chain []engine.Stage
 	// Index is the index that the next token must have.
 	Index int
 }
 
-// Next judges a frame and moves on past a token. The error is set with
-// Failed and Broken.
-func (c *Validator) Next(f *engine.Frame) (Result, *fault.Error) {
-	if f.Request != c.Request || f.Attempt != c.Attempt {
+// Next validates a frame, and advances Index after a token. The error is set
+// with Failed and Invalid.
+func (v *Validator) Next(f *engine.Frame) (Result, *fault.Error) {
+	if f.Request != v.Request || f.Attempt != v.Attempt {
 		return Drop, nil
 	}
 	if f.Fail != nil {
-		return Failed, failed(f.Fail)
+		return Failed, failureError(f.Fail)
 	}
 	if f.End {
-		if f.Count != c.Index {
-			return Invalid, broken("the end counts %d tokens, %d came", f.Count, c.Index)
+		if f.Count != v.Index {
+			return Invalid, invalidAnswer("the end counts %d tokens, %d came", f.Count, v.Index)
 		}
 		return End, nil
 	}
-	if f.Index != c.Index {
-		return Invalid, broken("token %d came in place of %d", f.Index, c.Index)
+	if f.Index != v.Index {
+		return Invalid, invalidAnswer("token %d came in place of %d", f.Index, v.Index)
 	}
-	if e := c.cover(f.Spans); e != nil {
+	if e := v.checkSpans(f.Spans); e != nil {
 		return Invalid, e
 	}
-	c.Index++
+	v.Index++
 	return Token, nil
 }
 
-// failed is the error that a failure frame stands for. A server that refused
-// did not run the request, but those before it in the chain may have.
-func failed(f *engine.Failure) *fault.Error {
+// failureError returns the error for a failure frame. A server that refused did
+// not run the request, but those before it in the chain may have.
+func failureError(f *engine.Failure) *fault.Error {
 	e := &fault.Error{
 		Code: fault.ServerFailed, Verdict: fault.MayHaveRun,
 		Server: f.Server, Message: f.Message,
@@ -81,52 +82,53 @@
 	return e
 }
 
-// cover checks that the spans tile [0, Layers) in order.
-func (c *Validator) cover(spans []engine.Span) *fault.Error {
-	// A server that stops short leaves a gap before the next one. Compared
-	// with the chain first, the error names the server that is at fault; were
-	// the next one blamed, each later attempt would meet the faulty one again.
-	if e := c.same(spans); e != nil {
+// checkSpans checks that the spans tile [0, Layers) in order.
+func (v *Validator) checkSpans(spans []engine.Span) *fault.Error {
+	// A server that stops short leaves a gap before the next one. The spans are
+	// compared with the chain first, so that the error names the faulty server;
+	// if it named the next one, later attempts would use the faulty server
+	// again.
+	if e := v.matchChain(spans); e != nil {
 		return e
 	}
-	at := 0
+	next := 0
 	for _, s := range spans {
-		if s.First != at || s.End <= s.First || s.End > c.Layers {
-			e := broken("layers %d to %d ran where layer %d was due", s.First, s.End, at)
+		if s.First != next || s.End <= s.First || s.End > v.Layers {
+			e := invalidAnswer("layers %d to %d ran where layer %d was due", s.First, s.End, next)
 			e.Server = s.Server
 			return e
 		}
-		at = s.End
+		next = s.End
 	}
-	if at != c.Layers {
-		return broken("layers ran up to %d of %d", at, c.Layers)
+	if next != v.Layers {
+		return invalidAnswer("layers ran up to %d of %d", next, v.Layers)
 	}
 	return nil
 }
 
-// same checks that the spans are the stages of the chain. Spans of other
-// servers that happen to tile the layers too come from another request's
-// chain, or from a server that handed on to one that it was not told of.
-func (c *Validator) same(spans []engine.Span) *fault.Error {
-	if c.Chain == nil {
+// matchChain checks that the spans are the stages of the chain. Spans of other
+// servers that tile the layers come from the chain of another request, or from
+// a server that forwarded to one that is not in its chain.
+func (v *Validator) matchChain(spans []engine.Span) *fault.Error {
+	if v.Chain == nil {
 		return nil
 	}
-	if len(spans) != len(c.Chain) {
-		return broken("%d servers ran, not the %d of the chain", len(spans), len(c.Chain))
+	if len(spans) != len(v.Chain) {
+		return invalidAnswer("%d servers ran, not the %d of the chain", len(spans), len(v.Chain))
 	}
 	for i, s := range spans {
-		due := &c.Chain[i]
-		if s.Server != due.Server || s.First != due.First || s.End != due.End {
-			e := broken("server %s ran layers %d to %d, not %s %d to %d",
-				s.Server, s.First, s.End, due.Server, due.First, due.End)
-			e.Server = due.Server
+		want := &v.Chain[i]
+		if s.Server != want.Server || s.First != want.First || s.End != want.End {
+			e := invalidAnswer("server %s ran layers %d to %d, not %s %d to %d",
+				s.Server, s.First, s.End, want.Server, want.First, want.End)
+			e.Server = want.Server
 			return e
 		}
 	}
 	return nil
 }
 
-func broken(format string, args ...any) *fault.Error {
+func invalidAnswer(format string, args ...any) *fault.Error {
 	return &fault.Error{
 		Code: fault.BrokenAnswer, Verdict: fault.MayHaveRun,
 		Message: fmt.Sprintf(format, args...),
