--- a/parts/trace/trace.go
+++ b/parts/trace/trace.go
@@ -1,9 +1,10 @@
-// Package trace keeps a time line of events. Each process holds its latest
-// events in a ring; a tool merges the rings of all processes into one line.
+// Package trace records a timeline of events. Each process keeps its latest
+// events in a ring buffer; a tool merges those of all processes into one
+// timeline.
 //
-// Events carry a hybrid logical clock: wall time in nanoseconds, pushed ahead
+// Events carry a hybrid logical clock: wall time in nanoseconds, advanced
 // whenever a message with a later clock arrives. So an effect never sorts
-// before its cause, even when the clocks of two hosts differ.
+// before its cause, even if the clocks of two hosts differ.
 package trace
 
 import (
@@ -13,26 +14,26 @@
 	"time"
 )
 
-// Event is one thing that happened.
+// Event is one recorded event.
 type Event struct {
-	// Clock is the hybrid logical clock, in nanoseconds.
+	// Clock is the reading of the hybrid logical clock, in nanoseconds.
 	Clock uint64 `json:"clock"`
 	// Process is the name of the entry host.
 	Process string `json:"process"`
-	// Component names the part of the program, as the logs do.
+	// Component is the part of the program, as in the logs.
 	Component string `json:"part"`
 	// Request is the request that the event belongs to, if any.
 	Request string `json:"request,omitempty"`
-	// Message is a short sentence.
+	// Message is a short description.
 	Message string `json:"what"`
 }
 
-// RingSize is how many events a process keeps.
+// RingSize is the number of events that a process keeps.
 const RingSize = 4096
 
-// Recorder is the time line of one process. Set Process before first use.
+// Recorder is the timeline of one process. Set Process before first use.
 type Recorder struct {
-	// Process is written into each event.
+	// Process is the name of the process, copied into each event.
 	Process string
 
 	clock  atomic.Uint64
@@ -42,49 +43,49 @@
 }
 
 // Now returns the next reading of the clock.
-func (l *Recorder) Now() uint64 {
+func (r *Recorder) Now() uint64 {
 	for {
-		last := l.clock.Load()
+		last := r.clock.Load()
 		now := max(uint64(time.Now().UnixNano()), last+1)
-		if l.clock.CompareAndSwap(last, now) {
+		if r.clock.CompareAndSwap(last, now) {
 			return now
 		}
 	}
 }
 
-// Observe pushes the clock past one that came with a message.
-func (l *Recorder) Observe(clock uint64) {
+// Observe advances the clock past one that came with a message.
+func (r *Recorder) Observe(clock uint64) {
 	for {
-		last := l.clock.Load()
-		if clock <= last || l.clock.CompareAndSwap(last, clock) {
+		last := r.clock.Load()
+		if clock <= last || r.clock.CompareAndSwap(last, clock) {
 			return
 		}
 	}
 }
 
-// Record records an event. A nil line records nothing.
-func (l *Recorder) Record(part, request, what string) {
-	if l == nil {
+// Record records an event. It does nothing on a nil Recorder.
+func (r *Recorder) Record(component, request, message string) {
+	if r == nil {
 		return
 	}
-	event := Event{Clock: l.Now(), Process: l.Process, Component: part, Request: request, Message: what}
-	l.mu.Lock()
-	defer l.mu.Unlock()
-	if len(l.events) < RingSize {
-		l.events = append(l.events, event)
+	event := Event{Clock: r.Now(), Process: r.Process, Component: component, Request: request, Message: message}
+	r.mu.Lock()
+	defer r.mu.Unlock()
+	if len(r.events) < RingSize {
+		r.events = append(r.events, event)
 		return
 	}
-	l.events[l.next] = event
-	l.next = (l.next + 1) % RingSize
+	r.events[r.next] = event
+	r.next = (r.next + 1) % RingSize
 }
 
-// Find returns the kept events of a request, or all for an empty name, in
-// the order of their clocks.
-func (l *Recorder) Find(request string) []Event {
-	l.mu.Lock()
-	defer l.mu.Unlock()
+// Find returns the events of a request, or all events if request is empty,
+// ordered by their clocks.
+func (r *Recorder) Find(request string) []Event {
+	r.mu.Lock()
+	defer r.mu.Unlock()
 	var found []Event
-	for _, e := range l.events {
+	for _, e := range r.events {
 		if request == "" || e.Request == request {
 			found = append(found, e)
 		}
--- a/parts/trace/trace_test.go
+++ b/parts/trace/trace_test.go
@@ -9,9 +9,9 @@
 	"fuchsiashelf.dev/parts/trace"
 )
 
-// One host's clock is an hour ahead of the other's. A message goes from it to
-// the slow one, whose answer would sort before the question, and an operator
-// would read the time line backwards.
+// Guards against a timeline that shows an answer before its question: the clock
+// of one host is an hour ahead, and its message reaches a host with a slower
+// clock.
 func TestEffectSortsAfterCause(t *testing.T) {
 	ahead := &trace.Recorder{Process: "e1"}
 	behind := &trace.Recorder{Process: "e2"}
@@ -28,14 +28,14 @@
 	qt.Assert(t, events[1].Message, qt.Equals, "answered")
 }
 
-// A process makes far more events than it keeps. The newest stay; memory
-// does not grow.
-func TestKeepsTheNewest(t *testing.T) {
-	line := &trace.Recorder{Process: "e1"}
+// Guards against memory growth: a process records far more events than it
+// keeps, and the newest remain.
+func TestRecorderKeepsNewest(t *testing.T) {
+	recorder := &trace.Recorder{Process: "e1"}
 	for i := range 2*trace.RingSize + 3 {
-		line.Record("gate", "", fmt.Sprint(i))
+		recorder.Record("gate", "", fmt.Sprint(i))
 	}
-	events := line.Find("")
+	events := recorder.Find("")
 	qt.Assert(t, events, qt.HasLen, trace.RingSize)
 	qt.Assert(t, events[len(events)-1].Message, qt.Equals, fmt.Sprint(2*trace.RingSize+2))
 }
