--- a/parts/lang/apply.go
+++ b/parts/lang/apply.go
@@ -12,27 +12,28 @@
 	"fuchsiashelf.dev/parts/rule"
 )
 
-// Environment is what a line is checked against besides the configuration.
+// Environment is what a line is checked against in addition to the
+// configuration.
 type Environment struct {
 	// Hosts is the host list by name.
 	Hosts map[string]host.Host
-	// Now is the time of the line.
+	// Now is the time at which the line is applied.
 	Now time.Time
-	// MaxDeadline is the longest time for a call that may not be repeated, as the
-	// entry hosts are set; zero means no bound.
+	// MaxDeadline is the longest deadline of a service whose calls may not be
+	// repeated, from the settings of the entry hosts; zero means no limit.
 	MaxDeadline time.Duration
 }
 
-// Apply returns the configuration that the line makes of another one, which
-// it leaves alone. The revision grows by one. The error is an *Error; then
-// there is no configuration.
-func (l *Line) Apply(before *conf.Config, w Environment) (*conf.Config, error) {
-	e := &edit{Config: before.Clone(), world: w, before: before, anyway: l.Anyway}
+// Apply returns the configuration that results from applying the line to
+// before, which is not modified. The revision grows by one. A non-nil error is
+// an *Error, and the configuration is then nil.
+func (l *Line) Apply(before *conf.Config, env Environment) (*conf.Config, error) {
+	e := &edit{Config: before.Clone(), env: env, before: before, force: l.Anyway}
 	e.Revision++
-	if err := e.line(l); err != nil {
+	if err := e.apply(l); err != nil {
 		return nil, err
 	}
-	if err := e.check(); err != nil {
+	if err := e.checkCoverage(); err != nil {
 		return nil, err
 	}
 	return e.Config, nil
@@ -41,26 +42,26 @@
 // edit is a configuration that is being changed by one line.
 type edit struct {
 	*conf.Config
-	world  Environment
+	env    Environment
 	before *conf.Config
-	anyway bool
-	// at is the word that an error of the whole configuration points to.
-	at Word
+	force  bool
+	// errorWord is the word that errors of the whole configuration point to.
+	errorWord Word
 }
 
-// fault is an error that points to a word.
-func fault(at Word, format string, args ...any) *Error {
+// errorAt returns an error that points to a word.
+func errorAt(at Word, format string, args ...any) *Error {
 	return &Error{Column: at.Pos.Column, Message: fmt.Sprintf(format, args...)}
 }
 
-func (e *edit) line(l *Line) error {
+func (e *edit) apply(l *Line) error {
 	switch {
 	case l.Create != nil:
 		return e.create(l.Create)
 	case l.Change != nil:
 		return e.change(l.Change)
 	case l.Delete != nil:
-		return e.remove(l.Delete)
+		return e.delete(l.Delete)
 	case l.Route != nil:
 		return e.route(l.Route)
 	case l.Add != nil:
@@ -80,13 +81,13 @@
 	case c.Service != nil:
 		return e.createService(c.Service)
 	case c.Pool != nil:
-		if old, exists := e.Pools[c.Pool.Name.Text]; exists {
-			return fault(c.Pool.Name, "pool %s exists since revision %d", old.Name, old.Revision)
+		if existing, exists := e.Pools[c.Pool.Name.Text]; exists {
+			return errorAt(c.Pool.Name, "pool %s exists since revision %d", existing.Name, existing.Revision)
 		}
 		return e.setPool(c.Pool)
 	}
 	if at := e.findRule(&c.Rule.Target); at >= 0 {
-		return fault(c.Rule.Service, "there is a rule for %s since revision %d", c.Rule.label(), e.Rules[at].Revision)
+		return errorAt(c.Rule.Service, "there is a rule for %s since revision %d", c.Rule.label(), e.Rules[at].Revision)
 	}
 	return e.route(c.Rule)
 }
@@ -96,18 +97,18 @@
 	case c.Service != nil:
 		return e.changeService(c.Service)
 	case c.Pool != nil:
-		if _, err := e.pool(c.Pool.Name); err != nil {
+		if _, err := e.findPool(c.Pool.Name); err != nil {
 			return err
 		}
 		return e.setPool(c.Pool)
 	}
 	if e.findRule(&c.Rule.Target) < 0 {
-		return fault(c.Rule.Service, "there is no rule for %s", c.Rule.label())
+		return errorAt(c.Rule.Service, "there is no rule for %s", c.Rule.label())
 	}
 	return e.route(c.Rule)
 }
 
-func (e *edit) remove(d *Delete) error {
+func (e *edit) delete(d *Delete) error {
 	switch {
 	case d.Service != nil:
 		return e.deleteService(*d.Service)
@@ -116,36 +117,36 @@
 	}
 	at := e.findRule(d.Rule)
 	if at < 0 {
-		return fault(d.Rule.Service, "there is no rule for %s", d.Rule.label())
+		return errorAt(d.Rule.Service, "there is no rule for %s", d.Rule.label())
 	}
 	e.Rules = slices.Delete(e.Rules, at, at+1)
 	return nil
 }
 
-// pool returns a pool that must exist.
-func (e *edit) pool(name Word) (pool.Pool, error) {
+// findPool returns the pool with the name, or an error if there is none.
+func (e *edit) findPool(name Word) (pool.Pool, error) {
 	p, ok := e.Pools[name.Text]
 	if !ok {
-		return p, fault(name, "there is no pool %s", name.Text)
+		return p, errorAt(name, "there is no pool %s", name.Text)
 	}
 	return p, nil
 }
 
 func (e *edit) setPool(p *Pool) error {
-	e.at = p.Name
-	if err := name(p.Name); err != nil {
+	e.errorWord = p.Name
+	if err := checkName(p.Name); err != nil {
 		return err
 	}
 	next := pool.Pool{Name: p.Name.Text, Revision: e.Revision}
 	if p.Model != nil {
 		layers, err := strconv.Atoi(p.Layers.Text)
 		if err != nil || layers < 1 || layers > pool.MaxLayers {
-			return fault(*p.Layers, "layers: want 1 to %d, not %s", pool.MaxLayers, p.Layers.Text)
+			return errorAt(*p.Layers, "layers: want 1 to %d, not %s", pool.MaxLayers, p.Layers.Text)
 		}
 		next.Model, next.Layers = p.Model.Text, layers
 	}
 	for _, s := range p.Servers {
-		if err := e.join(&next, s); err != nil {
+		if err := e.addToPool(&next, s); err != nil {
 			return err
 		}
 	}
@@ -153,17 +154,18 @@
 	return nil
 }
 
-// join adds a server to a pool that is not published yet.
-func (e *edit) join(p *pool.Pool, s Word) error {
+// addToPool adds a server to a pool that has not been stored in the
+// configuration yet.
+func (e *edit) addToPool(p *pool.Pool, s Word) error {
 	if slices.Contains(p.Servers, s.Text) {
-		return fault(s, "server %s is in pool %s already", s.Text, p.Name)
+		return errorAt(s, "server %s is in pool %s already", s.Text, p.Name)
 	}
-	h, listed := e.world.Hosts[s.Text]
+	h, listed := e.env.Hosts[s.Text]
 	if !listed {
-		return fault(s, "server %s is not in the host list", s.Text)
+		return errorAt(s, "server %s is not in the host list", s.Text)
 	}
-	if err := fits(*p, h); err != nil {
-		return fault(s, "%s", err)
+	if err := checkHost(*p, h); err != nil {
+		return errorAt(s, "%s", err)
 	}
 	p.Servers = append(slices.Clone(p.Servers), s.Text)
 	slices.Sort(p.Servers)
@@ -172,12 +174,12 @@
 }
 
 func (e *edit) addServer(a *Add) error {
-	e.at = a.Server
-	p, err := e.pool(a.Pool)
+	e.errorWord = a.Server
+	p, err := e.findPool(a.Pool)
 	if err != nil {
 		return err
 	}
-	if err := e.join(&p, a.Server); err != nil {
+	if err := e.addToPool(&p, a.Server); err != nil {
 		return err
 	}
 	e.Pools[p.Name] = p
@@ -185,14 +187,14 @@
 }
 
 func (e *edit) removeServer(r *Remove) error {
-	e.at = r.Server
-	p, err := e.pool(r.Pool)
+	e.errorWord = r.Server
+	p, err := e.findPool(r.Pool)
 	if err != nil {
 		return err
 	}
 	at := slices.Index(p.Servers, r.Server.Text)
 	if at < 0 {
-		return fault(r.Server, "server %s is not in pool %s", r.Server.Text, p.Name)
+		return errorAt(r.Server, "server %s is not in pool %s", r.Server.Text, p.Name)
 	}
 	p.Servers = slices.Delete(slices.Clone(p.Servers), at, at+1)
 	p.Revision = e.Revision
@@ -201,21 +203,21 @@
 }
 
 func (e *edit) deletePool(at Word) error {
-	p, err := e.pool(at)
+	p, err := e.findPool(at)
 	if err != nil {
 		return err
 	}
 	for _, r := range e.Rules {
 		if r.Pool == p.Name {
-			return fault(at, "pool %s is in use by the rule for %s", p.Name, label(r))
+			return errorAt(at, "pool %s is in use by the rule for %s", p.Name, ruleLabel(r))
 		}
 	}
 	delete(e.Pools, p.Name)
 	return nil
 }
 
-// label names a rule of the configuration to operators.
-func label(r rule.Rule) string {
+// ruleLabel returns the name of a rule of the configuration for operators.
+func ruleLabel(r rule.Rule) string {
 	if r.Team == "" {
 		return r.Service
 	}
@@ -224,29 +226,29 @@
 
 func (e *edit) findRule(t *Target) int {
 	return slices.IndexFunc(e.Rules, func(r rule.Rule) bool {
-		return r.Service == t.Service.Text && r.Team == t.team()
+		return r.Service == t.Service.Text && r.Team == t.teamName()
 	})
 }
 
 func (e *edit) route(r *Rule) error {
-	e.at = r.Pool
+	e.errorWord = r.Pool
 	s, ok := e.Services[r.Service.Text]
 	if !ok {
-		return fault(r.Service, "there is no service %s", r.Service.Text)
+		return errorAt(r.Service, "there is no service %s", r.Service.Text)
 	}
-	p, err := e.pool(r.Pool)
+	p, err := e.findPool(r.Pool)
 	if err != nil {
 		return err
 	}
 	if s.Model != p.Model {
-		return fault(r.Pool, "pool %s serves %s, service %s needs %s", p.Name, serves(p.Model), s.Name, serves(s.Model))
+		return errorAt(r.Pool, "pool %s serves %s, service %s needs %s", p.Name, describeModel(p.Model), s.Name, describeModel(s.Model))
 	}
 	if r.Team != nil {
-		if err := name(*r.Team); err != nil {
+		if err := checkName(*r.Team); err != nil {
 			return err
 		}
 	}
-	next := rule.Rule{Service: s.Name, Team: r.team(), Pool: p.Name, Revision: e.Revision}
+	next := rule.Rule{Service: s.Name, Team: r.teamName(), Pool: p.Name, Revision: e.Revision}
 	if at := e.findRule(&r.Target); at >= 0 {
 		e.Rules[at] = next
 		return nil
@@ -255,7 +257,7 @@
 	return nil
 }
 
-func serves(model string) string {
+func describeModel(model string) string {
 	if model == "" {
 		return "plain services"
 	}
--- a/parts/lang/check.go
+++ b/parts/lang/check.go
@@ -12,8 +12,8 @@
 	"fuchsiashelf.dev/parts/pool"
 )
 
-// fits reports why a host cannot serve in a pool.
-func fits(p pool.Pool, h host.Host) error {
+// checkHost returns an error if a host cannot serve in a pool.
+func checkHost(p pool.Pool, h host.Host) error {
 	switch {
 	case h.Role == host.Entry:
 		return fmt.Errorf("%s is an entry host, want a backend server", h.Name)
@@ -30,38 +30,39 @@
 	return nil
 }
 
-// check looks at the whole configuration. Only what the line itself made
-// worse refuses it: hosts come and go, and a pool that lost its cover that way
-// must not keep the operators from setting anything else.
-func (e *edit) check() error {
-	if e.anyway {
+// checkCoverage checks the coverage of all pools. It rejects the line only if
+// the line itself reduces the coverage: hosts come and go, and a pool that
+// loses coverage that way must not keep the operators from changing anything
+// else.
+func (e *edit) checkCoverage() error {
+	if e.force {
 		return nil
 	}
 	for _, name := range slices.Sorted(maps.Keys(e.Pools)) {
-		now := lacking(e.Pools[name], e.Stops, e.world.Hosts)
-		old := lack{}
+		after := findCoverageGap(e.Pools[name], e.Stops, e.env.Hosts)
+		before := coverageGap{}
 		if p, existed := e.before.Pools[name]; existed {
-			old = lacking(p, e.before.Stops, e.world.Hosts)
+			before = findCoverageGap(p, e.before.Stops, e.env.Hosts)
 		}
-		if now.worse(old) {
-			return fault(e.at, "pool %s: %s (end the line with anyway to do it all the same)", name, now)
+		if after.worseThan(before) {
+			return errorAt(e.errorWord, "pool %s: %s (end the line with anyway to do it all the same)", name, after)
 		}
 	}
 	return nil
 }
 
-// lack is what a pool lacks once all planned stops have begun.
-type lack struct {
-	// empty says that a plain pool has no server left.
-	empty bool
-	// missing tells for each layer whether no server is left for it.
+// coverageGap is what a pool lacks once all planned stops have begun.
+type coverageGap struct {
+	// noServers reports whether a pool of a plain service has no server left.
+	noServers bool
+	// missing reports for each layer whether no server is left for it.
 	missing []bool
-	// apart says that servers are left for all layers, but that their ranges
-	// do not join up to a chain.
-	apart bool
+	// disjoint reports whether every layer has a server, but the ranges do not
+	// form a chain.
+	disjoint bool
 }
 
-func lacking(p pool.Pool, stops map[string]conf.Stop, hosts map[string]host.Host) lack {
+func findCoverageGap(p pool.Pool, stops map[string]conf.Stop, hosts map[string]host.Host) coverageGap {
 	var usable []host.Host
 	for _, name := range p.Servers {
 		h, listed := hosts[name]
@@ -71,45 +72,46 @@
 		}
 	}
 	if p.IsPlain() {
-		return lack{empty: len(usable) == 0}
+		return coverageGap{noServers: len(usable) == 0}
 	}
-	l := lack{missing: make([]bool, p.Layers)}
-	for layer := range l.missing {
-		l.missing[layer] = !slices.ContainsFunc(usable, func(h host.Host) bool {
+	gap := coverageGap{missing: make([]bool, p.Layers)}
+	for layer := range gap.missing {
+		gap.missing[layer] = !slices.ContainsFunc(usable, func(h host.Host) bool {
 			return h.First <= layer && layer < h.End
 		})
 	}
 	_, err := chain.New(p.Layers, usable)
-	l.apart = err != nil && !slices.Contains(l.missing, true)
-	return l
+	gap.disjoint = err != nil && !slices.Contains(gap.missing, true)
+	return gap
 }
 
-// worse reports whether something is lacking that was not before.
-func (l lack) worse(old lack) bool {
-	for layer, missing := range l.missing {
-		if missing && (layer >= len(old.missing) || !old.missing[layer]) {
+// worseThan reports whether the pool lacks something that it did not lack
+// before.
+func (gap coverageGap) worseThan(before coverageGap) bool {
+	for layer, missing := range gap.missing {
+		if missing && (layer >= len(before.missing) || !before.missing[layer]) {
 			return true
 		}
 	}
-	was := old.empty || old.apart || slices.Contains(old.missing, true)
-	return (l.empty || l.apart) && !was
+	hadGap := before.noServers || before.disjoint || slices.Contains(before.missing, true)
+	return (gap.noServers || gap.disjoint) && !hadGap
 }
 
-// String names all that is lacking.
-func (l lack) String() string {
-	if l.empty {
+// String describes everything that is lacking.
+func (gap coverageGap) String() string {
+	if gap.noServers {
 		return "no server is left"
 	}
-	if l.apart {
-		return fmt.Sprintf("the servers' layers do not join up from 0 to %d", len(l.missing))
+	if gap.disjoint {
+		return fmt.Sprintf("the servers' layers do not join up from 0 to %d", len(gap.missing))
 	}
 	var ranges []string
-	for first := 0; first < len(l.missing); first++ {
-		if !l.missing[first] {
+	for first := 0; first < len(gap.missing); first++ {
+		if !gap.missing[first] {
 			continue
 		}
 		end := first
-		for end < len(l.missing) && l.missing[end] {
+		for end < len(gap.missing) && gap.missing[end] {
 			end++
 		}
 		ranges = append(ranges, fmt.Sprintf("%d to %d", first, end))
--- a/parts/lang/lang.go
+++ b/parts/lang/lang.go
@@ -1,4 +1,5 @@
-// Package lang is the operators' command language: one readable line a step.
+// Package lang implements the operators' command language, with one readable
+// line per command.
 //
 //	create service assist model lotus
 //	create service booking path /booking repeat no within 5s
@@ -8,9 +9,9 @@
 //	stop server a2 at 22:00
 //	show stops
 //
-// A [Line] is parsed by Parse and checked and carried out by Apply, which
-// works on a copy of the whole configuration. An [Error] of either points to
-// the column of the word at fault.
+// Parse returns a [Line], and Apply checks and applies it to a copy of the
+// whole configuration. An [Error] of either points to the column of the word at
+// fault.
 package lang
 
 import "github.com/alecthomas/participle/v2/lexer"
@@ -26,32 +27,32 @@
 	Stop   *Stop   `parser:" | 'stop' @@"`
 	Resume *Resume `parser:" | 'resume' @@"`
 	Show   *Show   `parser:" | 'show' @@ )"`
-	// Anyway carries the line out although a pool is left without servers or
-	// with layers that no server holds.
+	// Anyway applies the line even if a pool is left without servers or with
+	// layers that no server holds.
 	Anyway bool `parser:"@'anyway'?"`
 }
 
-// Word is a word of a line that was chosen by the operator, with its place.
+// Word is a word of a line that was chosen by the operator, with its position.
 type Word struct {
 	Pos  lexer.Position
 	Text string `parser:"(?! 'anyway' ) @Word"`
 }
 
-// Create makes a service, a pool or a rule that must not exist yet.
+// Create creates a service, a pool or a rule that must not exist yet.
 type Create struct {
 	Service *Service `parser:"  'service' @@"`
 	Pool    *Pool    `parser:"| 'pool' @@"`
 	Rule    *Rule    `parser:"| 'rule' @@"`
 }
 
-// Change alters a service, a pool or a rule that exists.
+// Change changes an existing service, pool or rule.
 type Change struct {
 	Service *ServiceChange `parser:"  'service' @@"`
 	Pool    *Pool          `parser:"| 'pool' @@"`
 	Rule    *Rule          `parser:"| 'rule' @@"`
 }
 
-// Delete removes a service, a pool or a rule.
+// Delete deletes a service, a pool or a rule.
 type Delete struct {
 	Service *Word   `parser:"  'service' @@"`
 	Pool    *Word   `parser:"| 'pool' @@"`
@@ -72,7 +73,7 @@
 	Text string `parser:"@Path"`
 }
 
-// Options are what a service can be told besides; each is optional.
+// Options holds the options of a service, all of which can be omitted.
 type Options struct {
 	Pos     lexer.Position
 	Repeat  string   `parser:"( 'repeat' @( 'yes' | 'no' ) )?"`
@@ -81,12 +82,12 @@
 	Within  *Word    `parser:"( 'within' @@ )?"`
 }
 
-// Guarded says whether the backend servers themselves refuse repeats.
+// Guarded says whether the backend servers themselves refuse repeated calls.
 type Guarded struct {
 	Value string `parser:"'guarded' @( 'yes' | 'no' )?"`
 }
 
-// ServiceChange names a service and what is to become of it.
+// ServiceChange names a service and its new options.
 type ServiceChange struct {
 	Name    Word    `parser:"@@"`
 	Options Options `parser:"@@"`
@@ -100,32 +101,32 @@
 	Servers []Word `parser:"'servers' @@+"`
 }
 
-// Target names a rule: a service, and one team or every team.
+// Target identifies a rule: a service, and one team or every team.
 type Target struct {
 	Service Word  `parser:"'service' @@"`
 	Team    *Word `parser:"( 'team' @@ )?"`
 }
 
-// Rule leads the requests of a target to a pool.
+// Rule sends the requests of a target to a pool.
 type Rule struct {
 	Target
 	Pool Word `parser:"'to' 'pool' @@"`
 }
 
-// Add puts a backend server into a pool.
+// Add adds a backend server to a pool.
 type Add struct {
 	Server Word `parser:"'server' @@"`
 	Pool   Word `parser:"'to' 'pool' @@"`
 }
 
-// Remove takes a backend server out of a pool.
+// Remove removes a backend server from a pool.
 type Remove struct {
 	Server Word `parser:"'server' @@"`
 	Pool   Word `parser:"'from' 'pool' @@"`
 }
 
-// Stop plans the stop of a backend server: at once, at a time of day (UTC),
-// or after a duration.
+// Stop plans the stop of a backend server: at once, at a time of day (UTC), or
+// after a duration.
 type Stop struct {
 	Server Word  `parser:"'server' @@"`
 	At     *Hour `parser:"( 'at' @@"`
@@ -138,19 +139,19 @@
 	Text string `parser:"@Time"`
 }
 
-// Resume takes a planned stop back.
+// Resume cancels a planned stop.
 type Resume struct {
 	Server Word `parser:"'server' @@"`
 }
 
-// Show asks for something and changes nothing.
+// Show is a query and changes nothing.
 type Show struct {
 	What     string    `parser:"  @( 'services' | 'pools' | 'rules' | 'stops' | 'servers' | 'entries' | 'lines' )"`
 	Command  *Word     `parser:"| 'command' @@"`
 	Timeline *Timeline `parser:"| @@"`
 }
 
-// Timeline asks for the events of one request, or for all.
+// Timeline queries the events of one request, or of all requests.
 type Timeline struct {
 	Request *Word `parser:"'timeline' ( 'request'? @@ )?"`
 }
--- a/parts/lang/lang_test.go
+++ b/parts/lang/lang_test.go
@@ -19,13 +19,14 @@
 	"fuchsiashelf.dev/parts/lang"
 )
 
-var update = flag.Bool("update", false, "rewrite the tables")
+var update = flag.Bool("update", false, "update the expected results in testdata")
 
-// now is the time of every line of the tables.
+// now is the time at which the lines of all tables are applied.
 var now = time.Date(2026, 12, 3, 21, 30, 0, 0, time.UTC)
 
-// hosts are three engines of each domain that hold 0-8, 8-16 and 16-24, one
-// of another model, two plain services, an entry host and a leaving engine.
+// hosts returns three engines of each of two domains that hold layers 0-8, 8-16
+// and 16-24, an engine that holds layers 0-12, one of another model, two plain
+// services, an entry host and a leaving engine.
 func hosts() map[string]host.Host {
 	all := map[string]host.Host{
 		"p1": {Name: "p1", Role: host.Plain, State: host.Live},
@@ -36,8 +37,8 @@
 		"c1": {Name: "c1", Role: host.Engine, State: host.Live, Model: "lotus", End: 12},
 	}
 	for stage := range 3 {
-		for _, in := range []string{"a", "b"} {
-			name := fmt.Sprintf("%s%d", in, stage+1)
+		for _, dom := range []string{"a", "b"} {
+			name := fmt.Sprintf("%s%d", dom, stage+1)
 			all[name] = host.Host{
 				Name: name, Role: host.Engine, State: host.Live,
 				Model: "lotus", First: stage * 8, End: stage*8 + 8,
@@ -47,8 +48,8 @@
 	return all
 }
 
-// TestTables runs the lines of each table one after the other and compares
-// what each did, and the configuration at the end.
+// TestTables applies the lines of each table in order, and compares the result
+// of each and the final configuration.
 func TestTables(t *testing.T) {
 	files, err := filepath.Glob("testdata/*.txtar")
 	quicktest.Assert(t, err, quicktest.IsNil)
@@ -57,47 +58,47 @@
 			c := quicktest.New(t)
 			table, err := txtar.ParseFile(file)
 			c.Assert(err, quicktest.IsNil)
-			got, end := runLines(c, string(table.Files[0].Data))
+			got, final := runLines(c, string(table.Files[0].Data))
 			if *update {
 				table.Files = []txtar.File{
-					table.Files[0], {Name: "want", Data: []byte(got)}, {Name: "config", Data: []byte(end)},
+					table.Files[0], {Name: "want", Data: []byte(got)}, {Name: "config", Data: []byte(final)},
 				}
 				c.Assert(os.WriteFile(file, txtar.Format(table), 0o644), quicktest.IsNil)
 				return
 			}
 			c.Assert(got, quicktest.Equals, string(table.Files[1].Data))
-			c.Assert(end, quicktest.Equals, string(table.Files[2].Data))
+			c.Assert(final, quicktest.Equals, string(table.Files[2].Data))
 		})
 	}
 }
 
-func runLines(c *quicktest.C, lines string) (got, end string) {
+func runLines(c *quicktest.C, lines string) (got, final string) {
 	var out strings.Builder
-	at := (*conf.Config)(nil).Clone()
+	config := (*conf.Config)(nil).Clone()
 	for line := range strings.Lines(lines) {
 		line = strings.TrimSuffix(line, "\n")
 		fmt.Fprintf(&out, "> %s\n", line)
 		parsed, err := lang.Parse(line)
 		if err == nil {
 			var next *conf.Config
-			next, err = parsed.Apply(at, lang.Environment{Hosts: hosts(), Now: now, MaxDeadline: 30 * time.Second})
+			next, err = parsed.Apply(config, lang.Environment{Hosts: hosts(), Now: now, MaxDeadline: 30 * time.Second})
 			if err == nil {
-				at = next
+				config = next
 				fmt.Fprintf(&out, "%s\n", parsed.Resource())
 				continue
 			}
 		}
-		var fault *lang.Error
-		c.Assert(errors.As(err, &fault), quicktest.IsTrue)
-		fmt.Fprintf(&out, "%s^\n%s\n", strings.Repeat(" ", fault.Column+1), fault.Message)
+		var langErr *lang.Error
+		c.Assert(errors.As(err, &langErr), quicktest.IsTrue)
+		fmt.Fprintf(&out, "%s^\n%s\n", strings.Repeat(" ", langErr.Column+1), langErr.Message)
 	}
-	value, err := json.MarshalIndent(at, "", " ")
+	value, err := json.MarshalIndent(config, "", " ")
 	c.Assert(err, quicktest.IsNil)
 	return out.String(), string(value) + "\n"
 }
 
-// FuzzLine checks that no line panics, that every fault points into the line
-// or just behind it, and that a configuration is never changed in place.
+// FuzzLine checks that no line causes a panic, that every error points into the
+// line or just past it, and that a configuration is never modified in place.
 func FuzzLine(f *testing.F) {
 	for _, seed := range []string{
 		"create pool lake model lotus layers 24 servers a1 a2 a3", "stop server a1 at 22:00",
@@ -107,8 +108,8 @@
 		f.Add(seed)
 	}
 	f.Fuzz(func(t *testing.T, text string) {
-		before := base(t)
-		image, err := before.Encode()
+		before := baseConfig(t)
+		encoded, err := before.Encode()
 		quicktest.Assert(t, err, quicktest.IsNil)
 		line, err := lang.Parse(text)
 		var next *conf.Config
@@ -116,10 +117,10 @@
 			next, err = line.Apply(before, lang.Environment{Hosts: hosts(), Now: now})
 		}
 		after, _ := before.Encode()
-		quicktest.Assert(t, string(after), quicktest.Equals, string(image))
-		var fault *lang.Error
-		if errors.As(err, &fault) {
-			quicktest.Assert(t, fault.Column >= 0 && fault.Column <= len([]rune(text))+1, quicktest.IsTrue)
+		quicktest.Assert(t, string(after), quicktest.Equals, string(encoded))
+		var langErr *lang.Error
+		if errors.As(err, &langErr) {
+			quicktest.Assert(t, langErr.Column >= 0 && langErr.Column <= len([]rune(text))+1, quicktest.IsTrue)
 			return
 		}
 		quicktest.Assert(t, err, quicktest.IsNil)
@@ -127,8 +128,8 @@
 	})
 }
 
-func base(t *testing.T) *conf.Config {
-	at := (*conf.Config)(nil).Clone()
+func baseConfig(t *testing.T) *conf.Config {
+	config := (*conf.Config)(nil).Clone()
 	for _, text := range []string{
 		"create service assist model lotus", "create service booking path /booking repeat no",
 		"create pool lake model lotus layers 24 servers a1 a2 a3 b1 b2 b3", "create pool books servers p1 p2",
@@ -136,8 +137,8 @@
 	} {
 		line, err := lang.Parse(text)
 		quicktest.Assert(t, err, quicktest.IsNil)
-		at, err = line.Apply(at, lang.Environment{Hosts: hosts(), Now: now})
+		config, err = line.Apply(config, lang.Environment{Hosts: hosts(), Now: now})
 		quicktest.Assert(t, err, quicktest.IsNil)
 	}
-	return at
+	return config
 }
--- a/parts/lang/parse.go
+++ b/parts/lang/parse.go
@@ -10,14 +10,14 @@
 	"github.com/alecthomas/participle/v2/lexer"
 )
 
-// MaxLineBytes is the longest line that is read, in bytes. A pool of 600 servers
-// fits several times.
+// MaxLineBytes is the maximum length of a line in bytes: several times that of
+// a line with a pool of 600 servers.
 const MaxLineBytes = 64 << 10
 
-// MaxNameLength is the longest name, in bytes.
+// MaxNameLength is the maximum length of a name in bytes.
 const MaxNameLength = 63
 
-var words = lexer.MustSimple([]lexer.SimpleRule{
+var lineLexer = lexer.MustSimple([]lexer.SimpleRule{
 	{Name: "Time", Pattern: `\d+:\d*`},
 	{Name: "Path", Pattern: `/[A-Za-z0-9/_.-]*`},
 	{Name: "Word", Pattern: `[A-Za-z0-9][A-Za-z0-9_.-]*`},
@@ -25,17 +25,17 @@
 })
 
 var parser = participle.MustBuild[Line](
-	participle.Lexer(words),
+	participle.Lexer(lineLexer),
 	participle.Elide("Space"),
 	participle.UseLookahead(1),
 )
 
-// Error is a fault in a line.
+// Error is an error in a line.
 type Error struct {
-	// Column is where the fault is, in characters from 1; zero when it is in
-	// no single place.
+	// Column is the position of the error, in characters from 1; zero if the
+	// error has no single position.
 	Column int
-	// Message says what is wrong and what was expected.
+	// Message describes the error and what was expected.
 	Message string
 }
 
@@ -44,7 +44,7 @@
 	return e.Message
 }
 
-// Parse reads one line. The error is an *Error.
+// Parse parses one line. A non-nil error is an *Error.
 func Parse(text string) (*Line, error) {
 	if len(text) > MaxLineBytes {
 		return nil, &Error{Column: 1, Message: fmt.Sprintf("the line is longer than %d bytes", MaxLineBytes)}
@@ -56,53 +56,55 @@
 	if err == nil {
 		return line, nil
 	}
-	return nil, explain(text, err)
+	return nil, parseError(text, err)
 }
 
-// verbs are the words that a line can begin with.
-const verbs = "create, change, delete, route, add, remove, stop, resume or show"
+// commandNames lists the words that a line can begin with.
+const commandNames = "create, change, delete, route, add, remove, stop, resume or show"
 
 // firstColumn is the column of the first word.
 func firstColumn(text string) int {
 	return len(text) - len(strings.TrimLeft(text, " \t")) + 1
 }
 
-// explain turns an error of the parser into one that an operator can read.
-func explain(text string, err error) *Error {
+// parseError converts an error of the parser into one that operators can
+// understand.
+func parseError(text string, err error) *Error {
 	var unexpected *participle.UnexpectedTokenError
 	if errors.As(err, &unexpected) {
 		column := unexpected.Unexpected.Pos.Column
 		_, expected, _ := strings.Cut(unexpected.Message(), "(expected ")
-		expected = readable(strings.TrimSuffix(expected, ")"))
+		expected = describeExpected(strings.TrimSuffix(expected, ")"))
 		found := fmt.Sprintf("%q", unexpected.Unexpected.Value)
 		if unexpected.Unexpected.EOF() {
 			column = utf8.RuneCountInString(strings.TrimRight(text, " \t\r\n")) + 1
 			found = "the end of the line"
 		}
 		if expected == "" && column == firstColumn(text) {
-			expected = verbs
+			expected = commandNames
 		}
 		if expected == "" {
 			expected = "the end of the line"
 		}
 		return &Error{Column: column, Message: fmt.Sprintf("unexpected %s, want %s", found, expected)}
 	}
-	var unreadable *lexer.Error
-	if errors.As(err, &unreadable) {
+	var lexerErr *lexer.Error
+	if errors.As(err, &lexerErr) {
 		return &Error{
-			Column:  unreadable.Pos.Column,
+			Column:  lexerErr.Pos.Column,
 			Message: "unreadable here, want letters, digits and . _ - only, a /PATH or HH:MM",
 		}
 	}
-	var at participle.Error
-	if errors.As(err, &at) {
-		return &Error{Column: max(at.Position().Column, 1), Message: at.Message()}
+	var parserErr participle.Error
+	if errors.As(err, &parserErr) {
+		return &Error{Column: max(parserErr.Position().Column, 1), Message: parserErr.Message()}
 	}
 	return &Error{Column: 1, Message: err.Error()}
 }
 
-// terms replaces what the parser calls the parts of a line.
-var terms = map[string]string{
+// tokenNames maps the names that the parser uses for the elements of a line to
+// those for operators.
+var tokenNames = map[string]string{
 	"Create": "service, pool or rule", "Change": "service, pool or rule", "Delete": "service, pool or rule",
 	"Add": "server", "Remove": "server", "Stop": "server", "Resume": "server", "Rule": "service",
 	"Show":   "services, pools, rules, stops, servers, entries, lines, command ID or timeline",
@@ -111,17 +113,18 @@
 	"Options": "", "~anyway": "", "!anyway": "",
 }
 
-// readable turns the parser's notation for what it expected into words.
-func readable(expected string) string {
+// describeExpected converts the notation of the parser for the expected
+// elements into words.
+func describeExpected(expected string) string {
 	expected = strings.NewReplacer(`"`, "", "(", "", ")", "", "?", "", "|", "or").Replace(expected)
-	var out []string
+	var names []string
 	for _, word := range strings.Fields(expected) {
-		if term, known := terms[word]; known {
-			word = term
+		if name, exists := tokenNames[word]; exists {
+			word = name
 		}
 		if word != "" {
-			out = append(out, word)
+			names = append(names, word)
 		}
 	}
-	return strings.Join(out, " ")
+	return strings.Join(names, " ")
 }
--- a/parts/lang/thing.go
+++ b/parts/lang/resource.go
@@ -1,17 +1,18 @@
 package lang
 
-// Resource returns the name of what the line changes, for example "pool lake";
-// empty for a question. Two lines clash only if they change the same thing.
+// Resource returns the name of the resource that the line changes, for example
+// "pool lake"; empty for a query. Two lines conflict only if they change the
+// same resource.
 func (l *Line) Resource() string {
 	switch {
 	case l.Create != nil:
-		return l.Create.thing()
+		return l.Create.resource()
 	case l.Change != nil:
-		return l.Change.thing()
+		return l.Change.resource()
 	case l.Delete != nil:
-		return l.Delete.thing()
+		return l.Delete.resource()
 	case l.Route != nil:
-		return l.Route.thing()
+		return l.Route.resource()
 	case l.Add != nil:
 		return "pool " + l.Add.Pool.Text
 	case l.Remove != nil:
@@ -24,41 +25,41 @@
 	return ""
 }
 
-func (c *Create) thing() string {
+func (c *Create) resource() string {
 	switch {
 	case c.Service != nil:
 		return "service " + c.Service.Name.Text
 	case c.Pool != nil:
 		return "pool " + c.Pool.Name.Text
 	}
-	return c.Rule.thing()
+	return c.Rule.resource()
 }
 
-func (c *Change) thing() string {
+func (c *Change) resource() string {
 	switch {
 	case c.Service != nil:
 		return "service " + c.Service.Name.Text
 	case c.Pool != nil:
 		return "pool " + c.Pool.Name.Text
 	}
-	return c.Rule.thing()
+	return c.Rule.resource()
 }
 
-func (d *Delete) thing() string {
+func (d *Delete) resource() string {
 	switch {
 	case d.Service != nil:
 		return "service " + d.Service.Text
 	case d.Pool != nil:
 		return "pool " + d.Pool.Text
 	}
-	return d.Rule.thing()
+	return d.Rule.resource()
 }
 
-func (t *Target) thing() string {
+func (t *Target) resource() string {
 	return "rule " + t.label()
 }
 
-// label names a rule to operators.
+// label returns the name of the rule for operators.
 func (t *Target) label() string {
 	if t.Team == nil {
 		return t.Service.Text
@@ -66,7 +67,7 @@
 	return t.Service.Text + " " + t.Team.Text
 }
 
-func (t *Target) team() string {
+func (t *Target) teamName() string {
 	if t.Team == nil {
 		return ""
 	}
--- a/parts/lang/service.go
+++ b/parts/lang/service.go
@@ -7,31 +7,31 @@
 	"fuchsiashelf.dev/parts/rule"
 )
 
-// reserved are path prefixes that the entry hosts answer themselves.
-var reserved = []string{"/v1", "/health", "/ready"}
+// reservedPaths are path prefixes that the entry hosts serve themselves.
+var reservedPaths = []string{"/v1", "/health", "/ready"}
 
-// name checks a name that the operator chose.
-func name(w Word) error {
+// checkName checks a name chosen by the operator.
+func checkName(w Word) error {
 	if len(w.Text) > MaxNameLength {
-		return fault(w, "the name has more than %d characters", MaxNameLength)
+		return errorAt(w, "the name has more than %d characters", MaxNameLength)
 	}
 	return nil
 }
 
 func (e *edit) createService(s *Service) error {
-	e.at = s.Name
-	if err := name(s.Name); err != nil {
+	e.errorWord = s.Name
+	if err := checkName(s.Name); err != nil {
 		return err
 	}
-	if old, exists := e.Services[s.Name.Text]; exists {
-		return fault(s.Name, "service %s exists since revision %d", old.Name, old.Revision)
+	if existing, exists := e.Services[s.Name.Text]; exists {
+		return errorAt(s.Name, "service %s exists since revision %d", existing.Name, existing.Revision)
 	}
 	next := rule.Service{Name: s.Name.Text, Retryable: true}
 	if s.Model != nil {
 		next.Model = s.Model.Text
 	}
 	if s.Path != nil {
-		if err := e.path(s.Path); err != nil {
+		if err := e.checkPath(s.Path); err != nil {
 			return err
 		}
 		next.Path = s.Path.Text
@@ -40,32 +40,32 @@
 }
 
 func (e *edit) changeService(s *ServiceChange) error {
-	e.at = s.Name
-	old, exists := e.Services[s.Name.Text]
+	e.errorWord = s.Name
+	existing, exists := e.Services[s.Name.Text]
 	if !exists {
-		return fault(s.Name, "there is no service %s", s.Name.Text)
+		return errorAt(s.Name, "there is no service %s", s.Name.Text)
 	}
 	o := s.Options
 	if o.Repeat == "" && o.Ids == "" && o.Guarded == nil && o.Within == nil {
 		return &Error{Column: o.Pos.Column, Message: "nothing to change, want repeat, ids, guarded or within"}
 	}
-	return e.setOptions(old, &s.Options)
+	return e.setOptions(existing, &s.Options)
 }
 
-// path checks a path prefix against those of the other services and of the
-// entry hosts themselves. One prefix may lie below another: the longest that
-// fits takes a call.
-func (e *edit) path(p *PathWord) error {
+// checkPath checks a path prefix against those of the other services and of the
+// entry hosts themselves. One prefix may extend another: a call goes to the
+// service with the longest matching prefix.
+func (e *edit) checkPath(p *PathWord) error {
 	at := Word{Pos: p.Pos, Text: p.Text}
-	want := strings.TrimSuffix(p.Text, "/")
-	for _, taken := range reserved {
-		if want == taken || strings.HasPrefix(want, taken+"/") {
-			return fault(at, "path %s is kept for the entry hosts", p.Text)
+	trimmed := strings.TrimSuffix(p.Text, "/")
+	for _, prefix := range reservedPaths {
+		if trimmed == prefix || strings.HasPrefix(trimmed, prefix+"/") {
+			return errorAt(at, "path %s is kept for the entry hosts", p.Text)
 		}
 	}
 	for _, s := range e.Services {
-		if s.Path != "" && strings.TrimSuffix(s.Path, "/") == want {
-			return fault(at, "path %s is taken by service %s", p.Text, s.Name)
+		if s.Path != "" && strings.TrimSuffix(s.Path, "/") == trimmed {
+			return errorAt(at, "path %s is taken by service %s", p.Text, s.Name)
 		}
 	}
 	return nil
@@ -90,12 +90,12 @@
 	if o.Within != nil {
 		within, err := time.ParseDuration(o.Within.Text)
 		if err != nil || within < rule.MinDeadline || within > rule.MaxDeadline {
-			return fault(*o.Within, "within: want a duration from %s to %s, not %s",
+			return errorAt(*o.Within, "within: want a duration from %s to %s, not %s",
 				rule.MinDeadline, rule.MaxDeadline, o.Within.Text)
 		}
 		s.Deadline = within
 	}
-	if err := e.longest(s, o); err != nil {
+	if err := e.checkDeadline(s, o); err != nil {
 		return err
 	}
 	s.Revision = e.Revision
@@ -103,28 +103,29 @@
 	return nil
 }
 
-// longest refuses a deadline above what claims are kept for. The entry hosts
-// would cut it, and callers would get less time than the line says.
-func (e *edit) longest(s rule.Service, o *Options) error {
-	if s.Retryable || e.world.MaxDeadline == 0 || s.EffectiveDeadline() <= e.world.MaxDeadline {
+// checkDeadline rejects a deadline longer than the time for which claims are
+// kept. The entry hosts would shorten it, and callers would get less time than
+// the line says.
+func (e *edit) checkDeadline(s rule.Service, o *Options) error {
+	if s.Retryable || e.env.MaxDeadline == 0 || s.EffectiveDeadline() <= e.env.MaxDeadline {
 		return nil
 	}
 	at := Word{Pos: o.Pos}
 	if o.Within != nil {
 		at = *o.Within
 	}
-	return fault(at, "within: calls that may not be repeated have at most %s here, not %s",
-		e.world.MaxDeadline, s.EffectiveDeadline())
+	return errorAt(at, "within: calls that may not be repeated have at most %s here, not %s",
+		e.env.MaxDeadline, s.EffectiveDeadline())
 }
 
 func (e *edit) deleteService(at Word) error {
 	s, ok := e.Services[at.Text]
 	if !ok {
-		return fault(at, "there is no service %s", at.Text)
+		return errorAt(at, "there is no service %s", at.Text)
 	}
 	for _, r := range e.Rules {
 		if r.Service == s.Name {
-			return fault(at, "service %s is in use by the rule for %s", s.Name, label(r))
+			return errorAt(at, "service %s is in use by the rule for %s", s.Name, ruleLabel(r))
 		}
 	}
 	delete(e.Services, s.Name)
