--- a/entry/internal/admin/accept.go
+++ b/entry/internal/admin/accept.go
@@ -14,66 +14,67 @@
 	"fuchsiashelf.dev/parts/wire"
 )
 
-// acceptWait bounds how long a line tries to be accepted. It is far above the
+// acceptTimeout bounds the time to get a line accepted. It is far above the
 // object API's usual few milliseconds, so that a slow one still answers.
-const acceptWait = 8 * time.Second
+const acceptTimeout = 8 * time.Second
 
-// outageWait is how long a line that certainly changed nothing is tried again.
-const outageWait = 3 * time.Second
+// outageTimeout bounds the retries of a line that certainly changed nothing.
+const outageTimeout = 3 * time.Second
 
-// retryPause is the mean pause between two tries.
-const retryPause = 60 * time.Millisecond
+// retryInterval is the mean delay between two attempts.
+const retryInterval = 60 * time.Millisecond
 
-// maxObject is the largest configuration that the object API holds, in bytes.
-const maxObject = 1 << 20
+// maxObjectBytes is the largest configuration that the object API holds, in bytes.
+const maxObjectBytes = 1 << 20
 
-// offer is one line on its way to be accepted.
-type offer struct {
+// submission is the state of one line until it is accepted or refused.
+type submission struct {
 	*Server
 	line   *wire.Line
 	parsed *lang.Line
-	// seen is the revision that the operator saw.
-	seen  uint64
-	write conf.Write
-	// sent is the configuration that was written last, and value its form.
-	sent  *conf.Config
-	value []byte
+	// seenRevision is the revision that the operator saw.
+	seenRevision uint64
+	write        conf.Write
+	// config is the configuration built last, and encoded its encoding.
+	config  *conf.Config
+	encoded []byte
 }
 
 // accept writes the line into the configuration and waits until it is in
 // force everywhere.
 func (s *Server) accept(ctx context.Context, line *wire.Line, parsed *lang.Line) *wire.Answer {
-	o := &offer{Server: s, line: line, parsed: parsed, seen: line.Seen}
-	if o.seen == 0 {
-		o.seen = revision(s.View.Load().Config)
+	sub := &submission{Server: s, line: line, parsed: parsed, seenRevision: line.Seen}
+	if sub.seenRevision == 0 {
+		sub.seenRevision = revisionOf(s.View.Load().Config)
 	}
-	accepted, answer := o.run(ctx)
+	accepted, answer := sub.run(ctx)
 	if answer != nil {
 		return answer
 	}
 	return s.confirm(ctx, accepted)
 }
 
-func revision(c *conf.Config) uint64 {
+// revisionOf returns the revision of a configuration, zero if there is none.
+func revisionOf(c *conf.Config) uint64 {
 	if c == nil {
 		return 0
 	}
 	return c.Revision
 }
 
-// run tries until the line is accepted, or until it is known that it is not,
-// or time is over. It returns the accepted line, or the answer.
-func (o *offer) run(ctx context.Context) (conf.Line, *wire.Answer) {
-	ctx, cancel := context.WithTimeout(ctx, acceptWait)
+// run retries until the line is accepted or refused, or the time is up. It
+// returns either the accepted line or the answer.
+func (sub *submission) run(ctx context.Context) (conf.Line, *wire.Answer) {
+	ctx, cancel := context.WithTimeout(ctx, acceptTimeout)
 	defer cancel()
-	began := time.Now()
-	if !o.awaitHosts(ctx) {
+	start := time.Now()
+	if !sub.awaitHosts(ctx) {
 		return conf.Line{}, &wire.Answer{Outcome: Refused, Message: hostsUnknown + "; nothing was changed"}
 	}
-	known := o.survey(ctx)
-	var last error
+	known := sub.survey(ctx)
+	var lastErr error
 	for {
-		accepted, answer, err := o.try(ctx, known)
+		accepted, answer, err := sub.attempt(ctx, known)
 		if answer != nil {
 			return conf.Line{}, answer
 		}
@@ -81,30 +82,30 @@
 			return *accepted, nil
 		}
 		if ctx.Err() == nil {
-			last = err
+			lastErr = err
 		}
-		wait.For(ctx, retryPause/2+rand.N(retryPause))
-		if ctx.Err() != nil || time.Since(began) > outageWait && !o.write.Uncertain() {
-			return conf.Line{}, o.gaveUp(last)
+		wait.For(ctx, retryInterval/2+rand.N(retryInterval))
+		if ctx.Err() != nil || time.Since(start) > outageTimeout && !sub.write.Uncertain() {
+			return conf.Line{}, sub.timeoutAnswer(lastErr)
 		}
 	}
 }
 
-// try reads the object and does what follows. Without an answer of the object
-// API the line may still be seen in force here, by a watch or a peer.
-func (o *offer) try(ctx context.Context, known survey) (*conf.Line, *wire.Answer, error) {
-	object, stored, err := o.read(ctx)
+// attempt reads the object and takes the next step. If the read fails, the line
+// may still be in force here, received from a watch or a peer.
+func (sub *submission) attempt(ctx context.Context, known surveyResult) (*conf.Line, *wire.Answer, error) {
+	object, stored, err := sub.readConfig(ctx)
 	if err == nil {
-		return o.step(ctx, object, stored, known)
+		return sub.handleRead(ctx, object, stored, known)
 	}
-	if line := o.find(nil); line != nil && line.Text == o.line.Text {
+	if line := sub.findLine(nil); line != nil && line.Text == sub.line.Text {
 		return line, nil, nil
 	}
 	return nil, nil, err
 }
 
-// read returns the configuration object and what it holds.
-func (s *Server) read(ctx context.Context) (store.Object, *conf.Config, error) {
+// readConfig returns the configuration object and the decoded configuration.
+func (s *Server) readConfig(ctx context.Context) (store.Object, *conf.Config, error) {
 	object, err := s.Store.Get(ctx, conf.Key)
 	if err != nil {
 		return object, nil, err
@@ -113,50 +114,50 @@
 	return object, stored, err
 }
 
-// gaveUp is the answer when time is over. A line that was never written, or
-// whose writes are all known to have failed, has changed nothing.
-func (o *offer) gaveUp(last error) *wire.Answer {
+// timeoutAnswer returns the answer when the time is up. A line that was never
+// written, or whose writes are all known to have failed, has changed nothing.
+func (sub *submission) timeoutAnswer(lastErr error) *wire.Answer {
 	message := "the object API does not answer"
-	if last != nil {
-		message = last.Error()
+	if lastErr != nil {
+		message = lastErr.Error()
 	}
-	if fault.As(last) != nil && fault.As(last).Code == fault.Conflict {
+	if fault.As(lastErr) != nil && fault.As(lastErr).Code == fault.Conflict {
 		message = "other lines were always faster, or the object API answers with an older copy"
 	}
-	if o.write.Uncertain() {
+	if sub.write.Uncertain() {
 		return &wire.Answer{Outcome: Unknown, Message: message}
 	}
 	return &wire.Answer{Outcome: Refused, Message: message + "; nothing was changed"}
 }
 
-// step does what follows from one reading of the object. It returns the
-// accepted line, or the answer, or an error after which to read again.
-func (o *offer) step(ctx context.Context, object store.Object, stored *conf.Config, known survey) (*conf.Line, *wire.Answer, error) {
-	switch step := o.write.Read(object.Version, stored, o.find(stored)).(type) {
+// handleRead takes the next step after a read of the object. It returns the
+// accepted line, the answer, or an error after which to read again.
+func (sub *submission) handleRead(ctx context.Context, object store.Object, stored *conf.Config, known surveyResult) (*conf.Line, *wire.Answer, error) {
+	switch step := sub.write.Read(object.Version, stored, sub.findLine(stored)).(type) {
 	case conf.Accepted:
-		if step.Line.Text != o.line.Text {
-			return nil, o.reused(step.Line), nil
+		if step.Line.Text != sub.line.Text {
+			return nil, sub.idReused(step.Line), nil
 		}
-		o.Watch.Apply(stored)
+		sub.Watch.Apply(stored)
 		return &step.Line, nil, nil
 	case conf.Build:
-		base, err := o.base(ctx, stored, known)
+		base, err := sub.baseConfig(ctx, stored, known)
 		if err != nil {
 			return nil, nil, err
 		}
-		if err := o.build(base); err != nil {
-			return nil, refused(err), nil
+		if err := sub.buildNext(base); err != nil {
+			return nil, refusedAnswer(err), nil
 		}
-		return o.send(ctx, object.Version, stored)
+		return sub.put(ctx, object.Version, stored)
 	case conf.Resend:
-		return o.send(ctx, object.Version, stored)
+		return sub.put(ctx, object.Version, stored)
 	case conf.Reread:
 		return nil, nil, &staleError{}
 	}
 	return nil, nil, nil
 }
 
-// staleError says that the object API answers with an older copy.
+// staleError reports that the object API answers with an older copy.
 type staleError struct{}
 
 // Error returns the message.
@@ -164,68 +165,70 @@
 	return "the object API answers with an older copy"
 }
 
-// find looks for the line in the object and in the configuration in force,
-// which is the newer one if the object API has lost what it held.
-func (o *offer) find(stored *conf.Config) *conf.Line {
-	for _, c := range []*conf.Config{stored, o.View.Load().Config} {
-		if line, ok := c.Find(o.line.Id); ok {
+// findLine returns the record of the line in the stored configuration or in the
+// one in force, which is newer if the object API has lost writes.
+func (sub *submission) findLine(stored *conf.Config) *conf.Line {
+	for _, c := range []*conf.Config{stored, sub.View.Load().Config} {
+		if line, ok := c.Find(sub.line.Id); ok {
 			return &line
 		}
 	}
 	return nil
 }
 
-func (o *offer) reused(of conf.Line) *wire.Answer {
+// idReused returns the answer to a line whose id an accepted line with another
+// text has.
+func (sub *submission) idReused(accepted conf.Line) *wire.Answer {
 	return &wire.Answer{
 		Outcome: Refused,
-		Message: fmt.Sprintf("the id belongs to the line %q of revision %d", of.Text, of.Revision),
+		Message: fmt.Sprintf("the id belongs to the line %q of revision %d", accepted.Text, accepted.Revision),
 	}
 }
 
-// build makes the next configuration of a base. It fails if what the line
-// changes has been changed since the operator looked.
-func (o *offer) build(base *conf.Config) error {
-	thing := o.parsed.Resource()
-	if o.seen > base.Revision {
-		return fmt.Errorf("revision %d was seen, but only %d is known here", o.seen, base.Revision)
+// buildNext applies the line to a base configuration. It fails if the resource
+// that the line changes has changed since the revision that the operator saw.
+func (sub *submission) buildNext(base *conf.Config) error {
+	resource := sub.parsed.Resource()
+	if sub.seenRevision > base.Revision {
+		return fmt.Errorf("revision %d was seen, but only %d is known here", sub.seenRevision, base.Revision)
 	}
-	line, clash, complete := base.Conflict(thing, o.seen)
-	if clash {
+	line, conflict, complete := base.Conflict(resource, sub.seenRevision)
+	if conflict {
 		return fmt.Errorf("%s was changed at revision %d by %s at %s: %s",
-			thing, line.Revision, line.Operator, line.At.UTC().Format(time.DateTime), line.Text)
+			resource, line.Revision, line.Operator, line.At.UTC().Format(time.DateTime), line.Text)
 	}
 	if !complete {
-		return fmt.Errorf("revision %d was seen, which is too long ago to compare with %d", o.seen, base.Revision)
+		return fmt.Errorf("revision %d was seen, which is too long ago to compare with %d", sub.seenRevision, base.Revision)
 	}
 	now := time.Now()
-	next, err := o.parsed.Apply(base, lang.Environment{Hosts: o.View.Load().Hosts, Now: now, MaxDeadline: o.MaxCallTime})
+	next, err := sub.parsed.Apply(base, lang.Environment{Hosts: sub.View.Load().Hosts, Now: now, MaxDeadline: sub.MaxCallTime})
 	if err != nil {
 		return err
 	}
 	next.Record(conf.Line{
-		ID: o.line.Id, Revision: next.Revision, Operator: o.line.Operator,
-		Text: o.line.Text, Resource: thing, At: now,
+		ID: sub.line.Id, Revision: next.Revision, Operator: sub.line.Operator,
+		Text: sub.line.Text, Resource: resource, At: now,
 	})
 	value, err := next.Encode()
 	if err != nil {
 		return err
 	}
-	if len(value) > maxObject {
-		return fmt.Errorf("the configuration would have %d bytes, more than %d", len(value), maxObject)
+	if len(value) > maxObjectBytes {
+		return fmt.Errorf("the configuration would have %d bytes, more than %d", len(value), maxObjectBytes)
 	}
-	o.sent, o.value = next, value
+	sub.config, sub.encoded = next, value
 	return nil
 }
 
-// send writes what was built, conditional on the version at which the object
-// held a configuration.
-func (o *offer) send(ctx context.Context, version uint64, held *conf.Config) (*conf.Line, *wire.Answer, error) {
-	_, err := o.Store.Put(ctx, conf.Key, o.value, version)
+// put writes the configuration that was built, on condition that the object
+// still has the given version, at which it held the given configuration.
+func (sub *submission) put(ctx context.Context, version uint64, stored *conf.Config) (*conf.Line, *wire.Answer, error) {
+	_, err := sub.Store.Put(ctx, conf.Key, sub.encoded, version)
 	if err != nil {
-		o.write.Sent(version, held, fault.As(err).Verdict)
+		sub.write.Sent(version, stored, fault.As(err).Verdict)
 		return nil, nil, err
 	}
-	o.Watch.Apply(o.sent)
-	line, _ := o.sent.Find(o.line.Id)
+	sub.Watch.Apply(sub.config)
+	line, _ := sub.config.Find(sub.line.Id)
 	return &line, nil, nil
 }
--- a/entry/internal/admin/seat.go
+++ b/entry/internal/admin/server.go
@@ -1,9 +1,10 @@
-// Package seat carries out the lines of the operators' language.
+// Package admin executes the lines of the operators' command language. A line
+// is one command.
 //
 // A line is accepted by one conditional write of the whole configuration (see
-// accept), and called done once every live entry host has it in force (see
-// confirm). Whatever goes wrong on the way, the answer says only what is
-// known: done, partly, refused (nothing changed), or unknown.
+// accept), and done once every live entry host has it in force (see confirm).
+// After a failure the answer claims no more than is known: done, partly,
+// refused (nothing changed), or unknown.
 package admin
 
 import (
@@ -27,7 +28,7 @@
 	"fuchsiashelf.dev/parts/wire"
 )
 
-// Server carries out lines. Set the exported fields, then Run.
+// Server executes operators' lines. Set the exported fields, then call Run.
 type Server struct {
 	View   *view.Publisher
 	Store  store.API
@@ -36,53 +37,53 @@
 	Trace  *trace.Recorder
 	Log    *slog.Logger
 	Secret string
-	// MaxCallTime is the longest time for a call that may not be repeated.
+	// MaxCallTime is the longest deadline of a call that must run at most once.
 	MaxCallTime time.Duration
-	// Workers runs the questions to other entry hosts. Its size bounds how
-	// many are out at once.
+	// Workers runs the queries to other entry hosts. Its size bounds how many
+	// run concurrently.
 	Workers *ants.Pool
-	// Done is closed when Run has ended; nil if nobody waits.
+	// Done, if not nil, is closed when Run returns.
 	Done chan struct{}
 }
 
 // The outcomes of a line.
 const (
-	// Done: accepted, and in force on every live entry host. For a question:
+	// Done: accepted, and in force on every live entry host. For a show line:
 	// answered.
 	Done = "done"
 	// Partial: accepted, but some entry hosts have not confirmed.
 	Partial = "partly"
 	// Refused: nothing was changed.
 	Refused = "refused"
-	// Unknown: the object API answered neither way.
+	// Unknown: it is not known whether the line was accepted.
 	Unknown = "unknown"
 )
 
-// Run answers operators until the context ends.
+// Run serves operators until the context ends.
 func (s *Server) Run(ctx context.Context, listener net.Listener) error {
 	if s.Done != nil {
 		defer close(s.Done)
 	}
 	mux := drpcmux.New()
-	if err := wire.DRPCRegisterDesk(mux, &desk{seat: s}); err != nil {
+	if err := wire.DRPCRegisterDesk(mux, &deskService{server: s}); err != nil {
 		return err
 	}
-	back := make(chan struct{})
-	go func() { s.putBack(ctx); close(back) }()
+	restoreDone := make(chan struct{})
+	go func() { s.restoreLoop(ctx); close(restoreDone) }()
 	err := drpcserver.New(mux).Serve(ctx, listener)
-	<-back
+	<-restoreDone
 	return err
 }
 
-// desk is the operators' call.
-type desk struct {
+// deskService implements the Desk RPC service.
+type deskService struct {
 	wire.DRPCDeskUnimplementedServer
-	seat *Server
+	server *Server
 }
 
-// Run implements the operators' call.
-func (d *desk) Run(ctx context.Context, line *wire.Line) (*wire.Answer, error) {
-	s := d.seat
+// Run executes one line and returns its outcome.
+func (d *deskService) Run(ctx context.Context, line *wire.Line) (*wire.Answer, error) {
+	s := d.server
 	if !mesh.EqualSecrets(line.Secret, s.Secret) {
 		return &wire.Answer{Outcome: Refused, Id: line.Id, Message: "wrong secret"}, nil
 	}
@@ -98,11 +99,11 @@
 	return answer, nil
 }
 
-// run carries out one line.
+// run executes one line of an operator that has the secret.
 func (s *Server) run(ctx context.Context, line *wire.Line) *wire.Answer {
 	parsed, err := lang.Parse(line.Text)
 	if err != nil {
-		return refused(err)
+		return refusedAnswer(err)
 	}
 	if parsed.Show != nil {
 		return s.show(ctx, parsed.Show)
@@ -113,12 +114,13 @@
 	return s.accept(ctx, line, parsed)
 }
 
-// refused is the answer to a line that changed nothing.
-func refused(err error) *wire.Answer {
+// refusedAnswer returns the answer to a line that changed nothing, with the
+// column of a syntax error.
+func refusedAnswer(err error) *wire.Answer {
 	answer := &wire.Answer{Outcome: Refused, Message: err.Error()}
-	var at *lang.Error
-	if errors.As(err, &at) {
-		answer.Column = uint32(at.Column)
+	var langErr *lang.Error
+	if errors.As(err, &langErr) {
+		answer.Column = uint32(langErr.Column)
 	}
 	return answer
 }
--- a/entry/internal/admin/seat_test.go
+++ b/entry/internal/admin/server_test.go
@@ -28,16 +28,16 @@
 	"fuchsiashelf.dev/parts/wire"
 )
 
-// fakeStore holds the configuration object alone.
+// fakeStore holds only the configuration object.
 type fakeStore struct {
 	store.API
 	mu     sync.Mutex
 	object store.Object
-	// lose is how many replies to writes are lost after the effect.
-	lose int
-	puts int
-	// put receives after a write, if it is set.
-	put chan struct{}
+	// loseReplies is how many writes take effect but report a lost reply.
+	loseReplies int
+	puts        int
+	// written, if set, receives a value after each write.
+	written chan struct{}
 }
 
 func (f *fakeStore) Get(context.Context, string) (store.Object, error) {
@@ -54,11 +54,11 @@
 		return 0, &fault.Error{Code: fault.Conflict, Verdict: fault.NotRun}
 	}
 	f.object = store.Object{Key: key, Version: version + 1, Value: slices.Clone(value)}
-	if f.put != nil {
-		f.put <- struct{}{}
+	if f.written != nil {
+		f.written <- struct{}{}
 	}
-	if f.lose > 0 {
-		f.lose--
+	if f.loseReplies > 0 {
+		f.loseReplies--
 		return 0, &fault.Error{Code: fault.StoreDown, Verdict: fault.MayHaveRun, Cause: errors.New("reply lost")}
 	}
 	return f.object.Version, nil
@@ -66,8 +66,8 @@
 
 const secret = "of the tests"
 
-// entry is an entry host whose watches and exchange do not run: it learns
-// only what the test lets it.
+// entry is an entry host without running watches and exchange: it knows only
+// what the test gives it.
 type entry struct {
 	view  *view.Publisher
 	watch *watch.Watcher
@@ -100,8 +100,9 @@
 	return e
 }
 
-// know tells entry hosts of each other.
-func know(entries ...*entry) {
+// introduce sets the host list of each entry host to all of them and one plain
+// server.
+func introduce(entries ...*entry) {
 	for _, e := range entries {
 		e.view.Update(func(s *view.Snapshot) {
 			s.HostsRevision = 1
@@ -113,8 +114,9 @@
 	}
 }
 
-// operator sends lines to the seat of an entry host.
-func operator(c *quicktest.C, e *entry, api store.API) func(line *wire.Line) *wire.Answer {
+// newOperator starts the admin server of an entry host and returns a function
+// that sends it a line.
+func newOperator(c *quicktest.C, e *entry, api store.API) func(line *wire.Line) *wire.Answer {
 	workers, err := ants.NewPool(8)
 	c.Assert(err, quicktest.IsNil)
 	listener, err := net.Listen("tcp", "127.0.0.1:0")
@@ -125,9 +127,9 @@
 	}
 	ctx, cancel := context.WithCancel(context.Background())
 	go func() { _ = s.Run(ctx, listener) }()
-	raw, err := net.Dial("tcp", listener.Addr().String())
+	netConn, err := net.Dial("tcp", listener.Addr().String())
 	c.Assert(err, quicktest.IsNil)
-	conn := drpcconn.New(raw)
+	conn := drpcconn.New(netConn)
 	c.Cleanup(func() {
 		_ = conn.Close()
 		cancel()
@@ -147,33 +149,33 @@
 		goleak.IgnoreAnyFunction("github.com/panjf2000/ants/v2.(*poolCommon).ticktock"))
 }
 
-// An entry host is cut off from the store and hears nothing of the others'
-// exchange. Without the configuration being handed to it, every line would be
-// partly, and its callers be routed by yesterday's rules.
-func TestHandOn(t *testing.T) {
+// An entry host is cut off from the store and from the gossip exchange. If
+// status queries did not carry the configuration, every line would end as
+// partial and its callers would be routed by outdated rules.
+func TestConfirmPushesConfig(t *testing.T) {
 	c := quicktest.New(t)
-	one, two := newEntry(c, "e1"), newEntry(c, "e2")
-	know(one, two)
-	send := operator(c, one, &fakeStore{})
+	first, second := newEntry(c, "e1"), newEntry(c, "e2")
+	introduce(first, second)
+	send := newOperator(c, first, &fakeStore{})
 	answer := send(&wire.Line{Id: "x1", Text: "create pool books servers p1"})
 	c.Assert(answer.Outcome, quicktest.Equals, admin.Done, quicktest.Commentf("%v", answer))
-	c.Assert(two.view.Load().Config.Revision, quicktest.Equals, uint64(1))
+	c.Assert(second.view.Load().Config.Revision, quicktest.Equals, uint64(1))
 }
 
-// The reply to the write is lost after it took effect. Written again as a new
-// line, it would be refused as one that exists already.
-func TestLostReply(t *testing.T) {
+// The reply to a write is lost after it took effect. If the line were applied
+// again, it would be refused because its pool already exists.
+func TestLostWriteReply(t *testing.T) {
 	c := quicktest.New(t)
-	one := newEntry(c, "e1")
-	know(one)
-	api := &fakeStore{lose: 1}
-	send := operator(c, one, api)
+	first := newEntry(c, "e1")
+	introduce(first)
+	api := &fakeStore{loseReplies: 1}
+	send := newOperator(c, first, api)
 	line := &wire.Line{Id: "x1", Text: "create pool books servers p1"}
 	c.Assert(send(line).Outcome, quicktest.Equals, admin.Done)
 	c.Assert(api.puts, quicktest.Equals, 1)
-	// The operator does not know and sends it again.
-	again := send(&wire.Line{Id: "x1", Text: line.Text})
-	c.Assert([]any{again.Outcome, again.Revision}, quicktest.DeepEquals, []any{admin.Done, uint64(1)})
+	// The operator sends it again.
+	repeated := send(&wire.Line{Id: "x1", Text: line.Text})
+	c.Assert([]any{repeated.Outcome, repeated.Revision}, quicktest.DeepEquals, []any{admin.Done, uint64(1)})
 	c.Assert(api.puts, quicktest.Equals, 1)
 	other := send(&wire.Line{Id: "x1", Text: "delete pool books"})
 	c.Assert(other.Outcome, quicktest.Equals, admin.Refused)
@@ -181,50 +183,51 @@
 
 // The store was restored from an older copy, and one entry host, which may
 // have a newer configuration than all others, does not answer. A line built
-// now could undo what that one has in force.
-func TestRestoredStore(t *testing.T) {
+// now could undo lines that are in force there.
+func TestRestoredStoreRefusesLines(t *testing.T) {
 	c := quicktest.New(t)
-	one, two := newEntry(c, "e1"), newEntry(c, "e2")
-	know(one, two)
+	first, second := newEntry(c, "e1"), newEntry(c, "e2")
+	introduce(first, second)
 	inForce := (*conf.Config)(nil).Clone()
 	for _, id := range []string{"a", "b"} {
 		inForce.Revision++
 		inForce.Record(conf.Line{ID: id, Revision: inForce.Revision, Resource: "pool " + id})
 	}
-	one.watch.Apply(inForce)
-	two.watch.Apply(inForce)
-	two.stop()
+	first.watch.Apply(inForce)
+	second.watch.Apply(inForce)
+	second.stop()
 	api := &fakeStore{object: store.Object{Key: conf.Key, Version: 7}}
-	send := operator(c, one, api)
+	send := newOperator(c, first, api)
 	answer := send(&wire.Line{Id: "x1", Text: "create pool books servers p1"})
 	c.Assert(answer.Outcome, quicktest.Equals, admin.Refused)
 	c.Assert(answer.Message, quicktest.Contains, "e2 does not answer")
 	c.Assert(api.puts, quicktest.Equals, 0)
-	// It leaves the host list, and the line is built on what is in force.
-	know(one)
+	// Once that host is off the list, the line is built on the configuration in
+	// force.
+	introduce(first)
 	answer = send(&wire.Line{Id: "x2", Text: "create pool books servers p1"})
 	c.Assert([]any{answer.Outcome, answer.Revision}, quicktest.DeepEquals, []any{admin.Done, uint64(3)})
 	stored, err := conf.Decode(api.object.Value)
 	c.Assert(err, quicktest.IsNil)
-	_, kept := stored.Find("b")
-	c.Assert(kept, quicktest.IsTrue)
+	_, found := stored.Find("b")
+	c.Assert(found, quicktest.IsTrue)
 }
 
-// The store was restored from an older copy while nobody sends lines. If the
-// newest configuration were not put back, it would be gone with the last
+// The store was restored from an older copy while no lines are sent. If the
+// newest configuration were not written back, it would be lost with the last
 // entry host that has it in force.
-func TestPutBack(t *testing.T) {
+func TestConfigIsRestored(t *testing.T) {
 	c := quicktest.New(t)
-	one := newEntry(c, "e1")
-	know(one)
+	first := newEntry(c, "e1")
+	introduce(first)
 	inForce := (*conf.Config)(nil).Clone()
 	inForce.Revision = 1
 	inForce.Record(conf.Line{ID: "a", Revision: 1})
-	one.watch.Apply(inForce)
-	api := &fakeStore{object: store.Object{Key: conf.Key, Version: 7}, put: make(chan struct{}, 1)}
-	operator(c, one, api)
-	one.watch.MarkStoreStale()
-	<-api.put
+	first.watch.Apply(inForce)
+	api := &fakeStore{object: store.Object{Key: conf.Key, Version: 7}, written: make(chan struct{}, 1)}
+	newOperator(c, first, api)
+	first.watch.MarkStoreStale()
+	<-api.written
 	object, err := api.Get(context.Background(), conf.Key)
 	c.Assert(err, quicktest.IsNil)
 	stored, err := conf.Decode(object.Value)
--- a/entry/internal/admin/show.go
+++ b/entry/internal/admin/show.go
@@ -16,21 +16,21 @@
 	"fuchsiashelf.dev/parts/wire"
 )
 
-// rows collects the result of a question, a line each.
+// rows collects the rows of an answer.
 type rows []string
 
 func (r *rows) add(format string, args ...any) {
 	*r = append(*r, fmt.Sprintf(format, args...))
 }
 
-// show answers a question from the configuration in force here, and from the
-// other entry hosts where it is about them.
+// show answers a show line from the configuration in force here, and from the
+// other entry hosts where it asks about them.
 func (s *Server) show(ctx context.Context, show *lang.Show) *wire.Answer {
 	if show.Command != nil {
 		return s.showCommand(ctx, show.Command.Text)
 	}
 	snap := s.View.Load()
-	answer := &wire.Answer{Outcome: Done, Revision: revision(snap.Config)}
+	answer := &wire.Answer{Outcome: Done, Revision: revisionOf(snap.Config)}
 	if age := s.Watch.Staleness(); age > staleAfter {
 		answer.Message = fmt.Sprintf("the object API has not answered here for %s", age.Truncate(time.Second))
 	}
@@ -46,22 +46,23 @@
 	case show.What == "lines":
 		showLines(c, &out)
 	default:
-		showThings(c, snap, show.What, &out)
+		showResources(c, snap, show.What, &out)
 		slices.Sort(out)
 	}
 	answer.Rows = out
 	return answer
 }
 
-// staleAfter is when a question is answered with a remark: what is accepted
-// elsewhere should have been in force here within this time.
+// staleAfter is the silence of the object API after which an answer carries a
+// warning: a line accepted on another entry host should be in force here within
+// this time.
 const staleAfter = 4 * time.Second
 
-func showThings(c *conf.Config, snap *view.Snapshot, what string, out *rows) {
-	switch what {
+func showResources(c *conf.Config, snap *view.Snapshot, kind string, out *rows) {
+	switch kind {
 	case "services":
 		for _, s := range c.Services {
-			out.add("service %s revision %d", service(s), s.Revision)
+			out.add("service %s revision %d", formatService(s), s.Revision)
 		}
 	case "pools":
 		for _, p := range c.Pools {
@@ -84,8 +85,8 @@
 	}
 }
 
-// service describes a service in the words of the language.
-func service(s rule.Service) string {
+// formatService describes a service in the words of the command language.
+func formatService(s rule.Service) string {
 	if !s.IsPlain() {
 		return fmt.Sprintf("%s model %s within %s", s.Name, s.Model, s.EffectiveDeadline())
 	}
@@ -103,51 +104,52 @@
 }
 
 func showServers(c *conf.Config, snap *view.Snapshot, out *rows) {
-	in := map[string][]string{}
+	poolsOf := map[string][]string{}
 	for _, p := range c.Pools {
 		for _, name := range p.Servers {
-			in[name] = append(in[name], p.Name)
+			poolsOf[name] = append(poolsOf[name], p.Name)
 		}
 	}
 	for name, h := range snap.Hosts {
 		if h.Role == host.Entry {
 			continue
 		}
-		what := "plain"
+		kind := "plain"
 		if h.Role == host.Engine {
-			what = fmt.Sprintf("model %s layers %d to %d", h.Model, h.First, h.End)
+			kind = fmt.Sprintf("model %s layers %d to %d", h.Model, h.First, h.End)
 		}
 		state := "takes work"
-		if reason, gone := snap.Cordoned[name]; gone {
+		if reason, cordoned := snap.Cordoned[name]; cordoned {
 			state = string(reason)
 		}
-		slices.Sort(in[name])
-		out.add("server %s domain %s %s pools [%s] %s", name, h.Domain, what, strings.Join(in[name], " "), state)
+		slices.Sort(poolsOf[name])
+		out.add("server %s domain %s %s pools [%s] %s", name, h.Domain, kind, strings.Join(poolsOf[name], " "), state)
 	}
 }
 
-// maxLines is how many lines are shown.
-const maxLines = 20
+// maxShownLines bounds the rows of show lines.
+const maxShownLines = 20
 
 func showLines(c *conf.Config, out *rows) {
-	for _, l := range c.History[max(0, len(c.History)-maxLines):] {
-		out.add("%s", record(l))
+	for _, l := range c.History[max(0, len(c.History)-maxShownLines):] {
+		out.add("%s", formatLine(l))
 	}
 }
 
-func record(l conf.Line) string {
+// formatLine describes an accepted line.
+func formatLine(l conf.Line) string {
 	return fmt.Sprintf("line %s revision %d by %s at %s: %s",
 		l.ID, l.Revision, l.Operator, l.At.UTC().Format(time.DateTime), l.Text)
 }
 
-// showCommand tells what became of a line. It asks the object API, since the
-// line may have been accepted without having come into force here.
+// showCommand reports the outcome of a line. If the line is not in force here it
+// reads the object API, since the line may have been accepted anyway.
 func (s *Server) showCommand(ctx context.Context, id string) *wire.Answer {
-	ctx, cancel := context.WithTimeout(ctx, acceptWait)
+	ctx, cancel := context.WithTimeout(ctx, acceptTimeout)
 	defer cancel()
 	line, found := s.View.Load().Config.Find(id)
 	if !found {
-		_, stored, err := s.read(ctx)
+		_, stored, err := s.readConfig(ctx)
 		if err != nil {
 			return &wire.Answer{Outcome: Unknown, Message: "the object API does not answer: " + err.Error()}
 		}
@@ -160,11 +162,11 @@
 		}
 	}
 	answer := s.confirm(ctx, line)
-	answer.Rows = []string{record(line)}
+	answer.Rows = []string{formatLine(line)}
 	return answer
 }
 
-// showEntries asks every entry host what it has in force.
+// showEntries shows the status of every entry host.
 func (s *Server) showEntries(ctx context.Context, answer *wire.Answer, out *rows) {
 	others := s.Mesh.Others()
 	replies := s.statuses(ctx, others)
@@ -179,15 +181,15 @@
 			out.add("entry %s domain %s does not answer", h.Name, h.Domain)
 			continue
 		}
-		out.add("entry %s domain %s revision %d %s", h.Name, h.Domain, reply.Revision, condition(reply))
+		out.add("entry %s domain %s revision %d %s", h.Name, h.Domain, reply.Revision, formatStatus(reply))
 	}
 	slices.Sort(answer.Missing)
 	slices.Sort(*out)
 }
 
-// condition says whether an entry host takes callers, and how long it has
-// been cut off from the object API.
-func condition(reply *wire.StatusReply) string {
+// formatStatus describes whether an entry host accepts callers, and for how long
+// the object API has not answered it.
+func formatStatus(reply *wire.StatusReply) string {
 	text := "not ready"
 	if reply.Ready {
 		text = "ready"
@@ -202,16 +204,18 @@
 	return text
 }
 
-func (s *Server) showTimeline(ctx context.Context, of *lang.Timeline, out *rows) {
+// showTimeline shows the trace events of all entry hosts in order of time, or
+// only those of one request.
+func (s *Server) showTimeline(ctx context.Context, timeline *lang.Timeline, out *rows) {
 	request := ""
-	if of.Request != nil {
-		request = of.Request.Text
+	if timeline.Request != nil {
+		request = timeline.Request.Text
 	}
 	events := s.Trace.Find(request)
 	others := s.Mesh.Others()
-	ctx, cancel := context.WithTimeout(ctx, surveyWait)
+	ctx, cancel := context.WithTimeout(ctx, surveyTimeout)
 	defer cancel()
-	replies := askAll(ctx, s, others, func(ctx context.Context, h host.Host) (*wire.TimelineReply, error) {
+	replies := queryAll(ctx, s, others, func(ctx context.Context, h host.Host) (*wire.TimelineReply, error) {
 		client, err := s.Mesh.Client(ctx, h)
 		if err != nil {
 			return nil, err
@@ -224,15 +228,15 @@
 			out.add("entry %s does not answer", h.Name)
 			continue
 		}
-		for _, e := range reply.Events {
+		for _, event := range reply.Events {
 			events = append(events, trace.Event{
-				Clock: e.Clock, Process: e.Process, Component: e.Part, Request: e.Request, Message: e.What,
+				Clock: event.Clock, Process: event.Process, Component: event.Part, Request: event.Request, Message: event.What,
 			})
 		}
 	}
 	trace.Sort(events)
-	for _, e := range events {
-		at := time.Unix(0, int64(e.Clock)).UTC().Format("15:04:05.000000")
-		out.add("%s %s %s %s %s", at, e.Process, e.Component, e.Request, e.Message)
+	for _, event := range events {
+		at := time.Unix(0, int64(event.Clock)).UTC().Format("15:04:05.000000")
+		out.add("%s %s %s %s %s", at, event.Process, event.Component, event.Request, event.Message)
 	}
 }
--- a/entry/internal/admin/stops.go
+++ b/entry/internal/admin/stops.go
@@ -13,8 +13,9 @@
 	"fuchsiashelf.dev/parts/wire"
 )
 
-// showStops tells for each planned stop whether it is safe by now. With an
-// entry host silent the answer is partly, and no stop is called safe.
+// showStops reports for each planned stop whether the server can be taken away
+// safely. If an entry host does not answer, the outcome is Partial and no stop
+// is safe.
 func (s *Server) showStops(ctx context.Context, c *conf.Config, answer *wire.Answer, out *rows) {
 	others := s.Mesh.Others()
 	replies := s.statuses(ctx, others)
@@ -30,16 +31,16 @@
 	}
 	for _, name := range slices.Sorted(maps.Keys(c.Stops)) {
 		stop := c.Stops[name]
-		outcome := drain.Evaluate(stop.Revision, entries, reports(name, replies))
-		out.add("stop server %s %s", name, state(stop, outcome))
+		outcome := drain.Evaluate(stop.Revision, entries, drainReports(name, replies))
+		out.add("stop server %s %s", name, formatStop(stop, outcome))
 		if len(outcome.Unresponsive) > 0 {
 			answer.Outcome, answer.Missing = Partial, outcome.Unresponsive
 		}
 	}
 }
 
-// reports turns the replies into what they say about one server.
-func reports(server string, replies map[string]*wire.StatusReply) map[string]drain.Report {
+// drainReports returns the reports of the entry hosts about one server.
+func drainReports(server string, replies map[string]*wire.StatusReply) map[string]drain.Report {
 	all := map[string]drain.Report{}
 	for name, reply := range replies {
 		report := drain.Report{}
@@ -53,26 +54,26 @@
 	return all
 }
 
-// state puts what is known about a stop into words.
-func state(stop conf.Stop, o drain.Outcome) string {
+// formatStop describes the state of a stop.
+func formatStop(stop conf.Stop, o drain.Outcome) string {
 	if !stop.Begun(time.Now()) {
 		return "begins at " + stop.At.UTC().Format(time.DateTime)
 	}
 	if o.Safe {
 		return "safe"
 	}
-	var why []string
+	var reasons []string
 	if o.InFlight > 0 {
-		why = append(why, fmt.Sprintf("%d requests in flight", o.InFlight))
+		reasons = append(reasons, fmt.Sprintf("%d requests in flight", o.InFlight))
 	}
 	if len(o.Unresponsive) > 0 {
-		why = append(why, "no answer from "+strings.Join(o.Unresponsive, " "))
+		reasons = append(reasons, "no answer from "+strings.Join(o.Unresponsive, " "))
 	}
 	if len(o.Lagging) > 0 {
-		why = append(why, "not in force on "+strings.Join(o.Lagging, " "))
+		reasons = append(reasons, "not in force on "+strings.Join(o.Lagging, " "))
 	}
-	if len(why) == 0 {
-		why = append(why, "entry hosts not known")
+	if len(reasons) == 0 {
+		reasons = append(reasons, "entry hosts not known")
 	}
-	return "not safe: " + strings.Join(why, ", ")
+	return "not safe: " + strings.Join(reasons, ", ")
 }
--- a/entry/internal/admin/survey.go
+++ b/entry/internal/admin/survey.go
@@ -16,24 +16,25 @@
 	"fuchsiashelf.dev/parts/wire"
 )
 
-// survey is what the other entry hosts have in force.
-type survey struct {
-	// best is the host with the highest revision.
-	best     host.Host
+// surveyResult holds the revisions that the other entry hosts have in force.
+type surveyResult struct {
+	// newest is the host with the highest revision, which is revision.
+	newest   host.Host
 	revision uint64
-	// silent names the hosts that did not answer, sorted.
-	silent []string
+	// unresponsive names the hosts that did not answer, sorted.
+	unresponsive []string
 }
 
-// surveyWait bounds a survey. A live host answers in milliseconds; the rest is
-// for many that do not.
-const surveyWait = time.Second
+// surveyTimeout bounds a survey. A live host answers in milliseconds; the rest
+// allows for many hosts that do not answer and occupy the workers.
+const surveyTimeout = time.Second
 
-// awaitHosts waits until the host list is known, as it is moments after the
-// start of an entry host. Without it a line could not be checked, and a store
-// that lost what others have in force would not be noticed.
+// awaitHosts waits until the host list is known, which it is shortly after an
+// entry host starts, and reports whether it is. Without the list a line could
+// not be checked, and a store that has lost what other entry hosts have in force
+// would go unnoticed.
 func (s *Server) awaitHosts(ctx context.Context) bool {
-	ctx, cancel := context.WithTimeout(ctx, outageWait)
+	ctx, cancel := context.WithTimeout(ctx, outageTimeout)
 	defer cancel()
 	for {
 		changed := s.View.Changed()
@@ -48,31 +49,31 @@
 	}
 }
 
-// survey asks all other entry hosts for their revision.
-func (s *Server) survey(ctx context.Context) survey {
+// survey queries the revision of all other entry hosts.
+func (s *Server) survey(ctx context.Context) surveyResult {
 	others := s.Mesh.Others()
 	replies := s.statuses(ctx, others)
-	var found survey
+	var result surveyResult
 	for _, h := range others {
 		reply := replies[h.Name]
 		if reply == nil {
-			found.silent = append(found.silent, h.Name)
+			result.unresponsive = append(result.unresponsive, h.Name)
 			continue
 		}
-		if reply.Revision > found.revision {
-			found.best, found.revision = h, reply.Revision
+		if reply.Revision > result.revision {
+			result.newest, result.revision = h, reply.Revision
 		}
 	}
-	slices.Sort(found.silent)
-	return found
+	slices.Sort(result.unresponsive)
+	return result
 }
 
-// askWait bounds one question to one entry host.
-const askWait = 400 * time.Millisecond
+// statusTimeout bounds one status query.
+const statusTimeout = 400 * time.Millisecond
 
-// ask asks one entry host.
-func (s *Server) ask(ctx context.Context, h host.Host, ask *wire.StatusAsk) (*wire.StatusReply, error) {
-	ctx, cancel := context.WithTimeout(ctx, askWait)
+// status queries the status of one entry host.
+func (s *Server) status(ctx context.Context, h host.Host, ask *wire.StatusAsk) (*wire.StatusReply, error) {
+	ctx, cancel := context.WithTimeout(ctx, statusTimeout)
 	defer cancel()
 	client, err := s.Mesh.Client(ctx, h)
 	if err != nil {
@@ -81,9 +82,9 @@
 	return client.Status(ctx, ask)
 }
 
-// askAll asks many hosts at once, as far as the workers allow. The map lacks
-// those that failed.
-func askAll[T any](
+// queryAll queries hosts concurrently, as far as the workers allow. The returned
+// map lacks the hosts whose query failed.
+func queryAll[T any](
 	ctx context.Context, s *Server, hosts []host.Host, ask func(context.Context, host.Host) (T, error),
 ) map[string]T {
 	var mu sync.Mutex
@@ -109,47 +110,48 @@
 	return replies
 }
 
-// statuses asks hosts for their status, within surveyWait.
+// statuses queries the status of hosts, within surveyTimeout.
 func (s *Server) statuses(ctx context.Context, hosts []host.Host) map[string]*wire.StatusReply {
-	ctx, cancel := context.WithTimeout(ctx, surveyWait)
+	ctx, cancel := context.WithTimeout(ctx, surveyTimeout)
 	defer cancel()
-	return askAll(ctx, s, hosts, func(ctx context.Context, h host.Host) (*wire.StatusReply, error) {
-		return s.ask(ctx, h, &wire.StatusAsk{Secret: s.Mesh.Secret})
+	return queryAll(ctx, s, hosts, func(ctx context.Context, h host.Host) (*wire.StatusReply, error) {
+		return s.status(ctx, h, &wire.StatusAsk{Secret: s.Mesh.Secret})
 	})
 }
 
-// base returns the configuration that the next line is built on; see
-// conf.Choose. The survey was made before the object was read.
-func (s *Server) base(ctx context.Context, stored *conf.Config, known survey) (*conf.Config, error) {
+// baseConfig returns the configuration to build the next line on; see
+// conf.ChooseBasis. The survey must be older than the read of the stored
+// configuration.
+func (s *Server) baseConfig(ctx context.Context, stored *conf.Config, known surveyResult) (*conf.Config, error) {
 	own := s.View.Load().Config
-	basis := conf.ChooseBasis(stored, own, known.revision, len(known.silent) > 0)
+	basis := conf.ChooseBasis(stored, own, known.revision, len(known.unresponsive) > 0)
 	if basis == conf.Stored {
 		return stored, nil
 	}
-	highest := max(known.revision, revision(own))
+	highest := max(known.revision, revisionOf(own))
 	metrics.GetOrRegisterCounter("seat.store_behind", nil).Inc(1)
 	s.Log.Error("seat: the object API lacks lines that are in force",
 		"held", stored.Revision, "in_force", highest)
 	base := own
 	switch basis {
 	case conf.Peers:
-		fetched, err := s.fetch(ctx, known.best)
+		fetched, err := s.fetchConfig(ctx, known.newest)
 		if err != nil {
 			return nil, err
 		}
 		if !fetched.Supersedes(own) {
-			return nil, fmt.Errorf("%s has other lines in force than this entry host", known.best.Name)
+			return nil, fmt.Errorf("%s has other lines in force than this entry host", known.newest.Name)
 		}
 		base = fetched
 	case conf.None:
 		return nil, fmt.Errorf("the object API holds revision %d and lacks lines of revision %d in force, and %s does not answer",
-			stored.Revision, highest, strings.Join(known.silent, " "))
+			stored.Revision, highest, strings.Join(known.unresponsive, " "))
 	}
 	return base.RebaseOnto(stored), nil
 }
 
-// fetch gets the configuration in force on another entry host.
-func (s *Server) fetch(ctx context.Context, from host.Host) (*conf.Config, error) {
+// fetchConfig returns the configuration in force on another entry host.
+func (s *Server) fetchConfig(ctx context.Context, from host.Host) (*conf.Config, error) {
 	client, err := s.Mesh.Client(ctx, from)
 	if err != nil {
 		return nil, err
