--- a/entry/internal/invoke/attempt.go
+++ b/entry/internal/invoke/attempt.go
@@ -17,76 +17,79 @@
 	"fuchsiashelf.dev/parts/view"
 )
 
-// maxAttempts bounds the servers that a call is sent to.
+// maxAttempts is the maximum number of servers that a call is sent to.
 const maxAttempts = 3
 
-// earned is what an answered call adds to the budget of its pool, in tokens:
-// ten answers pay for one repeat.
-const earned = 5
+// replyDeposit is what a successful call adds to the retry budget of its pool, in
+// tokens: ten responses pay for one retry.
+const replyDeposit = 5
 
-// repeat sends a call that may be repeated, to another server when one
-// fails. A repeat that may run a second time is paid for from the pool's
-// budget; one that nobody ran costs the servers next to nothing.
-func (p *Forwarder) repeat(ctx context.Context, call *Call) (*Reply, *fault.Error) {
-	budget := p.budget(call.Pool.Name)
-	reply, e := p.attempts(ctx, call, func() bool { return ctx.Err() == nil }, func(e *fault.Error) bool {
+// callRetryable sends a retryable call, to another server when one fails. A retry
+// of a call that may have run withdraws from the pool's budget. A retry of a call
+// that did not run is free, since it adds almost no load.
+func (f *Forwarder) callRetryable(ctx context.Context, call *Call) (*Reply, *fault.Error) {
+	budget := f.budget(call.Pool.Name)
+	reply, e := f.sendWithRetries(ctx, call, func() bool { return ctx.Err() == nil }, func(e *fault.Error) bool {
 		return ctx.Err() == nil && (e.Verdict == fault.NotRun || budget.Withdraw())
 	})
 	if e == nil {
-		budget.Deposit(earned, 0)
+		budget.Deposit(replyDeposit, 0)
 	}
 	return reply, e
 }
 
-func (p *Forwarder) budget(pool string) *retry.Budget {
-	if known, ok := p.budgets.Load(pool); ok {
+// budget returns the retry budget of a pool.
+func (f *Forwarder) budget(pool string) *retry.Budget {
+	if known, ok := f.budgets.Load(pool); ok {
 		return known.(*retry.Budget)
 	}
-	held, _ := p.budgets.LoadOrStore(pool, retry.NewBudget())
-	return held.(*retry.Budget)
+	stored, _ := f.budgets.LoadOrStore(pool, retry.NewBudget())
+	return stored.(*retry.Budget)
 }
 
-// once sends a call that may not be repeated. It goes to another server only
-// when none of the earlier ones has run it.
-func (p *Forwarder) once(ctx context.Context, call *Call, may func() bool) (*Reply, *fault.Error) {
-	return p.attempts(ctx, call, may, func(e *fault.Error) bool {
+// callOnce sends a call that must run at most once. It goes to another server
+// only if none of the earlier ones ran it.
+func (f *Forwarder) callOnce(ctx context.Context, call *Call, canSend func() bool) (*Reply, *fault.Error) {
+	return f.sendWithRetries(ctx, call, canSend, func(e *fault.Error) bool {
 		return e.Verdict == fault.NotRun && ctx.Err() == nil
 	})
 }
 
-// attempts sends a call to one server after the other, as long as again says
-// so of the last error. The verdict joins those of all attempts.
-func (p *Forwarder) attempts(ctx context.Context, call *Call, may func() bool, again func(*fault.Error) bool) (*Reply, *fault.Error) {
+// sendWithRetries sends a call to one server after another, as long as
+// shouldRetry allows it after the last error. The verdict of the returned error
+// covers all attempts.
+func (f *Forwarder) sendWithRetries(ctx context.Context, call *Call, canSend func() bool, shouldRetry func(*fault.Error) bool) (*Reply, *fault.Error) {
 	verdict := fault.NotRun
 	tried := map[string]bool{}
-	var last *fault.Error
+	var lastErr *fault.Error
 	for {
-		reply, e := p.attempt(ctx, call, tried, may)
+		reply, e := f.sendToNext(ctx, call, tried, canSend)
 		if e == nil {
 			return reply, nil
 		}
 		verdict = verdict.Weaken(e.Verdict)
-		none := e.Code == fault.NoServer
-		// What the servers said tells more than that there is no other.
-		if none && last != nil {
-			e = last
+		noneLeft := e.Code == fault.NoServer
+		// The last server's error is more useful than the lack of another
+		// server.
+		if noneLeft && lastErr != nil {
+			e = lastErr
 		}
-		if none || len(tried) >= maxAttempts || !again(e) {
+		if noneLeft || len(tried) >= maxAttempts || !shouldRetry(e) {
 			e.Verdict = verdict
 			return nil, e
 		}
-		last = e
-		p.Trace.Record("pass", call.Request, "retry after: "+e.Error())
-		count("pass.retries")
+		lastErr = e
+		f.Trace.Record("pass", call.Request, "retry after: "+e.Error())
+		increment("pass.retries")
 	}
 }
 
-// attempt sends a call to one server that was not tried yet.
-func (p *Forwarder) attempt(ctx context.Context, call *Call, tried map[string]bool, may func() bool) (*Reply, *fault.Error) {
-	snap := p.View.Load()
-	usable := servers(snap, call.Pool, tried)
+// sendToNext sends a call to a server that was not tried yet.
+func (f *Forwarder) sendToNext(ctx context.Context, call *Call, tried map[string]bool, canSend func() bool) (*Reply, *fault.Error) {
+	snap := f.View.Load()
+	usable := usableServers(snap, call.Pool, tried)
 	if len(usable) == 0 {
-		return nil, noServer(call.Pool)
+		return nil, noServerError(call.Pool)
 	}
 	now := time.Now()
 	picker := &pick.ServerPicker{
@@ -96,64 +99,67 @@
 	}
 	to := picker.Pick(usable)
 	tried[to.Name] = true
-	if !p.View.Acquire(to.Name) {
+	if !f.View.Acquire(to.Name) {
 		return nil, &fault.Error{
 			Code: fault.ServerRefused, Verdict: fault.NotRun, Server: to.Name,
 			Message: "the server is leaving", RetryAfter: time.Second,
 		}
 	}
-	defer p.View.Release(to.Name)
-	count("pass.attempts")
-	reply, e := send(ctx, call, to, may)
-	p.judge(snap.Meters[to.Name], to.Name, e)
+	defer f.View.Release(to.Name)
+	increment("pass.attempts")
+	reply, e := send(ctx, call, to, canSend)
+	f.recordResult(snap.Meters[to.Name], to.Name, e)
 	return reply, e
 }
 
-// judge has a server avoided after a failure or a refusal, the longer the more
-// often it failed in a row. A server that is gone has nothing in flight, so
-// that it looks the least busy of all: without this every second call would
-// meet it first, and wait for the connection to fail. It is still used when
-// there is no other.
-func (p *Forwarder) judge(m *server.Meter, name string, e *fault.Error) {
-	if m == nil {
+// recordResult marks a server as suspected after a failure or a refusal, for
+// longer with each consecutive failure. A dead server has nothing in flight and so
+// looks the least loaded: without the mark every second call would try it first
+// and wait for the connection to fail. A suspected server is still used if there
+// is no other.
+func (f *Forwarder) recordResult(meter *server.Meter, name string, e *fault.Error) {
+	if meter == nil {
 		return
 	}
 	if e == nil {
-		m.Failures.Store(0)
+		meter.Failures.Store(0)
 		return
 	}
 	switch e.Code {
 	case fault.ServerFailed, fault.ServerRefused, fault.BrokenAnswer:
 		now := time.Now()
-		// All calls on a server fail with it at one time; that counts once.
-		if now.Before(p.View.Load().SuspectedServers[name]) {
+		// All calls on a server fail with it at once; they count as one
+		// failure.
+		if now.Before(f.View.Load().SuspectedServers[name]) {
 			return
 		}
-		until := now.Add(health.SuspectFor(m.Failures.Add(1)))
-		p.View.Update(func(s *view.Snapshot) { s.Suspect(name, until, now) })
-		p.Log.Warn("pass: server suspected", "server", name, "err", e)
+		until := now.Add(health.SuspectFor(meter.Failures.Add(1)))
+		f.View.Update(func(s *view.Snapshot) { s.Suspect(name, until, now) })
+		f.Log.Warn("pass: server suspected", "server", name, "err", e)
 	}
 }
 
-func servers(snap *view.Snapshot, from pool.Pool, tried map[string]bool) []host.Host {
+// usableServers returns the servers of a pool that take new work and were not
+// tried yet.
+func usableServers(snap *view.Snapshot, from pool.Pool, tried map[string]bool) []host.Host {
 	var usable []host.Host
 	for _, name := range from.Servers {
 		h, listed := snap.Hosts[name]
-		_, out := snap.Cordoned[name]
-		if listed && !out && !tried[name] {
+		_, cordoned := snap.Cordoned[name]
+		if listed && !cordoned && !tried[name] {
 			usable = append(usable, h)
 		}
 	}
 	return usable
 }
 
-func noServer(from pool.Pool) *fault.Error {
+func noServerError(from pool.Pool) *fault.Error {
 	return &fault.Error{
 		Code: fault.NoServer, Verdict: fault.NotRun,
 		Message: "no server of pool " + from.Name + " takes calls", RetryAfter: time.Second,
 	}
 }
 
-func count(name string) {
+func increment(name string) {
 	metrics.GetOrRegisterCounter(name, nil).Inc(1)
 }
--- a/entry/internal/invoke/attempt_test.go
+++ b/entry/internal/invoke/attempt_test.go
@@ -20,28 +20,28 @@
 	"fuchsiashelf.dev/parts/view"
 )
 
-// newPass returns a Pass that knows the servers of one pool.
-func newPass(servers map[string]string) (*Forwarder, pool.Pool) {
-	holder := view.New("e1", "a")
-	of := pool.Pool{Name: "books"}
-	holder.Update(func(s *view.Snapshot) {
+// newForwarder returns a Forwarder with one pool of the given servers.
+func newForwarder(servers map[string]string) (*Forwarder, pool.Pool) {
+	publisher := view.New("e1", "a")
+	books := pool.Pool{Name: "books"}
+	publisher.Update(func(s *view.Snapshot) {
 		hosts := map[string]host.Host{}
 		for name, address := range servers {
 			hosts[name] = host.Host{Name: name, Address: address, Role: host.Plain, State: host.Live}
-			of.Servers = append(of.Servers, name)
+			books.Servers = append(books.Servers, name)
 		}
 		s.Hosts = hosts
 	})
-	return &Forwarder{View: holder, Trace: &trace.Recorder{}, Log: slog.New(slog.DiscardHandler)}, of
+	return &Forwarder{View: publisher, Trace: &trace.Recorder{}, Log: slog.New(slog.DiscardHandler)}, books
 }
 
-// newBroken returns the address of a server that takes each call and closes
-// the connection unanswered, and how many it got.
-func newBroken(t *testing.T) (string, *atomic.Int64) {
+// newFailingServer returns the address of a server that reads each call and closes
+// the connection without a response, and the number of calls it has received.
+func newFailingServer(t *testing.T) (string, *atomic.Int64) {
 	l, err := net.Listen("tcp", "127.0.0.1:0")
 	qt.Assert(t, err, qt.IsNil)
 	t.Cleanup(func() { l.Close() })
-	got := &atomic.Int64{}
+	received := &atomic.Int64{}
 	go func() {
 		for {
 			conn, err := l.Accept()
@@ -49,48 +49,49 @@
 				return
 			}
 			if _, err := http.ReadRequest(bufio.NewReader(conn)); err == nil {
-				got.Add(1)
+				received.Add(1)
 			}
 			conn.Close()
 		}
 	}()
-	return l.Addr().String(), got
+	return l.Addr().String(), received
 }
 
-func repeatable(of pool.Pool) *Call {
+// newRetryableCall returns a call of a retryable service of a pool.
+func newRetryableCall(books pool.Pool) *Call {
 	call := newCall("POST", "", "x")
-	call.Service, call.Pool = rule.Service{Name: "notes", Retryable: true}, of
+	call.Service, call.Pool = rule.Service{Name: "notes", Retryable: true}, books
 	return call
 }
 
-// One of two servers fails every call at once. Since nothing stays in flight
-// on it, it looks the less busy one; callers would meet it every second time
-// and wait for the repeat.
+// One of two servers fails every call at once and so looks less loaded than the
+// other. If it were not avoided, every second call would reach it first and wait
+// for the retry.
 func TestFailingServerIsAvoided(t *testing.T) {
-	broken, got := newBroken(t)
-	well := httptest.NewServer(http.NotFoundHandler())
-	defer well.Close()
-	p, of := newPass(map[string]string{"p1": broken, "p2": strings.TrimPrefix(well.URL, "http://")})
+	failing, received := newFailingServer(t)
+	healthy := httptest.NewServer(http.NotFoundHandler())
+	defer healthy.Close()
+	f, books := newForwarder(map[string]string{"p1": failing, "p2": strings.TrimPrefix(healthy.URL, "http://")})
 	for range 40 {
-		_, e := p.Call(t.Context(), repeatable(of))
+		_, e := f.Call(t.Context(), newRetryableCall(books))
 		qt.Assert(t, e == nil, qt.IsTrue)
 	}
-	qt.Assert(t, got.Load() >= 1 && got.Load() < 10, qt.IsTrue, qt.Commentf("%d of 40", got.Load()))
+	qt.Assert(t, received.Load() >= 1 && received.Load() < 10, qt.IsTrue, qt.Commentf("%d of 40", received.Load()))
 }
 
-// All servers fail. Each call would be sent three times and so triple the
-// load just then; the budget of the pool ends that, and callers hear at once.
-func TestRepeatsAreBounded(t *testing.T) {
-	first, one := newBroken(t)
-	second, two := newBroken(t)
-	third, three := newBroken(t)
-	p, of := newPass(map[string]string{"p1": first, "p2": second, "p3": third})
+// All servers fail. Without the retry budget of the pool each call would be sent
+// three times and triple the load during the outage.
+func TestRetriesAreBounded(t *testing.T) {
+	first, firstCalls := newFailingServer(t)
+	second, secondCalls := newFailingServer(t)
+	third, thirdCalls := newFailingServer(t)
+	f, books := newForwarder(map[string]string{"p1": first, "p2": second, "p3": third})
 	const calls = 200
 	for range calls {
-		_, e := p.Call(t.Context(), repeatable(of))
+		_, e := f.Call(t.Context(), newRetryableCall(books))
 		qt.Assert(t, e != nil, qt.IsTrue)
 		qt.Assert(t, e.Verdict, qt.Equals, fault.MayHaveRun)
 	}
-	sent := one.Load() + two.Load() + three.Load()
+	sent := firstCalls.Load() + secondCalls.Load() + thirdCalls.Load()
 	qt.Assert(t, sent >= calls && sent < calls+calls/2, qt.IsTrue, qt.Commentf("%d sent", sent))
 }
--- a/entry/internal/invoke/send.go
+++ b/entry/internal/invoke/send.go
@@ -17,8 +17,8 @@
 	"fuchsiashelf.dev/parts/host"
 )
 
-// The headers that a backend server gets from the system. A caller's own
-// headers under the prefix are dropped.
+// Headers that the router adds to calls to backend servers. Headers of callers
+// with the prefix are dropped.
 const (
 	HeaderPrefix   = "Fuchsia-"
 	TeamHeader     = "Fuchsia-Team"
@@ -26,10 +26,10 @@
 	DeadlineHeader = "Fuchsia-Deadline"
 )
 
-// maxReply bounds the body of an answer, in bytes.
-const maxReply = 16 << 20
+// maxReplyBytes bounds the body of a response.
+const maxReplyBytes = 16 << 20
 
-// dialTimeout bounds the time to reach a backend server.
+// dialTimeout bounds the time to connect to a backend server.
 const dialTimeout = 2 * time.Second
 
 var client = &http.Client{
@@ -41,95 +41,100 @@
 	CheckRedirect: func(*http.Request, []*http.Request) error { return http.ErrUseLastResponse },
 }
 
-// departure is the moment at which the first byte of a call could leave. It
-// is the one place where the verdict of a call weakens from NotRun.
-type departure struct {
-	// may says whether the call may still be sent.
-	may  func() bool
-	left atomic.Bool
+// sendGuard decides whether the first byte of a call may be written. It is the
+// only place where the verdict of a call weakens from NotRun.
+type sendGuard struct {
+	// canSend reports whether the call may still be sent.
+	canSend func() bool
+	sent    atomic.Bool
 }
 
-// errLate is what a connection answers when a call may not leave any more.
-var errLate = errors.New("pass: the call was not sent in time")
+// errTooLate is the write error of a connection whose call may no longer be sent.
+var errTooLate = errors.New("pass: the call was not sent in time")
 
-func (d *departure) leave() bool {
-	if d.left.Load() {
+// allow reports whether bytes of the call may be written, and records that they
+// are.
+func (s *sendGuard) allow() bool {
+	if s.sent.Load() {
 		return true
 	}
-	if !d.may() {
+	if !s.canSend() {
 		return false
 	}
-	d.left.Store(true)
+	s.sent.Store(true)
 	return true
 }
 
-func (d *departure) verdict() fault.Verdict {
-	if d.left.Load() {
+// verdict returns MayHaveRun once a byte of the call may have been written.
+func (s *sendGuard) verdict() fault.Verdict {
+	if s.sent.Load() {
 		return fault.MayHaveRun
 	}
 	return fault.NotRun
 }
 
-// gated is a connection that lets nothing out before its call may leave. An
-// entry host that was paused between the last look at its claim and the
-// write would otherwise send a call whose claim has expired; here the look
-// is the last thing before the write.
-type gated struct {
+// guardedConn is a connection that writes nothing unless its sendGuard allows it.
+// An entry host that is paused between the check of its claim and the write would
+// otherwise send a call whose claim has expired. Here the check comes directly
+// before the write.
+type guardedConn struct {
 	net.Conn
-	call atomic.Pointer[departure]
+	guard atomic.Pointer[sendGuard]
 }
 
-// Write implements net.Conn.
-func (g *gated) Write(b []byte) (int, error) {
-	if d := g.call.Load(); d == nil || !d.leave() {
-		return 0, errLate
+// Write writes b if the guard of the current call allows it.
+func (c *guardedConn) Write(b []byte) (int, error) {
+	if s := c.guard.Load(); s == nil || !s.allow() {
+		return 0, errTooLate
 	}
-	return g.Conn.Write(b)
+	return c.Conn.Write(b)
 }
 
+// dial returns a guarded connection to a backend server.
 func dial(ctx context.Context, network, address string) (net.Conn, error) {
 	conn, err := (&net.Dialer{Timeout: dialTimeout}).DialContext(ctx, network, address)
 	if err != nil {
 		return nil, err
 	}
-	return &gated{Conn: conn}, nil
+	return &guardedConn{Conn: conn}, nil
 }
 
-// single is a body that cannot be read twice. With it net/http never resends
-// a call by itself, which it otherwise does for one without a body that
-// carries an Idempotency-Key when a pooled connection turns out closed.
-type single struct{ io.Reader }
+// oneShotBody is a body that cannot be read twice, so that net/http never resends
+// a call. Otherwise it resends a call without a body that carries an
+// Idempotency-Key if a pooled connection turns out to be closed.
+type oneShotBody struct{ io.Reader }
 
-// send sends a call to a backend server once.
-func send(ctx context.Context, call *Call, to host.Host, may func() bool) (*Reply, *fault.Error) {
-	d := &departure{may: may}
+// send sends a call to a backend server once, if canSend still allows it.
+func send(ctx context.Context, call *Call, to host.Host, canSend func() bool) (*Reply, *fault.Error) {
+	s := &sendGuard{canSend: canSend}
 	ctx = httptrace.WithClientTrace(ctx, &httptrace.ClientTrace{
-		GotConn: func(info httptrace.GotConnInfo) { info.Conn.(*gated).call.Store(d) },
+		GotConn: func(info httptrace.GotConnInfo) { info.Conn.(*guardedConn).guard.Store(s) },
 	})
-	req, err := request(ctx, call, to)
+	req, err := newRequest(ctx, call, to)
 	if err != nil {
 		return nil, &fault.Error{Code: fault.BadRequest, Verdict: fault.NotRun, Cause: err}
 	}
 	resp, err := client.Do(req)
 	if err != nil {
-		return nil, failure(ctx, d.verdict(), to, err)
+		return nil, sendError(ctx, s.verdict(), to, err)
 	}
 	defer resp.Body.Close()
-	if why := resp.Header.Get(engine.NotRunHeader); why != "" && resp.StatusCode == http.StatusServiceUnavailable {
+	if reason := resp.Header.Get(engine.NotRunHeader); reason != "" && resp.StatusCode == http.StatusServiceUnavailable {
 		return nil, &fault.Error{
-			Code: fault.ServerRefused, Verdict: fault.NotRun, Server: to.Name, Message: why,
+			Code: fault.ServerRefused, Verdict: fault.NotRun, Server: to.Name, Message: reason,
 			RetryAfter: time.Second,
 		}
 	}
-	value, err := io.ReadAll(io.LimitReader(resp.Body, maxReply+1))
-	if err != nil || len(value) > maxReply {
+	replyBody, err := io.ReadAll(io.LimitReader(resp.Body, maxReplyBytes+1))
+	if err != nil || len(replyBody) > maxReplyBytes {
 		return nil, &fault.Error{Code: fault.BrokenAnswer, Server: to.Name, Message: "half an answer came", Cause: err}
 	}
-	return &Reply{Status: resp.StatusCode, Header: resp.Header, Body: value}, nil
+	return &Reply{Status: resp.StatusCode, Header: resp.Header, Body: replyBody}, nil
 }
 
-func request(ctx context.Context, call *Call, to host.Host) (*http.Request, error) {
-	body := single{bytes.NewReader(call.Body)}
+// newRequest returns the HTTP request of a call to a backend server.
+func newRequest(ctx context.Context, call *Call, to host.Host) (*http.Request, error) {
+	body := oneShotBody{bytes.NewReader(call.Body)}
 	req, err := http.NewRequestWithContext(ctx, call.Method, "http://"+to.Address+call.URI, body)
 	if err != nil {
 		return nil, err
@@ -142,10 +147,11 @@
 	return req, nil
 }
 
-func failure(ctx context.Context, v fault.Verdict, to host.Host, err error) *fault.Error {
+// sendError returns the error of a call without a response.
+func sendError(ctx context.Context, v fault.Verdict, to host.Host, err error) *fault.Error {
 	code := fault.ServerFailed
 	switch {
-	case errors.Is(ctx.Err(), context.DeadlineExceeded), errors.Is(err, errLate):
+	case errors.Is(ctx.Err(), context.DeadlineExceeded), errors.Is(err, errTooLate):
 		code = fault.Deadline
 	case errors.Is(ctx.Err(), context.Canceled):
 		code = fault.Cancelled
--- a/entry/internal/invoke/send_test.go
+++ b/entry/internal/invoke/send_test.go
@@ -16,8 +16,8 @@
 	"fuchsiashelf.dev/parts/host"
 )
 
-// backend answers every call, but closes a connection unanswered when a
-// second call has come over it.
+// backend responds to the first call on a connection, and closes the connection
+// without a response after it has read a second one.
 type backend struct {
 	net.Listener
 	mu    sync.Mutex
@@ -48,9 +48,9 @@
 
 func (b *backend) serve(conn net.Conn) {
 	defer conn.Close()
-	from := bufio.NewReader(conn)
+	reader := bufio.NewReader(conn)
 	for first := true; ; first = false {
-		req, err := http.ReadRequest(from)
+		req, err := http.ReadRequest(reader)
 		if err != nil {
 			return
 		}
@@ -80,10 +80,10 @@
 
 func always() bool { return true }
 
-// A backend server closes a kept-alive connection when a call has been
-// written over it, and has run the call. net/http sends some calls again by
-// itself then: a seat would be paid twice without the router's knowledge.
-func TestClosedConnection(t *testing.T) {
+// A backend server runs a call that came over a kept-alive connection and closes
+// the connection without a response. net/http resends some calls in that case, and
+// the call would run twice without the router noticing.
+func TestNoResendOnClosedConnection(t *testing.T) {
 	for _, method := range []string{"POST", "PUT", "GET", "DELETE", "HEAD", "OPTIONS"} {
 		for _, body := range []string{"", "two"} {
 			t.Run(method+" "+body, func(t *testing.T) {
@@ -100,19 +100,19 @@
 	}
 }
 
-// The entry host is paused after the connection is chosen, past the claim's
-// age. Not a byte leaves, over a new or a kept-alive connection, and the
-// caller hears truthfully that the call was not run.
-func TestLateDeparture(t *testing.T) {
+// The entry host is paused after the connection is chosen, until the claim is no
+// longer fresh. Nothing must be written to a new or kept-alive connection, and the
+// verdict must be that the call was not run.
+func TestSendTooLate(t *testing.T) {
 	b := newBackend(t)
 	to := host.Host{Name: "p1", Address: b.Addr().String()}
-	late := func() bool { return false }
-	for _, warm := range []bool{false, true} {
-		if warm {
+	never := func() bool { return false }
+	for _, reuse := range []bool{false, true} {
+		if reuse {
 			_, e := send(t.Context(), newCall("POST", "first", "x"), to, always)
 			qt.Assert(t, e == nil, qt.IsTrue)
 		}
-		_, e := send(t.Context(), newCall("POST", "late", "x"), to, late)
+		_, e := send(t.Context(), newCall("POST", "late", "x"), to, never)
 		qt.Assert(t, e != nil, qt.IsTrue)
 		qt.Assert(t, e.Verdict, qt.Equals, fault.NotRun)
 		qt.Assert(t, e.Code, qt.Equals, fault.Deadline)
@@ -120,8 +120,8 @@
 	qt.Assert(t, b.count("late"), qt.Equals, 0)
 }
 
-// No connection comes about: the call has not left, and says so.
-func TestNoConnection(t *testing.T) {
+// A call that fails to connect must be reported as not run.
+func TestConnectionRefused(t *testing.T) {
 	l, err := net.Listen("tcp", "127.0.0.1:0")
 	qt.Assert(t, err, qt.IsNil)
 	to := host.Host{Name: "p1", Address: l.Addr().String()}
