--- a/entry/internal/mesh/call.go
+++ b/entry/internal/mesh/call.go
@@ -7,12 +7,15 @@
 	"fuchsiashelf.dev/parts/wire"
 )
 
-// CallHandler answers other entry hosts about calls that may not be repeated.
+// CallHandler handles the requests of other entry hosts about calls that must
+// run at most once.
 type CallHandler interface {
-	Answer(ctx context.Context, ask *wire.CallAsk) *wire.CallReply
+	// HandleCall reports the outcome of a claimed call, or runs a call under a
+	// ticket of this entry host. The caller has checked the secret.
+	HandleCall(ctx context.Context, ask *wire.CallAsk) *wire.CallReply
 }
 
-// Call implements the call of the other entry hosts.
+// Call passes a call of another entry host to Calls.
 func (m *Mesh) Call(ctx context.Context, ask *wire.CallAsk) (*wire.CallReply, error) {
 	if !EqualSecrets(ask.Secret, m.Secret) {
 		return nil, peer.ErrSecret
@@ -20,5 +23,5 @@
 	if m.Calls == nil {
 		return m.DRPCEntryUnimplementedServer.Call(ctx, ask)
 	}
-	return m.Calls.Answer(ctx, ask), nil
+	return m.Calls.HandleCall(ctx, ask), nil
 }
--- a/entry/internal/mesh/marks.go
+++ b/entry/internal/mesh/marks.go
@@ -9,84 +9,86 @@
 	"fuchsiashelf.dev/parts/view"
 )
 
-// refusingFor is how long the word that a server takes no new work holds. It
-// is renewed while its source says so, and ends by itself when that entry host
-// is gone or the server is back.
-const refusingFor = 10 * time.Second
+// refusalTTL is how long a mark that a server takes no new work lasts. The entry
+// host that observes the refusal renews the mark; it expires when that entry host
+// is gone or the server accepts work again.
+const refusalTTL = 10 * time.Second
 
-// foldMarks tells the other entry hosts what this one has found out about
-// servers, and writes what they told into the snapshot.
-func (m *Mesh) foldMarks(now time.Time) {
-	m.tellMarks(m.View.Load(), now)
-	told := toldMarks{
-		suspects:  m.peer.Marks(peer.SuspectServer),
-		poison:    map[string]peer.Mark{},
-		suspected: map[string]peer.Mark{},
-		refusing:  map[string]bool{},
+// syncMarks publishes the marks of this entry host to the others, and writes the
+// marks received from them into the snapshot.
+func (m *Mesh) syncMarks(now time.Time) {
+	m.publishMarks(m.View.Load(), now)
+	received := receivedMarks{
+		suspectServers:    m.peer.Marks(peer.SuspectServer),
+		poisonedRequests:  map[string]peer.Mark{},
+		suspectedRequests: map[string]peer.Mark{},
+		refusingServers:   map[string]bool{},
 	}
 	for name, mark := range m.peer.Marks(peer.PoisonRequest) {
 		if mark.Count >= poison.MaxCrashes {
-			told.poison[name] = mark
+			received.poisonedRequests[name] = mark
 		} else {
-			told.suspected[name] = mark
+			received.suspectedRequests[name] = mark
 		}
 	}
 	for name := range m.peer.Marks(peer.RefusingServer) {
-		told.refusing[name] = true
+		received.refusingServers[name] = true
 	}
-	if !told.news(m.View.Load()) {
+	if !received.changes(m.View.Load()) {
 		return
 	}
 	m.View.Update(func(s *view.Snapshot) {
-		s.SuspectedServers = later(s.SuspectedServers, told.suspects, now)
-		s.PoisonedRequests = later(s.PoisonedRequests, told.poison, now)
-		s.SuspectedRequests = later(s.SuspectedRequests, told.suspected, now)
-		s.SetCordoned(view.PeerReported, told.refusing)
+		s.SuspectedServers = mergeMarks(s.SuspectedServers, received.suspectServers, now)
+		s.PoisonedRequests = mergeMarks(s.PoisonedRequests, received.poisonedRequests, now)
+		s.SuspectedRequests = mergeMarks(s.SuspectedRequests, received.suspectedRequests, now)
+		s.SetCordoned(view.PeerReported, received.refusingServers)
 	})
 }
 
-// toldMarks holds the marks by what they are about.
-type toldMarks struct {
-	suspects, poison, suspected map[string]peer.Mark
-	refusing                    map[string]bool
+// receivedMarks holds received marks by kind.
+type receivedMarks struct {
+	suspectServers, poisonedRequests, suspectedRequests map[string]peer.Mark
+	refusingServers                                     map[string]bool
 }
 
-// news reports whether the snapshot lacks any of the marks, or holds a peer's
-// word that has ended.
-func (t *toldMarks) news(snap *view.Snapshot) bool {
-	return !maps.Equal(snap.CordonedBy[view.PeerReported], t.refusing) ||
-		grows(snap.SuspectedServers, t.suspects) || grows(snap.PoisonedRequests, t.poison) || grows(snap.SuspectedRequests, t.suspected)
+// changes reports whether the snapshot lacks any of the marks, or still has a
+// server cordoned by a mark that has expired.
+func (r *receivedMarks) changes(snap *view.Snapshot) bool {
+	return !maps.Equal(snap.CordonedBy[view.PeerReported], r.refusingServers) ||
+		extends(snap.SuspectedServers, r.suspectServers) || extends(snap.PoisonedRequests, r.poisonedRequests) || extends(snap.SuspectedRequests, r.suspectedRequests)
 }
 
-func grows(old map[string]time.Time, marks map[string]peer.Mark) bool {
+// extends reports whether a mark lasts longer than the map says.
+func extends(times map[string]time.Time, marks map[string]peer.Mark) bool {
 	for name, mark := range marks {
-		if mark.Until.After(old[name]) {
+		if mark.Until.After(times[name]) {
 			return true
 		}
 	}
 	return false
 }
 
-// tellMarks marks what this entry host itself has seen. What it has only been
-// told is not told on as its own, or a word would keep itself alive.
-func (m *Mesh) tellMarks(snap *view.Snapshot, now time.Time) {
+// publishMarks marks what this entry host has observed itself. It does not renew
+// cordons that peers reported, or two entry hosts would renew each other's marks
+// forever.
+func (m *Mesh) publishMarks(snap *view.Snapshot, now time.Time) {
 	for name, until := range snap.SuspectedServers {
 		m.peer.Mark(peer.Mark{Kind: peer.SuspectServer, Name: name, Until: until})
 	}
 	known := m.peer.Marks(peer.RefusingServer)
-	for _, source := range []view.Reason{view.Refusing, view.HostLeaving} {
-		for name := range snap.CordonedBy[source] {
-			if known[name].Until.Sub(now) < refusingFor/2 {
-				m.peer.Mark(peer.Mark{Kind: peer.RefusingServer, Name: name, Until: now.Add(refusingFor)})
+	for _, reason := range []view.Reason{view.Refusing, view.HostLeaving} {
+		for name := range snap.CordonedBy[reason] {
+			if known[name].Until.Sub(now) < refusalTTL/2 {
+				m.peer.Mark(peer.Mark{Kind: peer.RefusingServer, Name: name, Until: now.Add(refusalTTL)})
 			}
 		}
 	}
 }
 
-// later returns the map with the marks' times where they are later, and
-// without those that have ended.
-func later(old map[string]time.Time, marks map[string]peer.Mark, now time.Time) map[string]time.Time {
-	return view.Edit(old, func(m map[string]time.Time) {
+// mergeMarks returns a copy of the map with the times of longer marks, without
+// expired entries.
+func mergeMarks(times map[string]time.Time, marks map[string]peer.Mark, now time.Time) map[string]time.Time {
+	return view.Edit(times, func(m map[string]time.Time) {
 		for name, until := range m {
 			if !now.Before(until) {
 				delete(m, name)
--- a/entry/internal/mesh/marks_test.go
+++ b/entry/internal/mesh/marks_test.go
@@ -23,7 +23,7 @@
 	return m
 }
 
-// digest returns what a mesh tells another one that asks.
+// digest returns the digest that a mesh sends to a peer.
 func digest(c *qt.C, m *Mesh) *wire.Digest {
 	d, err := m.Exchange(context.Background(), &wire.Digest{Secret: "s"})
 	c.Assert(err, qt.IsNil)
@@ -31,48 +31,47 @@
 	return d
 }
 
-// A server refuses work at one entry host. Another one, which is cut off from
-// the platform, has to leave it alone too; but a word that is only passed on
-// must not be renewed by those who heard it, or the server would stay out for
-// ever after it is back.
-func TestPeersWordTakesServerOut(t *testing.T) {
+// A server refuses work at one entry host. Another one, cut off from the
+// platform, must not use it either. If entry hosts renewed marks that they only
+// received, the server would stay cordoned forever after it accepts work again.
+func TestReceivedMarkCordonsServer(t *testing.T) {
 	c := qt.New(t)
-	saw, heard := newMesh("e1"), newMesh("e2")
-	saw.View.Update(func(s *view.Snapshot) { s.Cordon(view.Refusing, "a1") })
+	observer, receiver := newMesh("e1"), newMesh("e2")
+	observer.View.Update(func(s *view.Snapshot) { s.Cordon(view.Refusing, "a1") })
 	now := time.Now()
-	saw.foldMarks(now)
-	_, err := heard.Exchange(context.Background(), digest(c, saw))
+	observer.syncMarks(now)
+	_, err := receiver.Exchange(context.Background(), digest(c, observer))
 	c.Assert(err, qt.IsNil)
-	heard.foldMarks(now)
-	c.Assert(heard.View.Load().Cordoned["a1"], qt.Equals, view.PeerReported)
+	receiver.syncMarks(now)
+	c.Assert(receiver.View.Load().Cordoned["a1"], qt.Equals, view.PeerReported)
 
-	until := heard.peer.Marks(peer.RefusingServer)["a1"].Until
-	heard.foldMarks(until.Add(-time.Second))
-	c.Assert(heard.peer.Marks(peer.RefusingServer)["a1"].Until, qt.Equals, until)
+	until := receiver.peer.Marks(peer.RefusingServer)["a1"].Until
+	receiver.syncMarks(until.Add(-time.Second))
+	c.Assert(receiver.peer.Marks(peer.RefusingServer)["a1"].Until, qt.Equals, until)
 }
 
-// A request was convicted elsewhere. This entry host has to refuse it, and a
-// mere suspicion must not count as a conviction.
-func TestConvictionReachesTheSnapshot(t *testing.T) {
+// A request that another entry host blocked must be blocked in the local
+// snapshot, and one that is only suspected must not.
+func TestBlockedRequestReachesSnapshot(t *testing.T) {
 	c := qt.New(t)
-	saw, heard := newMesh("e1"), newMesh("e2")
+	observer, receiver := newMesh("e1"), newMesh("e2")
 	until := time.Now().Add(time.Minute)
-	saw.Mark(peer.Mark{Kind: peer.PoisonRequest, Name: "f00d", Until: until, Count: 1})
-	_, err := heard.Exchange(context.Background(), digest(c, saw))
+	observer.Mark(peer.Mark{Kind: peer.PoisonRequest, Name: "f00d", Until: until, Count: 1})
+	_, err := receiver.Exchange(context.Background(), digest(c, observer))
 	c.Assert(err, qt.IsNil)
-	heard.foldMarks(time.Now())
-	c.Assert(heard.View.Load().PoisonedRequests, qt.HasLen, 0)
-	c.Assert(heard.View.Load().SuspectedRequests, qt.HasLen, 1)
+	receiver.syncMarks(time.Now())
+	c.Assert(receiver.View.Load().PoisonedRequests, qt.HasLen, 0)
+	c.Assert(receiver.View.Load().SuspectedRequests, qt.HasLen, 1)
 
-	saw.Mark(peer.Mark{Kind: peer.PoisonRequest, Name: "f00d", Until: until, Count: 2})
-	_, err = heard.Exchange(context.Background(), digest(c, saw))
+	observer.Mark(peer.Mark{Kind: peer.PoisonRequest, Name: "f00d", Until: until, Count: 2})
+	_, err = receiver.Exchange(context.Background(), digest(c, observer))
 	c.Assert(err, qt.IsNil)
-	heard.foldMarks(time.Now())
-	c.Assert(heard.View.Load().PoisonedRequests, qt.HasLen, 1)
+	receiver.syncMarks(time.Now())
+	c.Assert(receiver.View.Load().PoisonedRequests, qt.HasLen, 1)
 }
 
-// Who lacks the secret must not learn what the entry hosts know.
-func TestCallsNeedTheSecret(t *testing.T) {
+// RPCs without the secret must not return the state of the mesh.
+func TestRPCsRequireSecret(t *testing.T) {
 	c := qt.New(t)
 	m := newMesh("e1")
 	_, err := m.Exchange(context.Background(), &wire.Digest{})
--- a/entry/internal/mesh/mesh.go
+++ b/entry/internal/mesh/mesh.go
@@ -1,6 +1,6 @@
-// Package mesh joins the entry hosts: it embeds the membership of package
-// peer in the daemon, hands what peers tell on to the parts that act on it,
-// and answers their other calls.
+// Package mesh connects the entry hosts: it runs the membership protocol of
+// package peer, writes what it receives into the snapshot, and serves the RPCs
+// of the other entry hosts.
 package mesh
 
 import (
@@ -24,7 +24,8 @@
 	"fuchsiashelf.dev/parts/wire"
 )
 
-// Mesh talks to the other entry hosts. Set the exported fields, then Run.
+// Mesh connects this entry host to the others. Set the exported fields, then call
+// Init and Run.
 type Mesh struct {
 	wire.DRPCEntryUnimplementedServer
 
@@ -32,37 +33,40 @@
 	Trace  *trace.Recorder
 	Log    *slog.Logger
 	Secret string
-	// Local tells what Own adds to the snapshot.
+	// Local reports the state that LocalStatus adds to the snapshot's.
 	Local LocalState
 	// Address is host:port of the peers' listener.
 	Address string
 	// Domain is the failure domain of this entry host.
 	Domain domain.Name
-	// TLS is for connections to other entry hosts; nil for none.
+	// TLS secures connections to other entry hosts; nil for plain TCP.
 	TLS *tls.Config
-	// Seeds are peers' addresses for a start while the store is down.
+	// Seeds are addresses of peers to start with while the store is down.
 	Seeds []string
 	// Object returns the configuration object in force and its version in
 	// the store; nil means the one of the snapshot, its version unknown.
 	Object func() (value []byte, version uint64)
-	// Offer takes a configuration object that a peer has; nil drops it.
+	// Offer receives a configuration object fetched from a peer; nil disables
+	// fetching.
 	Offer func(value []byte, version uint64)
-	// Calls answers about calls that may not be repeated; nil answers none.
+	// Calls handles other entry hosts' requests about calls that must run at
+	// most once; nil rejects them.
 	Calls CallHandler
-	// LocalRates returns the rate of each team here, in requests per second; nil
-	// tells none.
+	// LocalRates returns the rate of each team on this entry host, in requests
+	// per second; nil publishes none.
 	LocalRates func() map[string]float64
 
-	// HandlePoison answers the other entry hosts' questions about requests that
-	// crash servers; nil refuses them.
+	// HandlePoison answers other entry hosts' queries about requests that crash
+	// servers; nil rejects them.
 	HandlePoison func(*wire.PoisonAsk) *wire.PoisonReply
 
-	peer   *peer.Peer
-	newer  chan peer.NewerConfig
-	change chan struct{}
+	peer         *peer.Peer
+	newerConfigs chan peer.NewerConfig
+	changed      chan struct{}
 }
 
-// Run talks to the other entry hosts until the context ends.
+// Run serves the other entry hosts and exchanges state with them until the
+// context ends.
 func (m *Mesh) Run(ctx context.Context, listener net.Listener) error {
 	mux := drpcmux.New()
 	if err := wire.DRPCRegisterEntry(mux, m); err != nil {
@@ -70,20 +74,20 @@
 	}
 	served := make(chan error, 1)
 	go func() { served <- drpcserver.New(mux).Serve(ctx, peer.Listener{Listener: listener}) }()
-	go m.fold(ctx)
+	go m.syncLoop(ctx)
 	err := m.peer.Run(ctx)
 	return errors.Join(err, <-served)
 }
 
-// Init prepares the mesh; call it once after the fields are set, before Run
-// and before other parts use the mesh.
+// Init prepares the mesh. Call it once after the fields are set, before Run and
+// any other method.
 func (m *Mesh) Init() {
-	m.newer = make(chan peer.NewerConfig, 1)
-	m.change = make(chan struct{}, 1)
+	m.newerConfigs = make(chan peer.NewerConfig, 1)
+	m.changed = make(chan struct{}, 1)
 	m.peer = &peer.Peer{
 		Name: m.View.Load().Self, Address: m.Address, Domain: m.Domain,
 		Secret: m.Secret, TLS: m.TLS, Seeds: m.Seeds, Trace: m.Trace, Log: m.Log,
-		Hosts: m.hosts, Local: m.own, OnEvent: m.on,
+		Hosts: m.hosts, Local: m.localState, OnEvent: m.handleEvent,
 	}
 }
 
@@ -95,84 +99,85 @@
 	return snap.Hosts
 }
 
-func (m *Mesh) own() peer.LocalState {
+// localState returns the state that this entry host publishes.
+func (m *Mesh) localState() peer.LocalState {
 	snap := m.View.Load()
-	own := peer.LocalState{Drains: m.drains(snap)}
+	local := peer.LocalState{Drains: m.drains(snap)}
 	if snap.Config != nil {
-		own.Revision = snap.Config.Revision
+		local.Revision = snap.Config.Revision
 	}
 	if m.LocalRates != nil {
 		for team, rate := range m.LocalRates() {
-			own.Usages = append(own.Usages, peer.Usage{Team: team, Rate: rate})
+			local.Usages = append(local.Usages, peer.Usage{Team: team, Rate: rate})
 		}
-		slices.SortFunc(own.Usages, func(a, b peer.Usage) int {
+		slices.SortFunc(local.Usages, func(a, b peer.Usage) int {
 			if a.Team < b.Team {
 				return -1
 			}
 			return 1
 		})
 	}
-	return own
+	return local
 }
 
-// drains returns this host's requests in flight on each server that is being
-// stopped.
+// drains returns the requests of this entry host in flight on each server with a
+// planned stop that takes no new work.
 func (m *Mesh) drains(snap *view.Snapshot) []peer.Drain {
 	if snap.Config == nil {
 		return nil
 	}
-	var all []peer.Drain
+	var drains []peer.Drain
 	for name := range snap.Config.Stops {
-		if count, revision, out := m.View.InFlight(name); out {
-			all = append(all, peer.Drain{Server: name, InFlight: count, Revision: revision})
+		if count, revision, cordoned := m.View.InFlight(name); cordoned {
+			drains = append(drains, peer.Drain{Server: name, InFlight: count, Revision: revision})
 		}
 	}
-	return all
+	return drains
 }
 
-// on takes the events of the membership. It must not block, so the work is
-// left to fold.
-func (m *Mesh) on(e peer.Event) {
+// handleEvent handles an event of the membership. It must not block, so it only
+// notifies syncLoop.
+func (m *Mesh) handleEvent(e peer.Event) {
 	switch e := e.(type) {
 	case peer.NewerConfig:
 		select {
-		case m.newer <- e:
+		case m.newerConfigs <- e:
 		default:
 		}
 	case peer.MarksReceived, peer.MembershipChanged:
 	}
 	select {
-	case m.change <- struct{}{}:
+	case m.changed <- struct{}{}:
 	default:
 	}
 }
 
-// foldTick bounds the age of the peers in the snapshot.
-const foldTick = time.Second
+// syncInterval bounds the staleness of the peers in the snapshot.
+const syncInterval = time.Second
 
-// fold writes what the membership knows into the snapshot and fetches newer
-// configurations.
-func (m *Mesh) fold(ctx context.Context) {
-	tick := time.NewTicker(foldTick)
+// syncLoop writes the state of the membership into the snapshot and fetches newer
+// configurations until the context ends.
+func (m *Mesh) syncLoop(ctx context.Context) {
+	tick := time.NewTicker(syncInterval)
 	defer tick.Stop()
 	for {
 		changed := m.View.Changed()
-		m.foldPeers()
-		m.foldMarks(time.Now())
+		m.syncPeers()
+		m.syncMarks(time.Now())
 		select {
 		case <-ctx.Done():
 			return
-		case e := <-m.newer:
-			m.fetch(ctx, e)
-		case <-m.change:
+		case e := <-m.newerConfigs:
+			m.fetchConfig(ctx, e)
+		case <-m.changed:
 		case <-changed:
 		case <-tick.C:
 		}
 	}
 }
 
-// foldPeers writes the other members into the snapshot.
-func (m *Mesh) foldPeers() {
+// syncPeers writes the other members into the snapshot.
+func (m *Mesh) syncPeers() {
 	peers := map[string]view.Peer{}
 	for _, o := range m.peer.Others() {
 		peers[o.Name] = view.Peer{
@@ -186,16 +191,16 @@
 	}
 }
 
-// fetchWait bounds the time to get a configuration from a peer.
-const fetchWait = 2 * time.Second
+// fetchTimeout bounds the time to fetch a configuration from a peer.
+const fetchTimeout = 2 * time.Second
 
-// fetch gets a newer configuration from the peer that told of it.
-func (m *Mesh) fetch(ctx context.Context, e peer.NewerConfig) {
-	after := m.own().Revision
+// fetchConfig fetches a newer configuration from the peer that announced it.
+func (m *Mesh) fetchConfig(ctx context.Context, e peer.NewerConfig) {
+	after := m.localState().Revision
 	if m.Offer == nil || e.Revision <= after {
 		return
 	}
-	ctx, cancel := context.WithTimeout(ctx, fetchWait)
+	ctx, cancel := context.WithTimeout(ctx, fetchTimeout)
 	defer cancel()
 	ask := &wire.ConfigAsk{Secret: m.Secret, After: after}
 	reply, err := m.peer.Client(ctx, e.From.Address).Config(ctx, ask)
@@ -211,8 +216,8 @@
 	m.peer.TriggerRound()
 }
 
-// Others returns the other entry hosts of the host list, and those that peers
-// told of. One that said goodbye is left out.
+// Others returns the other entry hosts of the host list and those known from
+// peers, without those that have left.
 func (m *Mesh) Others() []host.Host {
 	snap := m.View.Load()
 	known := map[string]host.Host{}
@@ -239,25 +244,25 @@
 	return others
 }
 
-// TeamRates returns the requests per second of each team on all other entry
-// hosts, as far as they have told. The map is read only.
+// TeamRates returns the reported requests per second of each team, summed over
+// all other entry hosts. The map must not be changed.
 func (m *Mesh) TeamRates() map[string]float64 {
 	return m.peer.Rates()
 }
 
-// Broadcast takes a mark and tells it to all living entry hosts at once; it returns
-// when they have it or the context ends. The own snapshot has it on return.
+// Broadcast sends a mark to all live entry hosts at once. It returns when they
+// have it or the context ends; the local snapshot then has it too.
 func (m *Mesh) Broadcast(ctx context.Context, mark peer.Mark) {
 	m.peer.Broadcast(ctx, mark)
-	m.foldMarks(time.Now())
+	m.syncMarks(time.Now())
 }
 
-// Mark takes a mark and leaves it to the rounds to tell.
+// Mark adds a mark, which the next exchange rounds spread.
 func (m *Mesh) Mark(mark peer.Mark) {
 	m.peer.Mark(mark)
 }
 
-// PeerStatus asks another entry host for its status.
+// PeerStatus queries the status of another entry host.
 func (m *Mesh) PeerStatus(ctx context.Context, h host.Host) (*wire.StatusReply, error) {
 	client, err := m.Client(ctx, h)
 	if err != nil {
@@ -266,8 +271,8 @@
 	return client.Status(ctx, &wire.StatusAsk{Secret: m.Secret})
 }
 
-// Client returns a client of another entry host. It dials when it is first
-// used and no kept connection is free.
+// Client returns a client of another entry host. The client dials on first use
+// unless an idle connection is available.
 func (m *Mesh) Client(ctx context.Context, h host.Host) (wire.DRPCEntryClient, error) {
 	return m.peer.Client(ctx, h.Address), nil
 }
--- a/entry/internal/mesh/status.go
+++ b/entry/internal/mesh/status.go
@@ -9,22 +9,25 @@
 	"fuchsiashelf.dev/parts/wire"
 )
 
-// LocalState is what other parts tell of this entry host. Any may be nil.
+// LocalState reads the state of other components of this entry host, and applies
+// configurations. Any field may be nil.
 type LocalState struct {
-	// StoreSilence is how long the object API has been silent here, and Heard whether
-	// it ever answered.
+	// StoreSilence returns how long the object API has not answered this entry
+	// host, and StoreSeen reports whether it ever has.
 	StoreSilence func() time.Duration
 	StoreSeen    func() bool
-	// Ready says that this entry host takes callers.
+	// Ready reports whether this entry host accepts callers.
 	Ready func() bool
-	// Synced says that this entry host has gathered what is in force. Before
-	// that it confirms nothing, since it may still take something else.
+	// Synced reports whether this entry host has gathered the configuration in
+	// force. Before that it confirms no line, since it may still replace its
+	// configuration.
 	Synced func() bool
-	// Apply puts a configuration that was handed on in force, if it is newer.
+	// Apply puts a received configuration in force if it is newer.
 	Apply func(object []byte) bool
 }
 
-// Status implements the call of the other entry hosts.
+// Status returns the status of this entry host to another one, after applying the
+// configuration that came with the query, if any.
 func (m *Mesh) Status(_ context.Context, ask *wire.StatusAsk) (*wire.StatusReply, error) {
 	if !EqualSecrets(ask.Secret, m.Secret) {
 		return nil, peer.ErrSecret
@@ -43,7 +46,7 @@
 func (m *Mesh) LocalStatus() *wire.StatusReply {
 	snap := m.View.Load()
 	reply := &wire.StatusReply{Name: snap.Self, Incarnation: m.peer.Self().Incarnation}
-	m.Local.add(reply)
+	m.Local.fill(reply)
 	if snap.Config == nil {
 		return reply
 	}
@@ -56,19 +59,21 @@
 	return reply
 }
 
-func (c *LocalState) add(reply *wire.StatusReply) {
-	if c.StoreSilence != nil {
-		reply.AgeMs = c.StoreSilence().Milliseconds()
+// fill sets the fields of a reply that the snapshot does not cover.
+func (l *LocalState) fill(reply *wire.StatusReply) {
+	if l.StoreSilence != nil {
+		reply.AgeMs = l.StoreSilence().Milliseconds()
 	}
-	if c.StoreSeen != nil && !c.StoreSeen() {
+	if l.StoreSeen != nil && !l.StoreSeen() {
 		reply.AgeMs = -1
 	}
-	if c.Ready != nil {
-		reply.Ready = c.Ready()
+	if l.Ready != nil {
+		reply.Ready = l.Ready()
 	}
 }
 
-// Config implements the call of the other entry hosts.
+// Config returns the configuration in force if it is newer than the querying
+// entry host's, and with World also the hosts.
 func (m *Mesh) Config(_ context.Context, ask *wire.ConfigAsk) (*wire.ConfigReply, error) {
 	if !EqualSecrets(ask.Secret, m.Secret) {
 		return nil, peer.ErrSecret
--- a/entry/internal/owner/answer.go
+++ b/entry/internal/owner/handler.go
@@ -11,46 +11,47 @@
 	"fuchsiashelf.dev/parts/wire"
 )
 
-// Answer answers another entry host. The secret has been checked.
-func (r *Client) Answer(ctx context.Context, ask *wire.CallAsk) *wire.CallReply {
+// HandleCall implements mesh.CallHandler: with a nonce it reports the status of a
+// claimed call, otherwise it runs a call under a ticket of this entry host.
+func (c *Client) HandleCall(ctx context.Context, ask *wire.CallAsk) *wire.CallReply {
 	deadline := time.UnixMilli(ask.DeadlineMs)
 	ctx, cancel := context.WithDeadline(ctx, deadline)
 	defer cancel()
 	if ask.Nonce != 0 {
-		return r.standing(ctx, ask)
+		return c.claimStatus(ctx, ask)
 	}
-	reply, e := r.redeem(ctx, ask, deadline)
+	reply, e := c.redeem(ctx, ask, deadline)
 	if e != nil {
-		return refusal(e)
+		return newErrorReply(e)
 	}
-	return answer(reply)
+	return newCallReply(reply)
 }
 
-// standing tells what has become of a claimed call, and runs nothing.
-func (r *Client) standing(ctx context.Context, ask *wire.CallAsk) *wire.CallReply {
+// claimStatus reports the status of a claimed call without running anything.
+func (c *Client) claimStatus(ctx context.Context, ask *wire.CallAsk) *wire.CallReply {
 	unknown := &wire.CallReply{Code: string(fault.NotFound), Verdict: fault.MayHaveRun.String()}
-	if ask.Incarnation != r.Pass.Holder.Incarnation {
+	if ask.Incarnation != c.Pass.Holder.Incarnation {
 		return unknown
 	}
-	told := r.Pass.ClaimStatus(ctx, claim.KeyOf(ask.Team, ask.Id), ask.Nonce)
+	status := c.Pass.ClaimStatus(ctx, claim.KeyOf(ask.Team, ask.Id), ask.Nonce)
 	switch {
-	case told.NeverSent:
+	case status.NeverSent:
 		return &wire.CallReply{Code: string(fault.NotFound), Verdict: fault.NotRun.String(), Never: true}
-	case told.Reply != nil:
-		return answer(told.Reply)
-	case told.Pending:
+	case status.Reply != nil:
+		return newCallReply(status.Reply)
+	case status.Pending:
 		unknown.RetryAfterMs = time.Second.Milliseconds()
 	}
 	return unknown
 }
 
-// redeem runs a call under a ticket of this entry host. It goes by this
-// host's own configuration.
-func (r *Client) redeem(ctx context.Context, ask *wire.CallAsk, deadline time.Time) (*invoke.Reply, *fault.Error) {
+// redeem runs a call under a ticket of this entry host, routed by the
+// configuration in force here.
+func (c *Client) redeem(ctx context.Context, ask *wire.CallAsk, deadline time.Time) (*invoke.Reply, *fault.Error) {
 	if !ticket.Is(ask.Id) {
 		return nil, &fault.Error{Code: fault.BadRequest, Verdict: fault.MayHaveRun, Message: "not a ticket"}
 	}
-	snap := r.View.Load()
+	snap := c.View.Load()
 	p, routed := snap.Config.Route(ask.Service, ask.Team)
 	if !routed {
 		return nil, &fault.Error{
@@ -58,25 +59,28 @@
 			Message: "the entry host that issued the ticket knows no route for service " + ask.Service,
 		}
 	}
-	return r.Pass.Redeem(ctx, &invoke.Call{
+	return c.Pass.Redeem(ctx, &invoke.Call{
 		Request: ask.Id, Team: ask.Team, ID: ask.Id, Service: snap.Config.Services[ask.Service], Pool: p,
-		Method: ask.Method, URI: ask.Uri, Header: header(ask.Headers), Body: ask.Body, Deadline: deadline,
+		Method: ask.Method, URI: ask.Uri, Header: decodeHeader(ask.Headers), Body: ask.Body, Deadline: deadline,
 	})
 }
 
-func answer(reply *invoke.Reply) *wire.CallReply {
-	if len(reply.Body) > maxForward {
-		return refusal(&fault.Error{
+// newCallReply returns the wire form of a reply, or of an error if its body is
+// too large to forward.
+func newCallReply(reply *invoke.Reply) *wire.CallReply {
+	if len(reply.Body) > maxForwardBytes {
+		return newErrorReply(&fault.Error{
 			Code: fault.BrokenAnswer, Verdict: fault.Ran, Message: "the answer is too large to be handed on",
 		})
 	}
 	return &wire.CallReply{
-		Status: uint32(reply.Status), Headers: headers(reply.Header), Body: reply.Body,
+		Status: uint32(reply.Status), Headers: encodeHeader(reply.Header), Body: reply.Body,
 		Verdict: fault.Ran.String(),
 	}
 }
 
-func refusal(e *fault.Error) *wire.CallReply {
+// newErrorReply returns the wire form of an error.
+func newErrorReply(e *fault.Error) *wire.CallReply {
 	message := e.Message
 	if message == "" {
 		message = e.Error()
