--- a/entry/internal/crash/guard.go
+++ b/entry/internal/crash/guard.go
@@ -1,7 +1,6 @@
-// Package crash keeps requests that crash backend servers from going on to
-// the next one. It asks the book of the request's pool, which one of the
-// living entry hosts keeps (see package poison), and refuses what is
-// convicted.
+// Package crash keeps requests that crash backend servers from being retried on
+// more of them. It queries the poison tracker of the request's pool, which one of
+// the live entry hosts runs (see package poison), and refuses blocked requests.
 package crash
 
 import (
@@ -26,7 +25,8 @@
 	"fuchsiashelf.dev/parts/wire"
 )
 
-// Guard asks and keeps the books. Set the exported fields before first use.
+// Guard runs the poison trackers of this entry host and queries those of others.
+// Set the exported fields before first use.
 type Guard struct {
 	View   *view.Publisher
 	Mesh   *mesh.Mesh
@@ -34,94 +34,97 @@
 	Trace  *trace.Recorder
 	Log    *slog.Logger
 
-	mu    sync.Mutex
-	books map[string]*poison.Tracker
-	// gone holds servers that were found dead, and when.
-	gone map[string]time.Time
+	mu       sync.Mutex
+	trackers map[string]*poison.Tracker
+	// deadSince holds when servers were found dead.
+	deadSince map[string]time.Time
 }
 
 const (
-	// keepers is how many entry hosts are tried for a book before the own
-	// one answers.
-	keepers = 3
-	// askWait bounds one question to an entry host.
-	askWait = 150 * time.Millisecond
-	// tellWait bounds how long a final answer waits until all other entry
-	// hosts know of the conviction. Without it a resend through another
-	// entry host could be faster than the mark, and take down a third
+	// maxTrackerHosts is how many entry hosts are candidates for the tracker of
+	// a pool before the local one is used.
+	maxTrackerHosts = 3
+	// queryTimeout bounds one query to an entry host.
+	queryTimeout = 150 * time.Millisecond
+	// broadcastTimeout bounds how long the final answer waits until all other
+	// entry hosts know that the request is blocked. Without the wait a resend
+	// through another entry host could overtake the mark and crash a third
 	// server.
-	tellWait = 300 * time.Millisecond
-	// suspectMark is how long one death is told to the others. It is short,
-	// since a mark cannot be taken back; asking the book is always right.
-	suspectMark = 3 * time.Second
-	// goneFor is how long a server that was found dead is taken for dead. One
-	// that is back sooner and dies again has its second death missed.
-	goneFor = 5 * time.Second
-	// probeWait bounds the question whether a server is dead.
-	probeWait = 100 * time.Millisecond
+	broadcastTimeout = 300 * time.Millisecond
+	// suspectTTL is how long the mark of a suspected request lasts. It is short,
+	// since a mark cannot be withdrawn; it only makes entry hosts query the
+	// tracker, whose answer decides.
+	suspectTTL = 3 * time.Second
+	// deadTTL is how long a server that was found dead counts as dead. If it
+	// restarts sooner and crashes again, the second crash is missed.
+	deadTTL = 5 * time.Second
+	// probeTimeout bounds the check whether a server is dead.
+	probeTimeout = 100 * time.Millisecond
 )
 
-// HandlePoison answers from the own books; the mesh hands it the questions of the
-// other entry hosts.
+// HandlePoison answers a query from the trackers of this entry host. The mesh
+// calls it for the queries of other entry hosts.
 func (g *Guard) HandlePoison(ask *wire.PoisonAsk) *wire.PoisonReply {
 	g.mu.Lock()
 	defer g.mu.Unlock()
-	if g.books == nil {
-		g.books = map[string]*poison.Tracker{}
+	if g.trackers == nil {
+		g.trackers = map[string]*poison.Tracker{}
 	}
-	book := g.books[ask.Pool]
-	if book == nil {
-		book = &poison.Tracker{}
-		g.books[ask.Pool] = book
+	tracker := g.trackers[ask.Pool]
+	if tracker == nil {
+		tracker = &poison.Tracker{}
+		g.trackers[ask.Pool] = tracker
 	}
 	now := time.Now()
 	f := poison.Fingerprint(ask.Fingerprint)
 	reply := &wire.PoisonReply{}
 	switch step(ask.Step) {
-	case died:
-		book.Merge(f, ask.Dead, now)
-		reply.Outcome = uint32(book.RecordCrash(f, ask.Server, ask.Progressed, now))
-	case try:
-		book.Merge(f, ask.Dead, now)
-		reply.Outcome = uint32(book.Acquire(f, ask.Holder, ask.Servers, now))
-	case passed:
-		book.Clear(f)
-	case gave:
-		book.Release(f, ask.Holder)
+	case stepCrashed:
+		tracker.Merge(f, ask.Dead, now)
+		reply.Outcome = uint32(tracker.RecordCrash(f, ask.Server, ask.Progressed, now))
+	case stepAcquire:
+		tracker.Merge(f, ask.Dead, now)
+		reply.Outcome = uint32(tracker.Acquire(f, ask.Holder, ask.Servers, now))
+	case stepClear:
+		tracker.Clear(f)
+	case stepRelease:
+		tracker.Release(f, ask.Holder)
 	}
-	reply.Count = uint32(book.Crashes(f))
+	reply.Count = uint32(tracker.Crashes(f))
 	return reply
 }
 
-// step is what is asked of a book.
+// step selects the operation of a tracker. The values are on the wire.
 type step uint32
 
 const (
-	died step = iota
-	try
-	passed
-	gave
+	stepCrashed step = iota
+	stepAcquire
+	stepClear
+	stepRelease
 )
 
-// ask puts a question to the entry host that keeps the book of the pool, or
-// to the next one when it does not answer.
-func (g *Guard) ask(ctx context.Context, ask *wire.PoisonAsk) *wire.PoisonReply {
+// query sends a query to the entry host that runs the tracker of the pool, or to
+// the next candidate if it does not answer. If all fail, the local tracker
+// answers.
+func (g *Guard) query(ctx context.Context, ask *wire.PoisonAsk) *wire.PoisonReply {
 	ask.Secret = g.Mesh.Secret
-	for _, p := range g.order(ask.Pool) {
+	for _, p := range g.trackerHosts(ask.Pool) {
 		if p.Address == "" {
 			break
 		}
-		reply, err := g.askPeer(ctx, p, ask)
+		reply, err := g.queryPeer(ctx, p, ask)
 		if err == nil {
 			return reply
 		}
-		g.Log.Warn("guard: book not reached", "peer", p.Name, "err", err)
+		g.Log.Warn("guard: poison tracker not reached", "peer", p.Name, "err", err)
 	}
 	return g.HandlePoison(ask)
 }
 
-func (g *Guard) askPeer(ctx context.Context, p view.Peer, ask *wire.PoisonAsk) (*wire.PoisonReply, error) {
-	ctx, cancel := context.WithTimeout(ctx, askWait)
+// queryPeer sends a query to one entry host.
+func (g *Guard) queryPeer(ctx context.Context, p view.Peer, ask *wire.PoisonAsk) (*wire.PoisonReply, error) {
+	ctx, cancel := context.WithTimeout(ctx, queryTimeout)
 	defer cancel()
 	client, err := g.Mesh.Client(ctx, host.Host{Name: p.Name, Address: p.Address})
 	if err != nil {
@@ -130,10 +133,10 @@
 	return client.Poison(ctx, ask)
 }
 
-// order returns the entry hosts that may keep the book of a pool, the first
-// one first. All entry hosts that see the same members find the same order
-// (rendezvous hashing). This one has no address in it.
-func (g *Guard) order(pool string) []view.Peer {
+// trackerHosts returns the entry hosts that may run the tracker of a pool, in
+// order of preference. Rendezvous hashing gives all entry hosts that see the same
+// members the same order. The local entry host has no address in the result.
+func (g *Guard) trackerHosts(pool string) []view.Peer {
 	snap := g.View.Load()
 	all := []view.Peer{{Name: snap.Self}}
 	for _, p := range snap.Peers {
@@ -143,24 +146,25 @@
 	}
 	weight := func(p view.Peer) uint64 { return xxhash.Sum64String(pool + "\x00" + p.Name) }
 	slices.SortFunc(all, func(a, b view.Peer) int { return cmp.Compare(weight(b), weight(a)) })
-	return all[:min(len(all), keepers)]
+	return all[:min(len(all), maxTrackerHosts)]
 }
 
-// convict tells everybody and returns the final answer.
-func (g *Guard) convict(request string, f poison.Fingerprint) *fault.Error {
+// block broadcasts that a request is blocked and returns the final answer.
+func (g *Guard) block(request string, f poison.Fingerprint) *fault.Error {
 	metrics.GetOrRegisterCounter("guard.convicted", nil).Inc(1)
 	g.Trace.Record("guard", request, "request convicted: it crashed two servers")
 	g.Log.Error("guard: request convicted", "request", request, "fingerprint", f)
 	until := time.Now().Add(poison.BlockFor)
-	ctx, cancel := context.WithTimeout(context.Background(), tellWait)
+	ctx, cancel := context.WithTimeout(context.Background(), broadcastTimeout)
 	defer cancel()
 	g.Mesh.Broadcast(ctx, peer.Mark{
 		Kind: peer.PoisonRequest, Name: string(f), Until: until, Count: poison.MaxCrashes,
 	})
-	return refusal(until, fault.MayHaveRun)
+	return poisonedError(until, fault.MayHaveRun)
 }
 
-func refusal(until time.Time, verdict fault.Verdict) *fault.Error {
+// poisonedError returns the answer to a request that is refused until a time.
+func poisonedError(until time.Time, verdict fault.Verdict) *fault.Error {
 	return &fault.Error{
 		Code: fault.Poisoned, Verdict: verdict,
 		Message:    "this request has crashed backend servers; change it, or come back later",
