--- a/entry/internal/order/order.go
+++ b/entry/internal/order/order.go
@@ -1,5 +1,5 @@
-// Package order gives engines their orders, while this entry host holds the
-// lease for them.
+// Package order sends orders to engines while this entry host holds the lease for
+// them.
 package order
 
 import (
@@ -28,74 +28,76 @@
 // LeaseKey is the key of the lease in the object API.
 const LeaseKey = "lease/orders"
 
-// Controller gives orders. Set the exported fields, then Run.
+// Controller sends orders to engines. Set the exported fields, then call Run.
 type Controller struct {
 	View   *view.Publisher
 	Store  store.API
 	Engine *engine.Client
 	Trace  *trace.Recorder
 	Log    *slog.Logger
-	// Term is how long a renewal of the lease holds.
+	// Term is how long a renewal of the lease lasts.
 	Term time.Duration
-	// Done is closed when Run has ended; nil if nobody waits.
+	// Done, if not nil, is closed when Run returns.
 	Done chan struct{}
 
-	machine lease.Candidate
-	pool    *ants.Pool
-	// noted are the engines that may be drained, as the next renewal of the
-	// lease says; ordered are those that this holder told to drain.
-	noted, ordered []string
-	holds          bool
+	candidate lease.Candidate
+	pool      *ants.Pool
+	// recordedDrains holds the engines that may be drained, which the next
+	// renewal writes into the lease; orderedDrains holds those that this holder
+	// has ordered to drain.
+	recordedDrains, orderedDrains []string
+	isHolder                      bool
 }
 
 const (
-	// contenders is how many entry hosts contend for the lease. The others
-	// make no calls for it, so its cost does not grow with the fleet.
-	contenders = 3
-	// ticks is how many rounds fit into one term.
-	ticks = 8
-	// least is the part of the term that must be left for an order, and
-	// margin the part between an order's deadline and the lease's end. The
-	// margin covers the difference between the clocks of two hosts, since the
-	// engine reads the deadline on its own.
-	leastPart, marginPart = 4, 10
-	// poolSize bounds the orders under way.
-	poolSize = 16
+	// maxContenders is how many entry hosts contend for the lease. The others do
+	// not read or write it, so its cost does not grow with the fleet.
+	maxContenders = 3
+	// roundsPerTerm is the number of rounds in one term.
+	roundsPerTerm = 8
+	// An order is sent only if at least Term/minTermDivisor is left of the lease,
+	// and its deadline is Term/marginDivisor before the end of the lease. The
+	// margin covers the clock difference between two hosts, since the engine
+	// checks the deadline against its own clock.
+	minTermDivisor, marginDivisor = 4, 10
+	// maxConcurrentOrders bounds the orders in progress.
+	maxConcurrentOrders = 16
 )
 
-// Run contends for the lease and gives orders until the context ends.
-func (o *Controller) Run(ctx context.Context) error {
-	if o.Done != nil {
-		defer close(o.Done)
+// Run contends for the lease and, while it holds it, sends orders until the
+// context ends.
+func (c *Controller) Run(ctx context.Context) error {
+	if c.Done != nil {
+		defer close(c.Done)
 	}
-	pool, err := ants.NewPool(poolSize)
+	pool, err := ants.NewPool(maxConcurrentOrders)
 	if err != nil {
 		return err
 	}
 	defer pool.Release()
-	o.pool = pool
-	o.machine = lease.Candidate{Self: o.View.Load().Self, Term: o.Term}
-	tick := time.NewTicker(o.Term / ticks)
+	c.pool = pool
+	c.candidate = lease.Candidate{Self: c.View.Load().Self, Term: c.Term}
+	tick := time.NewTicker(c.Term / roundsPerTerm)
 	defer tick.Stop()
 	for {
 		select {
 		case <-ctx.Done():
 			return nil
 		case <-tick.C:
-			if o.contends() {
-				o.round(ctx)
+			if c.isContender() {
+				c.runRound(ctx)
 			}
 		}
 	}
 }
 
-// contends reports whether this entry host is one of the few that try for the
-// lease (rendezvous hashing over the living ones), or still holds it.
-func (o *Controller) contends() bool {
-	if o.holds {
+// isContender reports whether this entry host holds the lease or is one of the
+// few that contend for it, chosen by rendezvous hashing over the live entry hosts.
+func (c *Controller) isContender() bool {
+	if c.isHolder {
 		return true
 	}
-	snap := o.View.Load()
+	snap := c.View.Load()
 	names := []string{snap.Self}
 	for _, p := range snap.Peers {
 		if p.Alive && !p.Left {
@@ -104,43 +106,45 @@
 	}
 	weight := func(name string) uint64 { return xxhash.Sum64String(LeaseKey + "\x00" + name) }
 	slices.SortFunc(names, func(a, b string) int { return cmp.Compare(weight(b), weight(a)) })
-	return slices.Index(names, snap.Self) < contenders
+	return slices.Index(names, snap.Self) < maxContenders
 }
 
-func (o *Controller) round(ctx context.Context) {
-	ctx, cancel := context.WithTimeout(ctx, o.Term/2)
+// runRound updates the lease and, if this entry host holds it, sends the orders
+// that are due.
+func (c *Controller) runRound(ctx context.Context) {
+	ctx, cancel := context.WithTimeout(ctx, c.Term/2)
 	defer cancel()
-	o.contend(ctx)
-	_, _, held := o.machine.Held(time.Now(), 0)
-	if held != o.holds {
-		o.holds = held
-		o.note("", fmt.Sprintf("holds the lease of orders: %v", held))
+	c.updateLease(ctx)
+	_, _, held := c.candidate.Held(time.Now(), 0)
+	if held != c.isHolder {
+		c.isHolder = held
+		c.trace("", fmt.Sprintf("holds the lease of orders: %v", held))
 		if held {
-			o.noted, o.ordered = o.machine.Note(), nil
+			c.recordedDrains, c.orderedDrains = c.candidate.Note(), nil
 		}
 	}
 	if held {
-		o.give(ctx)
+		c.sendDueOrders(ctx)
 	}
 }
 
-// contend reads the lease and writes it when it is time to.
-func (o *Controller) contend(ctx context.Context) {
-	object, err := o.Store.Get(ctx, LeaseKey)
+// updateLease reads the lease, and acquires or renews it when due.
+func (c *Controller) updateLease(ctx context.Context) {
+	object, err := c.Store.Get(ctx, LeaseKey)
 	if err != nil {
 		return
 	}
 	var value lease.Value
 	if object.Version > 0 && json.Unmarshal(object.Value, &value) != nil {
-		o.Log.Error("order: lease unreadable")
+		c.Log.Error("order: lease object cannot be decoded")
 	}
-	o.machine.Read(object.Version, value, time.Now())
-	note := o.noted
-	if !o.holds {
+	c.candidate.Read(object.Version, value, time.Now())
+	note := c.recordedDrains
+	if !c.isHolder {
 		note = value.Note
 	}
-	nonce := fmt.Sprintf("%s-%016x", o.machine.Self, rand.Uint64())
-	next, over, due := o.machine.Write(nonce, note, time.Now())
+	nonce := fmt.Sprintf("%s-%016x", c.candidate.Self, rand.Uint64())
+	next, readVersion, due := c.candidate.Write(nonce, note, time.Now())
 	if !due {
 		return
 	}
@@ -148,87 +152,88 @@
 	if err != nil {
 		return
 	}
-	version, err := o.Store.Put(ctx, LeaseKey, body, over)
-	o.machine.Wrote(version, err, time.Now())
+	version, err := c.Store.Put(ctx, LeaseKey, body, readVersion)
+	c.candidate.Wrote(version, err, time.Now())
 }
 
-// give gives the orders that are due and waits for their answers.
-func (o *Controller) give(ctx context.Context) {
-	snap := o.View.Load()
+// sendDueOrders sends the orders that are due and waits for their results.
+func (c *Controller) sendDueOrders(ctx context.Context) {
+	snap := c.View.Load()
 	if snap.HostsRevision == 0 {
 		return
 	}
-	o.noted = rules.FilterListed(o.noted, snap.Hosts)
-	o.ordered = rules.FilterListed(o.ordered, snap.Hosts)
-	due := o.recorded(rules.Plan(snap.Config, snap.Hosts, o.noted, o.ordered, time.Now()))
-	taken := make(chan rules.Pending, len(due))
-	for _, d := range due {
-		err := o.pool.Submit(func() {
-			if !o.order(ctx, d) {
-				d = rules.Pending{}
+	c.recordedDrains = rules.FilterListed(c.recordedDrains, snap.Hosts)
+	c.orderedDrains = rules.FilterListed(c.orderedDrains, snap.Hosts)
+	due := c.readyOrders(rules.Plan(snap.Config, snap.Hosts, c.recordedDrains, c.orderedDrains, time.Now()))
+	results := make(chan rules.Pending, len(due))
+	for _, pending := range due {
+		err := c.pool.Submit(func() {
+			if !c.sendOrder(ctx, pending) {
+				pending = rules.Pending{}
 			}
-			taken <- d
+			results <- pending
 		})
 		if err != nil {
-			taken <- rules.Pending{}
+			results <- rules.Pending{}
 		}
 	}
 	for range due {
-		switch d := <-taken; d.Kind {
+		switch pending := <-results; pending.Kind {
 		case rules.Drain:
-			o.ordered = rules.Insert(o.ordered, d.Host.Name)
+			c.orderedDrains = rules.Insert(c.orderedDrains, pending.Host.Name)
 		case rules.Load:
-			o.ordered = rules.Remove(o.ordered, d.Host.Name)
-			o.noted = rules.Remove(o.noted, d.Host.Name)
+			c.orderedDrains = rules.Remove(c.orderedDrains, pending.Host.Name)
+			c.recordedDrains = rules.Remove(c.recordedDrains, pending.Host.Name)
 		}
 	}
 }
 
-// recorded returns the orders that may be given now. A drain is first noted
-// in the lease, and given in the round after that.
-func (o *Controller) recorded(due []rules.Pending) []rules.Pending {
+// readyOrders returns the orders that may be sent now. A drain is first recorded
+// in the lease and sent in a later round.
+func (c *Controller) readyOrders(due []rules.Pending) []rules.Pending {
 	var ready []rules.Pending
-	written := o.machine.Note()
-	for _, d := range due {
-		if d.Kind == rules.Drain && !slices.Contains(written, d.Host.Name) {
-			o.noted = rules.Insert(o.noted, d.Host.Name)
-			o.machine.Renew()
+	written := c.candidate.Note()
+	for _, pending := range due {
+		if pending.Kind == rules.Drain && !slices.Contains(written, pending.Host.Name) {
+			c.recordedDrains = rules.Insert(c.recordedDrains, pending.Host.Name)
+			c.candidate.Renew()
 			continue
 		}
-		ready = append(ready, d)
+		ready = append(ready, pending)
 	}
 	return ready
 }
 
-// order gives one order. The lease is checked last, on the monotonic clock,
-// since the process may have been paused for any time before; and the order
-// carries a deadline within the lease, since it may be paused or held up
-// after. A successor waits until the lease is over, so an engine that takes
-// no order late takes none of this holder after one of the successor, also if
-// it checks no numbers.
-func (o *Controller) order(ctx context.Context, d rules.Pending) bool {
-	number, until, held := o.machine.Held(time.Now(), o.Term/leastPart)
+// sendOrder sends one order and reports whether the engine accepted it. The lease
+// is checked last, on the monotonic clock, since the process may have been paused
+// for any time before. The order carries a deadline within the lease, since it
+// may be delayed after the check. A successor waits until the lease has expired,
+// so an engine that rejects late orders accepts none of this holder after one of
+// the successor, even if it does not check fencing numbers.
+func (c *Controller) sendOrder(ctx context.Context, pending rules.Pending) bool {
+	number, until, held := c.candidate.Held(time.Now(), c.Term/minTermDivisor)
 	if !held {
 		metrics.GetOrRegisterCounter("order.lapsed", nil).Inc(1)
 		return false
 	}
-	deadline := until.Add(-o.Term / marginPart)
+	deadline := until.Add(-c.Term / marginDivisor)
 	ctx, cancel := context.WithDeadline(ctx, deadline)
 	defer cancel()
-	o.note("", fmt.Sprintf("order %s for %s", d.Kind, d.Host.Name))
-	err := o.Engine.Order(ctx, d.Host.Address, &engine.Order{
-		Order: d.Kind, Model: d.Host.Model, Holder: o.machine.Self,
+	c.trace("", fmt.Sprintf("order %s for %s", pending.Kind, pending.Host.Name))
+	err := c.Engine.Order(ctx, pending.Host.Address, &engine.Order{
+		Order: pending.Kind, Model: pending.Host.Model, Holder: c.candidate.Self,
 		Number: number, DeadlineMs: time.Now().Add(time.Until(deadline)).UnixMilli(),
 	})
 	if err != nil {
-		o.note("", fmt.Sprintf("order %s for %s failed: %s", d.Kind, d.Host.Name, fault.As(err).Error()))
-		o.Log.Warn("order: engine took no order", "order", d.Kind, "server", d.Host.Name, "err", err)
+		c.trace("", fmt.Sprintf("order %s for %s failed: %s", pending.Kind, pending.Host.Name, fault.As(err).Error()))
+		c.Log.Warn("order: engine did not accept the order", "order", pending.Kind, "server", pending.Host.Name, "err", err)
 		return false
 	}
 	metrics.GetOrRegisterCounter("order.taken", nil).Inc(1)
 	return true
 }
 
-func (o *Controller) note(request, what string) {
-	o.Trace.Record("order", request, what)
+// trace records an event.
+func (c *Controller) trace(request, message string) {
+	c.Trace.Record("order", request, message)
 }
