--- a/entry/internal/edge/plain.go
+++ b/entry/internal/edge/plain.go
@@ -57,7 +57,7 @@
 		return
 	}
 	defer grant.Release()
-	reply, e := h.Pass.Call(ctx, &invoke.Call{
+	reply, e := h.Forwarder.Call(ctx, &invoke.Call{
 		Request: requestID, Team: tm.Name, ID: id,
 		Service: s, Pool: p, Method: string(c.Method()),
 		URI: string(c.Request.URI().RequestURI()), Header: forwardedHeader(c),
--- a/entry/internal/mesh/mesh.go
+++ b/entry/internal/mesh/mesh.go
@@ -46,9 +46,9 @@
 	// Object returns the configuration object in force and its version in
 	// the store; nil means the one of the snapshot, its version unknown.
 	Object func() (value []byte, version uint64)
-	// Offer receives a configuration object fetched from a peer; nil disables
+	// OnConfig receives a configuration object fetched from a peer; nil disables
 	// fetching.
-	Offer func(value []byte, version uint64)
+	OnConfig func(value []byte, version uint64)
 	// Calls handles other entry hosts' requests about calls that must run at
 	// most once; nil rejects them.
 	Calls CallHandler
@@ -197,7 +197,7 @@
 // fetchConfig fetches a newer configuration from the peer that announced it.
 func (m *Mesh) fetchConfig(ctx context.Context, e peer.NewerConfig) {
 	after := m.localState().Revision
-	if m.Offer == nil || e.Revision <= after {
+	if m.OnConfig == nil || e.Revision <= after {
 		return
 	}
 	ctx, cancel := context.WithTimeout(ctx, fetchTimeout)
@@ -212,7 +212,7 @@
 		return
 	}
 	m.Trace.Record("mesh", "", "configuration fetched from "+e.From.Name)
-	m.Offer(reply.Object, reply.Version)
+	m.OnConfig(reply.Object, reply.Version)
 	m.peer.TriggerRound()
 }
 
--- a/entry/internal/owner/client.go
+++ b/entry/internal/owner/client.go
@@ -21,8 +21,8 @@
 type Client struct {
 	View   *view.Publisher
 	Secret string
-	// Pass runs the calls of this entry host.
-	Pass *invoke.Forwarder
+	// Forwarder runs the calls of this entry host.
+	Forwarder *invoke.Forwarder
 	// Client returns a client of another entry host.
 	Client func(ctx context.Context, h host.Host) (wire.DRPCEntryClient, error)
 }
--- a/entry/internal/owner/handler.go
+++ b/entry/internal/owner/handler.go
@@ -30,10 +30,10 @@
 // claimStatus reports the status of a claimed call without running anything.
 func (c *Client) claimStatus(ctx context.Context, ask *wire.CallAsk) *wire.CallReply {
 	unknown := &wire.CallReply{Code: string(fault.NotFound), Verdict: fault.MayHaveRun.String()}
-	if ask.Incarnation != c.Pass.Holder.Incarnation {
+	if ask.Incarnation != c.Forwarder.Holder.Incarnation {
 		return unknown
 	}
-	status := c.Pass.ClaimStatus(ctx, claim.KeyOf(ask.Team, ask.Id), ask.Nonce)
+	status := c.Forwarder.ClaimStatus(ctx, claim.KeyOf(ask.Team, ask.Id), ask.Nonce)
 	switch {
 	case status.NeverSent:
 		return &wire.CallReply{Code: string(fault.NotFound), Verdict: fault.NotRun.String(), Never: true}
@@ -59,7 +59,7 @@
 			Message: "the entry host that issued the ticket knows no route for service " + ask.Service,
 		}
 	}
-	return c.Pass.Redeem(ctx, &invoke.Call{
+	return c.Forwarder.Redeem(ctx, &invoke.Call{
 		Request: ask.Id, Team: ask.Team, ID: ask.Id, Service: snap.Config.Services[ask.Service], Pool: p,
 		Method: ask.Method, URI: ask.Uri, Header: decodeHeader(ask.Headers), Body: ask.Body, Deadline: deadline,
 	})
--- a/entry/internal/relay/relay.go
+++ b/entry/internal/relay/relay.go
@@ -97,7 +97,7 @@
 		}
 		d.verdict = d.verdict.Weaken(e.Verdict)
 		failure := retry.Failure{
-			Error: e, Attempt: d.attemptNumber, Left: time.Until(req.Deadline),
+			Error: e, Attempt: d.attemptNumber, Remaining: time.Until(req.Deadline),
 			CallerConnected: caller.Err() == nil, Sent: len(d.sent),
 		}
 		if !d.allowRetry(failure) {
--- a/entry/internal/relay/suspect.go
+++ b/entry/internal/relay/suspect.go
@@ -69,7 +69,7 @@
 	d.avoidLinks()
 	for i := range d.hops {
 		d.skip = append(d.skip, d.stages[i].Server)
-		if d.hops[i].Meter.Silences.Add(1) >= maxSilences {
+		if d.hops[i].Meter.SilentChains.Add(1) >= maxSilences {
 			d.suspectServers(d.stages[i].Server)
 		}
 	}
--- a/entry/prog/calls.go
+++ b/entry/prog/calls.go
@@ -29,7 +29,7 @@
 		Peers:      owners,
 		Done:       make(chan struct{}),
 	}
-	owners.Pass = p
+	owners.Forwarder = p
 	peers.Calls = owners
 	return p
 }
--- a/entry/prog/mesh.go
+++ b/entry/prog/mesh.go
@@ -18,8 +18,8 @@
 	m := &mesh.Mesh{
 		View: publisher, Trace: recorder, Log: d.log, Secret: d.settings.PeerSecret, TLS: config,
 		Address: d.peers.Addr().String(), Domain: d.settings.LocalDomain(),
-		Offer: func(value []byte, _ uint64) { watcher.ApplyEncoded(value) },
-		Local: mesh.LocalState{StoreSilence: watcher.Staleness, StoreSeen: watcher.EverConnected, Synced: watcher.HasSynced, Apply: watcher.ApplyEncoded},
+		OnConfig: func(value []byte, _ uint64) { watcher.ApplyEncoded(value) },
+		Local:    mesh.LocalState{StoreSilence: watcher.Staleness, StoreSeen: watcher.EverConnected, Synced: watcher.HasSynced, Apply: watcher.ApplyEncoded},
 	}
 	if d.settings.Seeds != "" {
 		m.Seeds = strings.Split(d.settings.Seeds, ",")
--- a/entry/stream/monitor.go
+++ b/entry/stream/monitor.go
@@ -202,7 +202,7 @@
 		return
 	}
 	m.mu.Lock()
-	outcome := m.probes.Record(address, err == nil, probeOutcome(err) == probe.Gone)
+	outcome := m.probes.Record(address, err == nil, probeOutcome(err) == probe.Exited)
 	m.mu.Unlock()
 	if err == nil {
 		m.handleReport(address, report)
@@ -239,7 +239,7 @@
 		return report, err
 	}
 	delayed := probe.Stalled(timeout, elapsed) || m.lastDelay.After(start) || !m.lastSweep.IsZero() && time.Since(m.lastSweep) > maxSweepDelay
-	if delayed && probeOutcome(err) != probe.Gone {
+	if delayed && probeOutcome(err) != probe.Exited {
 		return report, errHostDelayed
 	}
 	return report, err
@@ -257,7 +257,7 @@
 	if s.StartedAt.Unix() > 0 && report.StartedAt.After(s.StartedAt) {
 		m.Log.Warn("watch: server restarted", "server", s.ID, "address", address)
 		m.State.Suspect(s.ID, now.Add(entryPropagation), now)
-		m.evacuate(address, probe.Gone)
+		m.evacuate(address, probe.Exited)
 		return
 	}
 	if m.State.RecordSlowness(s.ID, report.SlowdownFactor, now) {
@@ -275,7 +275,7 @@
 	var affected []*activeStream
 	m.mu.Lock()
 	for stream := range m.streams {
-		if outcome != probe.Gone && !stream.overdue(now) || !stream.uses(address) {
+		if outcome != probe.Exited && !stream.overdue(now) || !stream.uses(address) {
 			continue
 		}
 		if stream.firstAddress() != address {
--- a/entry/stream/monitor_test.go
+++ b/entry/stream/monitor_test.go
@@ -227,7 +227,7 @@
 	var ended []string
 	active.cancel = func(error) { ended = append(ended, "comes") }
 	silent.cancel = func(error) { ended = append(ended, "silent") }
-	m.evacuate("first", probe.Gone)
+	m.evacuate("first", probe.Exited)
 	qt.Assert(t, ended, qt.DeepEquals, []string{"silent"})
 }
 
@@ -241,7 +241,7 @@
 	for i := range streams {
 		m.addStream(servers, fmt.Sprintf("r%d", i), silentTimeout(testRoute)+time.Millisecond)
 	}
-	m.evacuate("middle", probe.Gone)
+	m.evacuate("middle", probe.Exited)
 	waitFor(t, func() bool { return m.Load.Used("middle").Requests == 0 })
 	close(e.block)
 	for range streams {
--- a/entry/stream/probe.go
+++ b/entry/stream/probe.go
@@ -104,7 +104,7 @@
 func (m *Monitor) markSuspected(id, address, reason string, err error, now time.Time) bool {
 	// Only a process that has ended refuses connections at once. A server behind a
 	// broken link does not answer either, but no request caused that.
-	m.resolveFailures(id, probeOutcome(err) == probe.Gone, now)
+	m.resolveFailures(id, probeOutcome(err) == probe.Exited, now)
 	if s := m.State.View().ByAddress(address); s == nil || s.ID != id {
 		return false
 	}
@@ -145,7 +145,7 @@
 			return
 		}
 		misses++
-		if misses < probe.FailureThreshold && probeOutcome(err) != probe.Gone {
+		if misses < probe.FailureThreshold && probeOutcome(err) != probe.Exited {
 			continue
 		}
 		if !m.markSuspected(id, address, reason, err, now) {
@@ -202,7 +202,7 @@
 // probeOutcome returns the state of a server that a failed probe indicates.
 func probeOutcome(err error) probe.State {
 	if errors.Is(err, syscall.ECONNREFUSED) {
-		return probe.Gone
+		return probe.Exited
 	}
 	return probe.Unreachable
 }
--- a/parts/admit/controller.go
+++ b/parts/admit/controller.go
@@ -42,7 +42,7 @@
 // Grant is the permission to run a request. The zero value holds no slot.
 type Grant struct {
 	controller *Controller
-	item       *Item
+	item       *Entry
 }
 
 // Release returns the slot once the request has ended.
@@ -105,7 +105,7 @@
 const maxWaitFactor = 3
 
 // await waits for the turn of a queued request.
-func (c *Controller) await(ctx context.Context, item *Item) (Grant, *fault.Error) {
+func (c *Controller) await(ctx context.Context, item *Entry) (Grant, *fault.Error) {
 	timer := time.NewTimer(min(time.Until(item.Deadline), maxWaitFactor*c.Limits.MaxWait))
 	defer timer.Stop()
 	e := &fault.Error{Code: fault.Cancelled, Verdict: fault.NotRun, Message: "the caller left while it waited"}
@@ -117,7 +117,7 @@
 		e = deadlineExceeded("waited longer than was to be expected", 0)
 	}
 	c.mu.Lock()
-	var next []*Item
+	var next []*Entry
 	if !c.queue.Cancel(item) {
 		// It was started at the same moment, and ends without running.
 		next = c.queue.Abort(time.Now(), item)
@@ -128,14 +128,14 @@
 }
 
 // wake resumes requests that may run now.
-func wake(items []*Item) {
+func wake(items []*Entry) {
 	for _, item := range items {
 		close(item.wake)
 	}
 }
 
 // release records the end of a request and wakes those that may run now.
-func (c *Controller) release(item *Item) {
+func (c *Controller) release(item *Entry) {
 	now := time.Now()
 	c.mu.Lock()
 	c.adaptLimit(now)
--- a/parts/admit/queue.go
+++ b/parts/admit/queue.go
@@ -29,11 +29,11 @@
 	// finishTag is the finish tag of the last request of the team.
 	finishTag float64
 	running   int
-	items     []*Item
+	items     []*Entry
 }
 
-// Item is a waiting or running request.
-type Item struct {
+// Entry is a waiting or running request.
+type Entry struct {
 	Request
 	// Running reports that the request was started.
 	Running bool
@@ -52,7 +52,7 @@
 func (q *Queue) Waiting() int { return q.waiting }
 
 // Submit starts a request, queues it, or refuses it.
-func (q *Queue) Submit(now time.Time, req Request) (*Item, *fault.Error) {
+func (q *Queue) Submit(now time.Time, req Request) (*Entry, *fault.Error) {
 	req.Weight, req.Cost = max(req.Weight, 1), max(req.Cost, 1)
 	tq := q.teamQueue(&req)
 	left := req.Deadline.Sub(now)
@@ -60,7 +60,7 @@
 		q.dropIdle(req.Team)
 		return nil, deadlineExceeded("runs longer than its deadline allows", 0)
 	}
-	item := &Item{Request: req, arrivedAt: now}
+	item := &Entry{Request: req, arrivedAt: now}
 	if len(tq.items) == 0 && q.hasCapacity(q.startTag(tq)) {
 		q.assignTags(tq, item)
 		q.begin(now, tq, item)
@@ -147,7 +147,7 @@
 }
 
 // assignTags sets the start tag of a request and the finish tag of its team.
-func (q *Queue) assignTags(tq *teamQueue, item *Item) {
+func (q *Queue) assignTags(tq *teamQueue, item *Entry) {
 	item.startTag = q.startTag(tq)
 	tq.finishTag = item.startTag + item.Cost/tq.weight
 }
@@ -161,7 +161,7 @@
 }
 
 // begin starts a request.
-func (q *Queue) begin(now time.Time, tq *teamQueue, item *Item) {
+func (q *Queue) begin(now time.Time, tq *teamQueue, item *Entry) {
 	item.Credit = item.startTag < q.virtualTime
 	q.virtualTime = max(q.virtualTime, item.startTag)
 	q.running++
@@ -171,14 +171,14 @@
 
 // Done records that a request that ran has ended, and returns the requests that
 // may run now.
-func (q *Queue) Done(now time.Time, item *Item) []*Item {
+func (q *Queue) Done(now time.Time, item *Entry) []*Entry {
 	q.runTimes.observe(now.Sub(item.startedAt), item.Cost)
 	return q.Abort(now, item)
 }
 
 // Abort is like Done for a request that was started but did not run, so that
 // its time is not observed.
-func (q *Queue) Abort(now time.Time, item *Item) []*Item {
+func (q *Queue) Abort(now time.Time, item *Entry) []*Entry {
 	q.running--
 	q.teams[item.Team].running--
 	next := q.Dispatch(now)
@@ -188,8 +188,8 @@
 
 // Dispatch starts waiting requests while there is capacity, lowest start tag
 // first. Call it after Limit has grown.
-func (q *Queue) Dispatch(now time.Time) []*Item {
-	var next []*Item
+func (q *Queue) Dispatch(now time.Time) []*Entry {
+	var next []*Entry
 	for q.waiting > 0 {
 		tq := q.next()
 		if tq == nil {
@@ -220,7 +220,7 @@
 }
 
 // less reports whether an item is served before another one.
-func (i *Item) less(other *Item) bool {
+func (i *Entry) less(other *Entry) bool {
 	if i.startTag != other.startTag {
 		return i.startTag < other.startTag
 	}
@@ -232,7 +232,7 @@
 
 // Cancel removes a waiting request, and reports whether it was still waiting. A
 // request that was started meanwhile stays until Done.
-func (q *Queue) Cancel(item *Item) bool {
+func (q *Queue) Cancel(item *Entry) bool {
 	if item.Running {
 		return false
 	}
--- a/parts/admit/queue_test.go
+++ b/parts/admit/queue_test.go
@@ -135,8 +135,8 @@
 type model struct {
 	queue   admit.Queue
 	now     time.Time
-	running []*admit.Item
-	waiting []*admit.Item
+	running []*admit.Entry
+	waiting []*admit.Entry
 }
 
 func (m *model) submit(t *rapid.T) {
@@ -167,7 +167,7 @@
 }
 
 // drawItem removes a random item from a list and returns it.
-func drawItem(t *rapid.T, items *[]*admit.Item) *admit.Item {
+func drawItem(t *rapid.T, items *[]*admit.Entry) *admit.Entry {
 	if len(*items) == 0 {
 		t.Skip("none")
 	}
@@ -178,7 +178,7 @@
 }
 
 // moveToRunning moves requests from waiting to running.
-func (m *model) moveToRunning(t *rapid.T, next []*admit.Item) {
+func (m *model) moveToRunning(t *rapid.T, next []*admit.Entry) {
 	for _, item := range next {
 		found := false
 		for i, other := range m.waiting {
@@ -245,7 +245,7 @@
 		const maxCost = 9
 		q := &admit.Queue{Limits: limits(), Limit: 1}
 		served := map[string]float64{}
-		join := func(team string) *admit.Item {
+		join := func(team string) *admit.Entry {
 			req := newRequestWithCost(team, float64(rapid.IntRange(1, maxCost).Draw(t, "cost")))
 			req.Weight = weights[team]
 			item, e := q.Submit(start, req)
--- a/parts/probe/probe.go
+++ b/parts/probe/probe.go
@@ -71,8 +71,8 @@
 	// cut off from this entry host, frozen or without power. Its peers may
 	// still reach it.
 	Unreachable
-	// Gone means that the process has ended: the address refuses connections.
-	Gone
+	// Exited means that the process has ended: the address refuses connections.
+	Exited
 )
 
 // String returns the name of the state.
@@ -84,7 +84,7 @@
 		return "doubtful"
 	case Unreachable:
 		return "unreachable"
-	case Gone:
+	case Exited:
 		return "gone"
 	}
 	return "unknown"
@@ -93,7 +93,7 @@
 // Dead reports whether a server in this state counts as dead, so that no new
 // attempt may start there.
 func (s State) Dead() bool {
-	return s == Unreachable || s == Gone
+	return s == Unreachable || s == Exited
 }
 
 // Scheduler decides which servers to probe and keeps the state of those it has
@@ -141,7 +141,7 @@
 	case answered:
 		st.failures, st.state = 0, Alive
 	case refused:
-		st.failures, st.state = st.failures+1, Gone
+		st.failures, st.state = st.failures+1, Exited
 	case st.failures+1 < FailureThreshold:
 		st.failures, st.state = st.failures+1, Suspected
 	default:
--- a/parts/probe/probe_test.go
+++ b/parts/probe/probe_test.go
@@ -135,7 +135,7 @@
 func TestStates(t *testing.T) {
 	s := &probe.Scheduler{}
 	qt.Assert(t, s.Record("a", true, false), qt.Equals, probe.Alive)
-	qt.Assert(t, s.Record("a", false, true), qt.Equals, probe.Gone)
+	qt.Assert(t, s.Record("a", false, true), qt.Equals, probe.Exited)
 	qt.Assert(t, s.Record("b", false, false), qt.Equals, probe.Suspected)
 	qt.Assert(t, s.Record("b", false, false), qt.Equals, probe.Unreachable)
 	qt.Assert(t, s.Record("b", true, false), qt.Equals, probe.Alive)
--- a/parts/retry/decide.go
+++ b/parts/retry/decide.go
@@ -19,8 +19,8 @@
 	Error *fault.Error
 	// Attempt is the number of the attempt, from 1.
 	Attempt int
-	// Left is the time until the request's deadline.
-	Left time.Duration
+	// Remaining is the time until the request's deadline.
+	Remaining time.Duration
 	// CallerConnected says that the caller is still connected.
 	CallerConnected bool
 	// Sent is the number of tokens that the caller has received.
@@ -31,7 +31,7 @@
 // for from the retry budget. A retry is free if the failed attempt is known not to
 // have run, since that cost the servers next to nothing.
 func (f Failure) ShouldRetry() (retry, charge bool) {
-	if !f.CallerConnected || f.Left <= 0 || f.Attempt >= MaxAttempts {
+	if !f.CallerConnected || f.Remaining <= 0 || f.Attempt >= MaxAttempts {
 		return false, false
 	}
 	switch f.Error.Code {
--- a/parts/retry/retry_test.go
+++ b/parts/retry/retry_test.go
@@ -125,12 +125,12 @@
 		f             Failure
 		retry, charge bool
 	}{
-		{"a server failed", Failure{Error: &fault.Error{Code: fault.ServerFailed}, Attempt: 1, Left: 1, CallerConnected: true}, true, true},
-		{"a server refused", Failure{Error: &fault.Error{Code: fault.ServerRefused, Verdict: fault.NotRun}, Attempt: 1, Left: 1, CallerConnected: true}, true, false},
-		{"no cover", Failure{Error: &fault.Error{Code: fault.NoCover}, Attempt: 1, Left: 1, CallerConnected: true}, false, false},
-		{"too many attempts", Failure{Error: &fault.Error{Code: fault.ServerFailed}, Attempt: MaxAttempts, Left: 1, CallerConnected: true}, false, false},
+		{"a server failed", Failure{Error: &fault.Error{Code: fault.ServerFailed}, Attempt: 1, Remaining: 1, CallerConnected: true}, true, true},
+		{"a server refused", Failure{Error: &fault.Error{Code: fault.ServerRefused, Verdict: fault.NotRun}, Attempt: 1, Remaining: 1, CallerConnected: true}, true, false},
+		{"no cover", Failure{Error: &fault.Error{Code: fault.NoCover}, Attempt: 1, Remaining: 1, CallerConnected: true}, false, false},
+		{"too many attempts", Failure{Error: &fault.Error{Code: fault.ServerFailed}, Attempt: MaxAttempts, Remaining: 1, CallerConnected: true}, false, false},
 		{"deadline passed", Failure{Error: &fault.Error{Code: fault.ServerFailed}, Attempt: 1, CallerConnected: true}, false, false},
-		{"caller disconnected", Failure{Error: &fault.Error{Code: fault.ServerFailed}, Attempt: 1, Left: 1}, false, false},
+		{"caller disconnected", Failure{Error: &fault.Error{Code: fault.ServerFailed}, Attempt: 1, Remaining: 1}, false, false},
 	} {
 		t.Run(test.name, func(t *testing.T) {
 			retry, charge := test.f.ShouldRetry()
--- a/parts/server/server.go
+++ b/parts/server/server.go
@@ -27,9 +27,9 @@
 	Capacity atomic.Int64
 	// Failures counts the consecutive failures since the last success.
 	Failures atomic.Int64
-	// Silences counts the consecutive chains with this server that stopped
+	// SilentChains counts the consecutive chains with this server that stopped
 	// responding, since the last token that it processed.
-	Silences atomic.Int64
+	SilentChains atomic.Int64
 	// Step is the trend of the step time, relative to its own history.
 	Step health.Trend
 	// RefusedAt is the time when the server last refused a request because it
@@ -61,8 +61,8 @@
 	if m.Failures.Load() != 0 {
 		m.Failures.Store(0)
 	}
-	if m.Silences.Load() != 0 {
-		m.Silences.Store(0)
+	if m.SilentChains.Load() != 0 {
+		m.SilentChains.Store(0)
 	}
 }
 
