--- a/parts/claim/bench_test.go
+++ b/parts/claim/bench_test.go
@@ -15,31 +15,32 @@
 	"fuchsiashelf.dev/parts/wait"
 )
 
-// slow is a store that answers after a round trip.
-type slow struct {
-	memory
-	trip  time.Duration
-	reads atomic.Int64
+// slowStore is a store whose calls take one round trip.
+type slowStore struct {
+	memStore
+	roundTrip time.Duration
+	reads     atomic.Int64
 }
 
-func (s *slow) Get(ctx context.Context, key string) (store.Object, error) {
+func (s *slowStore) Get(ctx context.Context, key string) (store.Object, error) {
 	s.reads.Add(1)
-	wait.For(ctx, s.trip)
-	return s.memory.Get(ctx, key)
+	wait.For(ctx, s.roundTrip)
+	return s.memStore.Get(ctx, key)
 }
 
-func (s *slow) Put(ctx context.Context, key string, value []byte, version uint64) (uint64, error) {
-	wait.For(ctx, s.trip)
-	return s.memory.Put(ctx, key, value, version)
+func (s *slowStore) Put(ctx context.Context, key string, value []byte, version uint64) (uint64, error) {
+	wait.For(ctx, s.roundTrip)
+	return s.memStore.Put(ctx, key, value, version)
 }
 
-// offerFor is how long claims are offered.
-const offerFor = 2 * time.Second
+// offerDuration is how long each benchmark offers calls.
+const offerDuration = 2 * time.Second
 
-// BenchmarkGroupCommit offers calls at a rate to the writers of some entry
-// hosts with their share of the store's writes. It reports calls and store
-// calls a second and how long the slowest of 20 waited for its claim. Run it
-// with -benchtime=1x. The pauses belong to the model, not to a check.
+// BenchmarkGroupCommit offers calls at a fixed rate to the writers of several
+// entry hosts, each with its share of the store's write rate. It reports
+// calls, writes and reads per second and the 95th percentile of the time to a
+// claim. Run it with -benchtime=1x. The sleeps simulate load; no check
+// depends on them.
 func BenchmarkGroupCommit(b *testing.B) {
 	for _, entries := range []int{1, 4} {
 		for _, budget := range []float64{0, 75} {
@@ -53,43 +54,43 @@
 }
 
 func benchWriters(b *testing.B, entries int, budget float64, perSecond int) {
-	m := &slow{trip: 5 * time.Millisecond}
-	m.objects = map[string]store.Object{}
+	s := &slowStore{roundTrip: 5 * time.Millisecond}
+	s.objects = map[string]store.Object{}
 	ctx, cancel := context.WithCancel(context.Background())
 	writers := make([]*Writer, entries)
 	for i := range writers {
-		writers[i] = &Writer{Store: m, Log: slog.New(slog.DiscardHandler), Writes: budget, Done: make(chan struct{})}
+		writers[i] = &Writer{Store: s, Log: slog.New(slog.DiscardHandler), Writes: budget, Done: make(chan struct{})}
 		go func() { _ = writers[i].Run(ctx) }()
 	}
-	var all sync.WaitGroup
+	var wg sync.WaitGroup
 	var granted atomic.Int64
-	offered := perSecond * int(offerFor/time.Second) * b.N
+	offered := perSecond * int(offerDuration/time.Second) * b.N
 	waits := make([]time.Duration, offered)
 	b.ResetTimer()
-	began := time.Now()
+	started := time.Now()
 	for i := range offered {
-		due := began.Add(time.Duration(i) * time.Second / time.Duration(perSecond))
+		due := started.Add(time.Duration(i) * time.Second / time.Duration(perSecond))
 		wait.For(context.Background(), time.Until(due))
-		all.Go(func() {
-			w, t := writers[i%entries], take(fmt.Sprint(i), rand.Uint64()|1)
+		wg.Go(func() {
+			w, t := writers[i%entries], newTake(fmt.Sprint(i), rand.Uint64()|1)
 			t.Record.Until = time.Now().Add(time.Hour).UnixMilli()
-			found, _ := w.Acquire(ctx, t)
+			result, _ := w.Acquire(ctx, t)
 			waits[i] = time.Since(due)
-			if _, ok := found.(Granted); ok {
+			if _, ok := result.(Granted); ok {
 				granted.Add(1)
-				<-w.Settle(done(t))
+				<-w.Settle(settleOf(t))
 			}
 		})
 	}
-	all.Wait()
-	took := time.Since(began).Seconds()
+	wg.Wait()
+	elapsed := time.Since(started).Seconds()
 	cancel()
 	for _, w := range writers {
 		<-w.Done
 	}
-	b.ReportMetric(float64(granted.Load())/took, "calls/s")
-	b.ReportMetric(float64(m.writes)/took, "writes/s")
-	b.ReportMetric(float64(m.reads.Load())/took, "reads/s")
+	b.ReportMetric(float64(granted.Load())/elapsed, "calls/s")
+	b.ReportMetric(float64(s.writes)/elapsed, "writes/s")
+	b.ReportMetric(float64(s.reads.Load())/elapsed, "reads/s")
 	b.ReportMetric(float64(p95(waits).Microseconds())/1000, "p95-ms")
 }
 
@@ -99,19 +100,19 @@
 	return sorted[len(sorted)*95/100]
 }
 
-// BenchmarkCommit measures the processor time of one claim in a shard that
-// holds so many records already.
+// BenchmarkCommit measures the CPU time of one claim in a shard that already
+// holds the given number of records.
 func BenchmarkCommit(b *testing.B) {
 	for _, records := range []int{100, 1000, 10000} {
 		b.Run(fmt.Sprint(records), func(b *testing.B) {
 			s := &Shard{}
 			for i := range records {
-				s.put(take(fmt.Sprint("old", i), 1).Record)
+				s.put(newTake(fmt.Sprint("old", i), 1).Record)
 			}
 			value, _ := s.Encode()
 			for b.Loop() {
-				s.remove(take("new", 1).Record.Key)
-				s.Apply(start, []Op{take("new", 1)})
+				s.remove(newTake("new", 1).Record.Key)
+				s.Apply(start, []Op{newTake("new", 1)})
 				if _, err := s.Encode(); err != nil {
 					b.Fatal(err)
 				}
--- a/parts/claim/claim.go
+++ b/parts/claim/claim.go
@@ -1,18 +1,20 @@
-// Package claim makes calls that may not be repeated run at most once, even
-// when a caller sends the same call again through another entry host.
+// Package claim makes calls that are not idempotent run at most once, even
+// when a caller resends a call through another entry host.
 //
-// A claim is a [Record] that says which entry host may send a call to a
-// backend server. Records live in shard objects of the object API and are
-// written by conditional update, before the call is sent. The version of the
-// shard is the fence: an entry host that paused or was cut off while others
-// wrote can't write over what it has not seen, and no clock is involved.
+// A claim is a [Record] that names the entry host that may send a call to a
+// backend server. Records are stored in shard objects of the object API and
+// are written by compare-and-swap before the call is sent. The version of the
+// shard is the fencing token: an entry host that was paused or partitioned
+// while others wrote cannot overwrite changes that it has not read, and
+// correctness does not depend on clocks.
 //
-// A record is claimed, then done. It may be void instead: its holder has said
-// that it never sent the call and never will, so that another may claim it
-// anew. A record of a holder that is gone stays claimed until it expires.
+// A record is first claimed, then done. It is void instead if its holder
+// reports that it never sent the call and never will, so that another entry
+// host may claim the call again. The record of a holder that is gone stays
+// claimed until it expires.
 //
-// [Commit] is the state machine that brings a batch of changes into one shard
-// and is pure. [Table] is what an entry host remembers of its own claims.
+// [Commit] is a state machine without I/O that applies a batch of changes to
+// one shard. [Table] holds what an entry host knows about its own claims.
 // [Writer] runs commits.
 package claim
 
@@ -27,112 +29,121 @@
 	"github.com/fxamacker/cbor/v2"
 )
 
-// Shards is the number of shard objects. All entry hosts must agree on it,
-// and it can't change while claims live; docs/design/claims.md works it out.
+// Shards is the number of shard objects. It must be the same on all entry
+// hosts and cannot change while there are claims; docs/design/claims.md
+// derives the value.
 const Shards = 256
 
-// MaxShardBytes is the largest encoded shard; the object API holds a megabyte.
+// MaxShardBytes is the maximum size of an encoded shard. An object of the
+// object API holds at most one megabyte.
 const MaxShardBytes = 900_000
 
-// OutcomeTTL is how long a recorded outcome is kept. A caller that has lost
-// an answer comes back within it; later it learns only that its call ran.
+// OutcomeTTL is how long a recorded outcome is kept. A caller that lost the
+// response is expected to resend within this time; later it only learns that
+// its call has run.
 const OutcomeTTL = 5 * time.Minute
 
-// MaxOutcome is the largest body of an outcome that is recorded, in bytes.
+// MaxOutcome is the maximum size of the body of a recorded outcome, in bytes.
 const MaxOutcome = 512
 
-// Key identifies a call: its team and the caller's id.
+// Key identifies a call by its team and the ID that the caller chose.
 type Key [16]byte
 
-// Digest identifies what a call asks for.
+// Digest is the hash of the content of a call.
 type Digest [8]byte
 
-// KeyOf returns the key of a team's call. Ids of different teams never meet.
+// KeyOf returns the key of a team's call. The same ID gives different keys
+// for different teams.
 func KeyOf(team, id string) Key {
 	return Key(hash([]byte(team), []byte(id))[:len(Key{})])
 }
 
-// DigestOf returns the digest of a call's method, path with query, and body.
+// DigestOf returns the digest of a method, a request URI including its query,
+// and a body.
 func DigestOf(method, uri string, body []byte) Digest {
 	return Digest(hash([]byte(method), []byte(uri), body)[:len(Digest{})])
 }
 
-// hash hashes parts with their lengths, so that no two lists of parts give
-// the same input.
+// hash hashes each part with its length as a prefix, so that two different
+// lists of parts never produce the same input.
 func hash(parts ...[]byte) []byte {
 	h := sha256.New()
 	var size [8]byte
-	for _, p := range parts {
-		binary.BigEndian.PutUint64(size[:], uint64(len(p)))
+	for _, part := range parts {
+		binary.BigEndian.PutUint64(size[:], uint64(len(part)))
 		h.Write(size[:])
-		h.Write(p)
+		h.Write(part)
 	}
 	return h.Sum(nil)
 }
 
-// Shard returns the number of the shard that holds the key.
+// Shard returns the index of the shard that holds the key.
 func (k Key) Shard() int {
 	return int(binary.BigEndian.Uint64(k[:8]) % Shards)
 }
 
-// ObjectKey returns the key of a shard's object.
+// ObjectKey returns the object API key of a shard.
 func ObjectKey(shard int) string {
 	return fmt.Sprintf("claim/%03d", shard)
 }
 
-// Holder is one run of an entry host.
+// Holder identifies one process run of an entry host.
 type Holder struct {
 	_ struct{} `cbor:",toarray"`
 	// Entry is the name of the entry host.
 	Entry string
-	// Incarnation tells one run of it from the next.
+	// Incarnation distinguishes the runs of an entry host.
 	Incarnation uint64
 }
 
-// Outcome is the answer to a call, as far as it is recorded.
+// Outcome is the recorded part of the response to a call.
 type Outcome struct {
 	_ struct{} `cbor:",toarray"`
 	// Status is the HTTP status.
 	Status int
-	// Type is the content type of the body.
+	// Type is the content type of Body.
 	Type string
-	// Body is at most MaxOutcome bytes.
+	// Body holds at most MaxOutcome bytes.
 	Body []byte
 }
 
-// Record is one claim.
+// Record is the stored form of one claim.
 type Record struct {
 	_ struct{} `cbor:",toarray"`
 	// Key identifies the call.
 	Key Key
-	// Body tells a resend from another call under the same id.
+	// Body distinguishes a resend from another call with the same ID.
 	Body Digest
-	// Nonce tells this claim from any other on the same key.
+	// Nonce distinguishes this claim from other claims of the same key.
 	Nonce uint64
-	// Holder may send the call.
+	// Holder is the run of an entry host that may send the call.
 	Holder Holder
-	// Until is when the record expires, in Unix milliseconds.
+	// Until is the expiry time of the record, in Unix milliseconds.
 	Until int64
-	// Done is when the call's answer came, in Unix milliseconds; zero while
-	// it is claimed.
+	// Done is when the response to the call arrived, in Unix milliseconds;
+	// zero while the call is only claimed.
 	Done int64
-	// Outcome is the answer, if it was small and is kept still.
+	// Outcome is the response, if it is small enough to be recorded and
+	// OutcomeTTL has not passed.
 	Outcome *Outcome
 }
 
-// Shard holds the records of one object.
+// Shard holds the records of one shard object.
 type Shard struct {
 	records map[Key]Record
 	bytes   int
 }
 
-// The size of an encoded record without its holder's name and its outcome,
-// and what an outcome adds to its type and body. Both are upper bounds.
+// Upper bounds of encoded sizes, in bytes.
 const (
-	recordBytes  = 72
+	// recordBytes is the size of a record without the holder's name and the
+	// outcome.
+	recordBytes = 72
+	// outcomeBytes is the overhead of an outcome on top of its type and body.
 	outcomeBytes = 16
 )
 
+// size returns an upper bound of the encoded size.
 func (r *Record) size() int {
 	n := recordBytes + len(r.Holder.Entry)
 	if r.Outcome != nil {
@@ -146,7 +157,7 @@
 	return len(s.records)
 }
 
-// Find returns the record of a key.
+// Find returns the record of a key, if there is one.
 func (s *Shard) Find(key Key) (Record, bool) {
 	r, ok := s.records[key]
 	return r, ok
@@ -170,33 +181,33 @@
 	delete(s.records, key)
 }
 
-// Prune drops what has expired.
+// Prune removes expired records and outcomes.
 func (s *Shard) Prune(now time.Time) {
-	ms := now.UnixMilli()
+	nowMs := now.UnixMilli()
 	for key, r := range s.records {
-		if r.Until <= ms {
+		if r.Until <= nowMs {
 			s.remove(key)
 			continue
 		}
-		if r.Outcome != nil && r.Done+OutcomeTTL.Milliseconds() <= ms {
+		if r.Outcome != nil && r.Done+OutcomeTTL.Milliseconds() <= nowMs {
 			r.Outcome = nil
 			s.put(r)
 		}
 	}
 }
 
-// Encode returns the value of the shard's object. Equal shards have equal
-// values.
+// Encode returns the value of the shard object. The encoding is
+// deterministic.
 func (s *Shard) Encode() ([]byte, error) {
-	list := make([]Record, 0, len(s.records))
+	sorted := make([]Record, 0, len(s.records))
 	for _, r := range s.records {
-		list = append(list, r)
+		sorted = append(sorted, r)
 	}
-	slices.SortFunc(list, func(a, b Record) int { return bytes.Compare(a.Key[:], b.Key[:]) })
-	return cbor.Marshal(list)
+	slices.SortFunc(sorted, func(a, b Record) int { return bytes.Compare(a.Key[:], b.Key[:]) })
+	return cbor.Marshal(sorted)
 }
 
-// Decode reads the value of a shard's object; an empty value is an empty
+// Decode parses the value of a shard object. An empty value gives an empty
 // shard.
 func Decode(value []byte) (*Shard, error) {
 	s := &Shard{}
--- a/parts/claim/commit.go
+++ b/parts/claim/commit.go
@@ -8,59 +8,64 @@
 	"fuchsiashelf.dev/parts/store"
 )
 
-// Commit brings a batch of ops into one shard. It is driven by whoever does
-// the I/O: Next says what to do, Read and Wrote take what came of it. Set
-// the exported fields before the first Next.
+// Commit applies a batch of ops to one shard. It does no I/O: Next returns
+// the step to do, and OnRead and OnWrite take its result. Set the exported
+// fields before the first call of Next.
 //
-// A reply to a write can be lost after the write took effect. A commit then
-// reads the shard again. If its nonces are there, the write took effect. If
-// the version has not moved, the same conditional write is sent again: only
-// one of the two can land. If the version moved without the nonces, the
-// write can't land any more, and the ops are applied to what is there now.
+// The reply to a write can be lost after the write took effect. Commit then
+// reads the shard again. If the shard has the nonces of the batch, the write
+// took effect. If the version is unchanged, the same conditional write is
+// repeated: only one of the two can succeed. If the version changed and the
+// nonces are missing, the first write can no longer succeed, and the ops are
+// applied to the shard as read.
 type Commit struct {
-	// Shard and Version are the shard as last known; a nil Shard means
-	// unknown. A commit changes the shard in place.
+	// Shard and Version are the last known state of the shard; Shard is nil
+	// if it is unknown. Commit modifies Shard in place.
 	Shard   *Shard
 	Version uint64
-	// Seen is the highest version that was ever seen of this shard.
-	Seen uint64
-	// Ops are the changes.
+	// HighestSeen is the highest version of this shard that was ever read or
+	// written.
+	HighestSeen uint64
+	// Ops is the batch.
 	Ops []Op
 
-	fresh    bool
-	doubt    bool
-	tries    int
-	pending  []OpResult
-	findings []OpResult
-	failed   *fault.Error
+	// hasRead is true once this commit has read the shard.
+	hasRead bool
+	// uncertain is true if a write had an unknown outcome.
+	uncertain      bool
+	attempts       int
+	pendingResults []OpResult
+	results        []OpResult
+	failure        *fault.Error
 }
 
-// maxTries bounds the writes of one commit. Each but the last has lost
-// against another entry host's write, or its reply was lost.
-const maxTries = 8
+// maxAttempts bounds the writes of one commit. A write is repeated after it
+// conflicted with the write of another entry host or its reply was lost.
+const maxAttempts = 8
 
-const noStore = "the object API does not take claims"
+const storeUnavailable = "the object API does not take claims"
 
-// Step is what a Commit needs next: DoRead, DoWrite, Settled or Failed.
+// Step is the next step of a Commit: DoRead, DoWrite, Committed or Failed.
 type Step interface{ step() }
 
-// DoRead asks for the shard's object.
+// DoRead asks the caller to read the shard object.
 type DoRead struct{}
 
-// DoWrite asks for a conditional write of the shard's object.
+// DoWrite asks the caller to write the shard object if it still has the given
+// version.
 type DoWrite struct {
 	Value   []byte
 	Version uint64
 }
 
-// Committed ends a commit; there is a finding for each op.
-type Committed struct{ Findings []OpResult }
+// Committed ends a commit that succeeded. It has one result for each op.
+type Committed struct{ Results []OpResult }
 
-// Failed ends a commit that could not be brought into the store. No Take of
-// it was granted.
+// Failed ends a commit that did not succeed. None of its Takes was granted.
 type Failed struct {
 	Err *fault.Error
-	// Uncertain says that a write of it may be in the store, or may land later.
+	// Uncertain is true if a write of the commit may have taken effect or may
+	// still do so.
 	Uncertain bool
 }
 
@@ -72,42 +77,42 @@
 // Next returns the next step.
 func (c *Commit) Next(now time.Time) Step {
 	switch {
-	case c.failed != nil:
-		return Failed{c.failed, c.doubt}
-	case c.findings != nil:
-		return Committed{c.findings}
+	case c.failure != nil:
+		return Failed{c.failure, c.uncertain}
+	case c.results != nil:
+		return Committed{c.results}
 	case c.Shard == nil:
 		return DoRead{}
 	}
-	findings, changed := c.Shard.Apply(now, c.Ops)
-	if !c.fresh && doubtful(findings) {
+	results, changed := c.Shard.Apply(now, c.Ops)
+	if !c.hasRead && needsFreshRead(results) {
 		c.Shard = nil
 		return DoRead{}
 	}
 	if !changed {
-		c.findings = findings
-		return Committed{findings}
+		c.results = results
+		return Committed{results}
 	}
-	if c.tries == maxTries {
+	if c.attempts == maxAttempts {
 		c.fail("the shard is written by too many at once", nil)
-		return Failed{c.failed, c.doubt}
+		return Failed{c.failure, c.uncertain}
 	}
 	value, err := c.Shard.Encode()
 	if err != nil {
 		c.fail("the shard can't be encoded", err)
-		return Failed{c.failed, c.doubt}
+		return Failed{c.failure, c.uncertain}
 	}
-	c.tries++
-	c.pending = findings
+	c.attempts++
+	c.pendingResults = results
 	return DoWrite{Value: value, Version: c.Version}
 }
 
-// doubtful reports whether a finding depends on a record that another entry
-// host may have changed since the shard was read. A grant does not: its
-// write would fail.
-func doubtful(findings []OpResult) bool {
-	for _, f := range findings {
-		switch f.(type) {
+// needsFreshRead reports whether a result depends on a record that another
+// entry host may have changed since the shard was read. A grant does not,
+// since its write would fail with a conflict.
+func needsFreshRead(results []OpResult) bool {
+	for _, r := range results {
+		switch r.(type) {
 		case Granted, Recorded, Unknown:
 		case Held, Completed, Reused, Full:
 			return true
@@ -116,16 +121,16 @@
 	return false
 }
 
-// Read takes the answer to DoRead.
-func (c *Commit) Read(o store.Object, err error) {
+// OnRead takes the result of a DoRead step.
+func (c *Commit) OnRead(o store.Object, err error) {
 	if err != nil {
-		c.fail(noStore, err)
+		c.fail(storeUnavailable, err)
 		return
 	}
-	// A store that was restored from an older copy has lost claims. One
-	// notices by the version going back; going on would run calls again.
-	if o.Version < c.Seen {
-		c.fail(fmt.Sprintf("the shard went back from version %d to %d", c.Seen, o.Version), nil)
+	// A version that goes back means that the store was restored from an older
+	// copy and has lost claims. Continuing could run calls twice.
+	if o.Version < c.HighestSeen {
+		c.fail(fmt.Sprintf("the shard went back from version %d to %d", c.HighestSeen, o.Version), nil)
 		return
 	}
 	shard, err := Decode(o.Value)
@@ -133,34 +138,34 @@
 		c.fail("the shard can't be decoded", err)
 		return
 	}
-	c.Shard, c.Version, c.Seen, c.fresh = shard, o.Version, o.Version, true
+	c.Shard, c.Version, c.HighestSeen, c.hasRead = shard, o.Version, o.Version, true
 }
 
-// Wrote takes the answer to DoWrite.
-func (c *Commit) Wrote(version uint64, err error) {
+// OnWrite takes the result of a DoWrite step.
+func (c *Commit) OnWrite(version uint64, err error) {
 	if err == nil {
-		c.Version, c.Seen = version, version
-		c.findings = c.pending
+		c.Version, c.HighestSeen = version, version
+		c.results = c.pendingResults
 		return
 	}
 	e := fault.As(err)
 	c.Shard = nil
-	// Lost against another write, or the reply was lost: read again.
+	// Read again after a conflict or a lost reply.
 	if e.Code == fault.Conflict {
 		return
 	}
 	if e.Verdict != fault.NotRun {
-		c.doubt = true
+		c.uncertain = true
 		return
 	}
-	c.fail(noStore, err)
+	c.fail(storeUnavailable, err)
 }
 
-// fail ends the commit. The verdict is NotRun: no call is sent without a
-// grant.
+// fail ends the commit with an error. The verdict is NotRun, since no call is
+// sent without a grant.
 func (c *Commit) fail(message string, cause error) {
 	c.Shard = nil
-	c.failed = &fault.Error{
+	c.failure = &fault.Error{
 		Code: fault.StoreDown, Verdict: fault.NotRun, Message: message,
 		RetryAfter: time.Second, Cause: cause,
 	}
--- a/parts/claim/hung_test.go
+++ b/parts/claim/hang_test.go
@@ -13,65 +13,65 @@
 	"fuchsiashelf.dev/parts/store"
 )
 
-// hanging is a store that answers no write until its timeout, until it heals.
-type hanging struct {
+// hangingStore is a store whose writes block until storeTimeout and then
+// fail, until it recovers.
+type hangingStore struct {
 	store.API
-	healed bool
-	writes int
+	recovered bool
+	writes    int
 }
 
-// storeTimeout is when a call of a hanging store fails.
+// storeTimeout is how long a write to a hanging store blocks.
 const storeTimeout = 2 * time.Second
 
-func (h *hanging) Get(context.Context, string) (store.Object, error) {
+func (h *hangingStore) Get(context.Context, string) (store.Object, error) {
 	return store.Object{}, nil
 }
 
-func (h *hanging) Put(context.Context, string, []byte, uint64) (uint64, error) {
+func (h *hangingStore) Put(context.Context, string, []byte, uint64) (uint64, error) {
 	h.writes++
-	if h.healed {
+	if h.recovered {
 		return uint64(h.writes), nil
 	}
 	<-time.After(storeTimeout)
 	return 0, &fault.Error{Code: fault.StoreDown, Verdict: fault.NotRun}
 }
 
-// The store takes calls and answers none. The first callers wait for its
-// timeout, since nothing is known yet. Were each later one to wait as well, a
-// caller would hear only after seconds that its call was refused, and callers
-// would pile up. One at a time tries the store, so that the first one after it
-// healed is let through and all after that.
-func TestHangingStoreRefusesAtOnce(t *testing.T) {
+// The store accepts calls but never answers. Callers must not queue up for
+// its timeout once it is known to hang: one Take at a time probes the store
+// and the others fail at once. The first probe after a recovery succeeds, as
+// do all Takes after it.
+func TestHangingStoreFailsFast(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
-		h := &hanging{}
+		h := &hangingStore{}
 		w := &Writer{Store: h, Log: slog.New(slog.DiscardHandler), Done: make(chan struct{})}
 		ctx, cancel := context.WithCancel(context.Background())
 		go func() { _ = w.Run(ctx) }()
-		try := func(id string) (time.Duration, *fault.Error) {
-			began := time.Now()
-			_, e := w.Acquire(context.Background(), take(id, 1))
-			return time.Since(began), e
+		acquire := func(id string) (time.Duration, *fault.Error) {
+			started := time.Now()
+			_, e := w.Acquire(context.Background(), newTake(id, 1))
+			return time.Since(started), e
 		}
 
-		waited, e := try("first")
+		waited, e := acquire("first")
 		qt.Assert(t, e.Code, qt.Equals, fault.StoreDown)
 		qt.Assert(t, waited >= storeTimeout, qt.IsTrue)
 
 		probe := make(chan *fault.Error)
 		go func() {
-			_, e := try("probe")
+			_, e := acquire("probe")
 			probe <- e
 		}()
 		synctest.Wait()
-		waited, e = try("second")
+		waited, e = acquire("second")
 		qt.Assert(t, e.Code, qt.Equals, fault.StoreDown)
 		qt.Assert(t, e.Verdict, qt.Equals, fault.NotRun)
 		qt.Assert(t, waited, qt.Equals, time.Duration(0))
 		qt.Assert(t, (<-probe).Code, qt.Equals, fault.StoreDown)
 
-		h.healed = true
+		h.recovered = true
 		for _, id := range []string{"third", "fourth"} {
-			_, e = try(id)
+			_, e = acquire(id)
 			qt.Assert(t, e == nil, qt.IsTrue, qt.Commentf(id))
 		}
 		cancel()
--- a/parts/claim/op.go
+++ b/parts/claim/op.go
@@ -2,7 +2,7 @@
 
 import "time"
 
-// Op is a change to one record: a Take, a Settle or a Void.
+// Op is a change of one record: a Take, a Settle or a Void.
 type Op interface {
 	op()
 	key() Key
@@ -10,21 +10,21 @@
 
 // Take claims a call.
 type Take struct {
-	// Record is the record to be written; it is not done.
+	// Record is the record to write. Its Done is zero.
 	Record Record
-	// Replaces is the nonce of a void claim that this one may replace; zero for
-	// none.
+	// Replaces is the nonce of a void claim that this claim may replace; zero
+	// for none.
 	Replaces uint64
 }
 
 // Settle records that a claimed call has been answered.
 type Settle struct {
-	// Record is the claim with the time and, if it is small, the answer. It
-	// is written whole, so that a store that lost the claim has it again.
+	// Record is the claim with Done and, if the response is small, Outcome. It
+	// is written as a whole, so that a store that lost the claim gets it back.
 	Record Record
 }
 
-// Void takes a claim back whose call was never sent and never will be.
+// Void withdraws the claim of a call that was never sent and never will be.
 type Void struct {
 	Key   Key
 	Nonce uint64
@@ -38,63 +38,63 @@
 func (s Settle) key() Key { return s.Record.Key }
 func (v Void) key() Key   { return v.Key }
 
-// OpResult is what came of an Op: Granted, Held, Ended, Reused, Full or Unknown
-// for a Take, and Noted for the others.
-type OpResult interface{ finding() }
+// OpResult is the result of an Op: Granted, Held, Completed, Reused, Full or
+// Unknown for a Take, and Recorded for the others.
+type OpResult interface{ opResult() }
 
-// Granted means that the claim is in the store: its holder, and nobody else,
-// may send the call.
+// Granted means that the claim is in the store. Its holder, and no other
+// entry host, may send the call.
 type Granted struct{}
 
-// Held means that the call is claimed and not known to be answered.
+// Held means that the call is claimed and has no recorded response.
 type Held struct{ Record Record }
 
-// Completed means that the call was answered before.
+// Completed means that the call was answered earlier.
 type Completed struct{ Record Record }
 
-// Reused means that the id belongs to another call.
+// Reused means that the ID belongs to a call with different content.
 type Reused struct{}
 
 // Full means that the shard has no room for another claim.
 type Full struct{}
 
-// Unknown means that a write of the claim may be in the store, or may land
-// later. The call is not sent.
+// Unknown means that a write of the claim may have taken effect or may still
+// do so. The call must not be sent.
 type Unknown struct{}
 
-// Recorded means that a Settle or Void is in the store, or that there is no
-// such claim any more.
+// Recorded means that a Settle or Void is in the store, or that the claim no
+// longer exists.
 type Recorded struct{}
 
-func (Granted) finding()   {}
-func (Held) finding()      {}
-func (Completed) finding() {}
-func (Reused) finding()    {}
-func (Full) finding()      {}
-func (Unknown) finding()   {}
-func (Recorded) finding()  {}
-
-// Apply makes changes to the shard and returns what came of each, and
-// whether the shard has changed. An op that is in the shard already changes
-// nothing and is found again, so that applying it after a lost reply tells
-// whether it took effect.
+func (Granted) opResult()   {}
+func (Held) opResult()      {}
+func (Completed) opResult() {}
+func (Reused) opResult()    {}
+func (Full) opResult()      {}
+func (Unknown) opResult()   {}
+func (Recorded) opResult()  {}
+
+// Apply applies ops to the shard. It returns the result of each op and
+// whether the shard changed. Applying an op again changes nothing and returns
+// the same result, so that repeating it after a lost reply shows whether the
+// write took effect.
 func (s *Shard) Apply(now time.Time, ops []Op) ([]OpResult, bool) {
 	s.Prune(now)
-	findings := make([]OpResult, len(ops))
+	results := make([]OpResult, len(ops))
 	changed := false
 	for i, op := range ops {
-		did := false
+		opChanged := false
 		switch op := op.(type) {
 		case Take:
-			findings[i], did = s.take(op)
+			results[i], opChanged = s.take(op)
 		case Settle:
-			findings[i], did = Recorded{}, s.settle(op)
+			results[i], opChanged = Recorded{}, s.settle(op)
 		case Void:
-			findings[i], did = Recorded{}, s.void(op)
+			results[i], opChanged = Recorded{}, s.void(op)
 		}
-		changed = changed || did
+		changed = changed || opChanged
 	}
-	return findings, changed
+	return results, changed
 }
 
 func (s *Shard) take(t Take) (OpResult, bool) {
@@ -117,13 +117,13 @@
 	return Granted{}, true
 }
 
-func (s *Shard) settle(o Settle) bool {
-	r, found := s.records[o.Record.Key]
-	if found && (r.Nonce != o.Record.Nonce || r.Done != 0) {
+func (s *Shard) settle(op Settle) bool {
+	r, found := s.records[op.Record.Key]
+	if found && (r.Nonce != op.Record.Nonce || r.Done != 0) {
 		return false
 	}
-	r = o.Record
-	// Without room for the outcome the record still says that the call ran.
+	r = op.Record
+	// If there is no room for the outcome, record only that the call ran.
 	if s.bytes+r.size() > MaxShardBytes {
 		r.Outcome = nil
 	}
--- a/parts/claim/table.go
+++ b/parts/claim/table.go
@@ -6,84 +6,86 @@
 	"time"
 )
 
-// Phase is how far a call has come on the entry host that holds its claim.
+// Phase is the progress of a call on the entry host that holds its claim.
 type Phase int32
 
-// The phases. A call goes from Asking to Running to Over, or from either of
-// the first two to Never.
+// The phases. A call goes from Claiming to Running to Finished, or from either
+// of the first two to NotSent.
 const (
-	// Claiming: the claim is on its way to the store.
+	// Claiming: the claim is being written to the store.
 	Claiming Phase = iota
-	// Running: the call may have left for a backend server.
+	// Running: the call may have been sent to a backend server.
 	Running
 	// Finished: the call has an outcome, or is known to have none.
 	Finished
-	// NotSent: the call was not sent and never will be under this nonce.
+	// NotSent: the call was not sent and never will be with this nonce.
 	NotSent
 )
 
 // Flight is a call that this entry host has claimed or is claiming. R is the
 // type of its result.
 type Flight[R any] struct {
-	// Key, Body and Nonce are those of the claim.
+	// Key, Body and Nonce are copied from the claim.
 	Key   Key
 	Body  Digest
 	Nonce uint64
-	// Until is when the flight may be forgotten.
+	// Until is when the flight may be removed from the table.
 	Until time.Time
-	// Done is closed when the flight has a result.
+	// Done is closed once the flight has a result.
 	Done chan struct{}
 
 	phase  atomic.Int32
 	result R
 }
 
-// Phase returns how far the call has come.
+// Phase returns the current phase.
 func (f *Flight[R]) Phase() Phase {
 	return Phase(f.phase.Load())
 }
 
-// Start moves from Asking to Running, just before the first byte of the call
-// can leave.
+// Start moves the flight from Claiming to Running and reports whether it did.
+// Call it just before the first byte of the call can be sent.
 func (f *Flight[R]) Start() bool {
 	return f.phase.CompareAndSwap(int32(Claiming), int32(Running))
 }
 
-// Finish gives the flight its result. With never, the call was not sent or its
-// backend server has said that it did not run it.
-func (f *Flight[R]) Finish(result R, never bool) {
+// Finish sets the result. notSent means that the call was not sent or that
+// its backend server reported that it did not run it.
+func (f *Flight[R]) Finish(result R, notSent bool) {
 	f.result = result
 	phase := Finished
-	if never {
+	if notSent {
 		phase = NotSent
 	}
 	f.phase.Store(int32(phase))
 	close(f.Done)
 }
 
-// Result returns the result once Done is closed.
+// Result returns the result. Call it only once Done is closed.
 func (f *Flight[R]) Result() R {
 	return f.result
 }
 
-// Table holds the flights of one run of an entry host. Its zero value is
-// ready. A flight that was sent stays in it until its outcome is in the
-// store, so that whoever finds the claim can learn more from its holder.
+// Table holds the flights of one run of an entry host. The zero value is
+// ready to use. The flight of a call that was sent stays in the table until
+// its outcome is in the store, so that an entry host that finds the claim can
+// query its holder.
 type Table[R any] struct {
-	flights sync.Map // of Key to *Flight[R]
+	flights sync.Map // Key to *Flight[R]
 }
 
-// Begin returns the flight of a call. It is the caller's own if there was
-// none, or one that never ran; over is then the nonce of that one. Otherwise
-// it is the flight that the call joins.
-func (t *Table[R]) Begin(key Key, body Digest, nonce uint64, until time.Time) (f *Flight[R], own bool, over uint64) {
+// Begin returns the flight of a call. If there was none, or one that never
+// ran, it adds a new flight and own is true; replaced is then the nonce of
+// the flight that never ran, or zero. Otherwise own is false and the caller
+// joins the existing flight.
+func (t *Table[R]) Begin(key Key, body Digest, nonce uint64, until time.Time) (f *Flight[R], own bool, replaced uint64) {
 	fresh := &Flight[R]{Key: key, Body: body, Nonce: nonce, Until: until, Done: make(chan struct{})}
 	for {
-		found, loaded := t.flights.LoadOrStore(key, fresh)
+		existing, loaded := t.flights.LoadOrStore(key, fresh)
 		if !loaded {
 			return fresh, true, 0
 		}
-		old := found.(*Flight[R])
+		old := existing.(*Flight[R])
 		if old.Phase() != NotSent || old.Body != body {
 			return old, false, 0
 		}
@@ -93,32 +95,32 @@
 	}
 }
 
-// Forget drops a flight, if it is still the one of its call.
+// Forget removes a flight unless another one has replaced it.
 func (t *Table[R]) Forget(f *Flight[R]) {
 	t.flights.CompareAndDelete(f.Key, f)
 }
 
-// Find returns the flight of a claim.
+// Find returns the flight of a claim, if there is one.
 func (t *Table[R]) Find(key Key, nonce uint64) (*Flight[R], bool) {
-	found, ok := t.flights.Load(key)
-	if !ok || found.(*Flight[R]).Nonce != nonce {
+	value, ok := t.flights.Load(key)
+	if !ok || value.(*Flight[R]).Nonce != nonce {
 		return nil, false
 	}
-	return found.(*Flight[R]), true
+	return value.(*Flight[R]), true
 }
 
-// Sweep drops the flights that may be forgotten and returns how many are
-// left.
+// Sweep removes finished flights whose Until has passed and returns the
+// number of flights that remain.
 func (t *Table[R]) Sweep(now time.Time) int {
-	left := 0
+	remaining := 0
 	t.flights.Range(func(key, value any) bool {
 		f := value.(*Flight[R])
 		if f.Until.Before(now) && f.Phase() >= Finished {
 			t.flights.CompareAndDelete(key, value)
 			return true
 		}
-		left++
+		remaining++
 		return true
 	})
-	return left
+	return remaining
 }
--- a/parts/claim/writer.go
+++ b/parts/claim/writer.go
@@ -13,94 +13,102 @@
 	"fuchsiashelf.dev/parts/store"
 )
 
-// Writer writes claims. All changes that wait for a shard go into one write
-// (group commit), so that a burst costs no more writes than shards. Set the
-// exported fields, then Run.
+// Writer writes claims. All changes that wait for a shard share one write
+// (group commit), so that a burst costs at most one write per shard. Set the
+// exported fields, then call Run.
 type Writer struct {
 	// Store is the object API.
 	Store store.API
-	// Log gets what goes wrong.
+	// Log receives failures.
 	Log *slog.Logger
-	// Writes is how many commits a second may start; zero means any number.
-	// What comes faster waits and shares a write.
+	// Writes is the maximum rate of commits per second; zero means no limit.
+	// Changes that exceed it wait and share a write.
 	Writes float64
-	// Workers is how many commits run at once; zero means DefaultWorkers.
+	// Workers is the number of concurrent commits; zero means DefaultWorkers.
 	Workers int
-	// Done is closed when Run has ended. Make it before Run.
+	// Done is closed when Run returns. Make it before calling Run.
 	Done chan struct{}
 
-	once  sync.Once
-	in    chan *item
-	out   chan *lane
-	again chan *lane
-	lanes [Shards]*lane
-	// ready holds the lanes in which a Take waits, quiet those in which only
-	// others do.
-	ready []*lane
-	quiet []*lane
-	pool  *ants.Pool
-	limit *rate.Limiter
-	// hung is the error of a store that hangs; probe is the lane that tries
-	// it.
-	hung  *fault.Error
-	probe *lane
+	setupOnce sync.Once
+	incoming  chan *pendingOp
+	finished  chan *shardQueue
+	retryDue  chan *shardQueue
+	queues    [Shards]*shardQueue
+	// urgent holds the shards in which a Take waits, background those in which
+	// only other ops wait.
+	urgent     []*shardQueue
+	background []*shardQueue
+	pool       *ants.Pool
+	limiter    *rate.Limiter
+	// hangErr is the error of a store that hangs, else nil. probe is the shard
+	// whose commit tests whether the store has recovered.
+	hangErr *fault.Error
+	probe   *shardQueue
 }
 
 // The defaults and bounds of a Writer.
 const (
-	// DefaultWorkers is far above what the store takes at a time.
+	// DefaultWorkers is far above the number of calls that the store handles
+	// at once.
 	DefaultWorkers = 64
-	// maxBatch bounds the changes in one write.
+	// maxBatch bounds the ops in one write.
 	maxBatch = 512
-	// drainWait bounds how long Run goes on after its context ended, for the
-	// outcomes that are not written yet.
-	drainWait = 2 * time.Second
-	// again is the mean pause before outcomes of a shard are written again.
-	again = time.Second
-	// maxParked bounds the outcomes of a shard that wait to be written again.
-	maxParked = 4096
-	// slowFail is how long a commit takes to fail if the store hangs. While
-	// it does, one claim at a time tries it and others are refused at once.
-	slowFail = time.Second
-	// cacheBytes is the largest shard that is kept between writes. A larger
-	// one is read again each time, which bounds the memory of the whole.
-	cacheBytes = 64 << 10
-	// freshFor is how long a kept shard is written over without reading it
-	// again. Later another entry host has likely written it, and a write that
-	// fails costs the store more than a read.
-	freshFor = 100 * time.Millisecond
+	// drainTimeout bounds how long Run continues after its context ended to
+	// write the remaining outcomes.
+	drainTimeout = 2 * time.Second
+	// retryDelay is the mean delay before the outcomes of a shard are written
+	// again.
+	retryDelay = time.Second
+	// maxDeferred bounds the outcomes of a shard that wait for a retry.
+	maxDeferred = 4096
+	// hangThreshold is the duration from which a failed commit counts as a
+	// sign that the store hangs. While it hangs, one Take at a time probes it
+	// and others are refused at once.
+	hangThreshold = time.Second
+	// maxCachedBytes is the size of the largest shard that is cached between
+	// writes. A larger one is read again for each commit, which bounds the
+	// total memory.
+	maxCachedBytes = 64 << 10
+	// cacheTTL is how long a cached shard is used without reading it again.
+	// After that another entry host has likely written it, and a write that
+	// conflicts costs the store more than a read.
+	cacheTTL = 100 * time.Millisecond
 )
 
+// setup makes the channels and queues on first use, since callers may submit
+// ops before Run.
 func (w *Writer) setup() {
-	w.once.Do(func() {
-		w.in = make(chan *item, Shards)
-		// One place for each lane: a commit never waits to hand itself back.
-		w.out = make(chan *lane, Shards)
-		w.again = make(chan *lane, Shards)
-		for i := range w.lanes {
-			w.lanes[i] = &lane{shard: i}
+	w.setupOnce.Do(func() {
+		w.incoming = make(chan *pendingOp, Shards)
+		// One slot per shard, so that a commit never blocks on passing its queue
+		// back.
+		w.finished = make(chan *shardQueue, Shards)
+		w.retryDue = make(chan *shardQueue, Shards)
+		for i := range w.queues {
+			w.queues[i] = &shardQueue{shard: i}
 		}
 	})
 }
 
-// Acquire claims a call and returns what came of it. Whoever gets no grant
-// sends no call. An error comes with Unknown if the claim may be in the
-// store; it should then be taken back with Forsake.
+// Acquire claims a call. The caller may send the call only if the result is
+// Granted. An error comes with Unknown if the claim may be in the store;
+// withdraw it with Release.
 func (w *Writer) Acquire(ctx context.Context, t Take) (OpResult, *fault.Error) {
-	found := make(chan result, 1)
-	if !w.send(ctx, &item{op: t, found: found}) {
-		return nil, gaveUp(ctx)
+	reply := make(chan opReply, 1)
+	if !w.submit(ctx, &pendingOp{op: t, reply: reply}) {
+		return nil, acquireError(ctx)
 	}
 	select {
-	case r := <-found:
-		return r.finding, r.err
+	case r := <-reply:
+		return r.result, r.err
 	case <-ctx.Done():
 	case <-w.Done:
 	}
-	return Unknown{}, gaveUp(ctx)
+	return Unknown{}, acquireError(ctx)
 }
 
-func gaveUp(ctx context.Context) *fault.Error {
+// acquireError returns the error of an Acquire that got no reply.
+func acquireError(ctx context.Context) *fault.Error {
 	code := fault.StoreDown
 	if ctx.Err() != nil {
 		code = fault.Deadline
@@ -111,26 +119,30 @@
 	}
 }
 
-// Settle records an outcome in the background. The channel is closed when it
-// is in the store; it stays open if that fails for long.
+// Settle records an outcome in the background. The returned channel is closed
+// once the outcome is in the store; if writing keeps failing, it is never
+// closed.
 func (w *Writer) Settle(s Settle) <-chan struct{} {
-	return w.behind(s)
+	return w.submitAsync(s)
 }
 
-// Release takes back a claim whose call was never sent, in the background.
+// Release withdraws the claim of a call that was never sent, in the
+// background.
 func (w *Writer) Release(v Void) <-chan struct{} {
-	return w.behind(v)
+	return w.submitAsync(v)
 }
 
-func (w *Writer) behind(op Op) <-chan struct{} {
-	found := make(chan result, 1)
+// submitAsync submits an op and returns a channel that is closed once the op
+// is in the store.
+func (w *Writer) submitAsync(op Op) <-chan struct{} {
+	reply := make(chan opReply, 1)
 	written := make(chan struct{})
-	if !w.send(context.Background(), &item{op: op, found: found}) {
+	if !w.submit(context.Background(), &pendingOp{op: op, reply: reply}) {
 		return written
 	}
 	go func() {
 		select {
-		case <-found:
+		case <-reply:
 			close(written)
 		case <-w.Done:
 		}
@@ -138,10 +150,11 @@
 	return written
 }
 
-func (w *Writer) send(ctx context.Context, i *item) bool {
+// submit passes an op to Run and reports whether Run took it.
+func (w *Writer) submit(ctx context.Context, p *pendingOp) bool {
 	w.setup()
 	select {
-	case w.in <- i:
+	case w.incoming <- p:
 		return true
 	case <-ctx.Done():
 	case <-w.Done:
@@ -149,8 +162,8 @@
 	return false
 }
 
-// Run writes claims until the context ends, and then for a while what is
-// left of the outcomes.
+// Run writes claims until the context ends, and then the queued outcomes for
+// at most drainTimeout.
 func (w *Writer) Run(ctx context.Context) error {
 	w.setup()
 	defer close(w.Done)
@@ -164,53 +177,58 @@
 	}
 	defer pool.Release()
 	w.pool = pool
-	w.limit = rate.NewLimiter(rate.Inf, 0)
+	w.limiter = rate.NewLimiter(rate.Inf, 0)
 	if w.Writes > 0 {
-		w.limit = rate.NewLimiter(rate.Limit(w.Writes), max(1, int(w.Writes/20)))
+		w.limiter = rate.NewLimiter(rate.Limit(w.Writes), max(1, int(w.Writes/20)))
 	}
-	work, stop := context.WithCancel(context.WithoutCancel(ctx))
+	workCtx, stop := context.WithCancel(context.WithoutCancel(ctx))
 	defer stop()
-	w.loop(ctx, work)
+	w.loop(ctx, workCtx)
 	return nil
 }
 
-func (w *Writer) loop(ctx, work context.Context) {
+// loop handles submitted ops and finished commits until ctx ends and the
+// queues are empty, or until drainTimeout after ctx ended. workCtx is the
+// context of the commits and outlives ctx.
+func (w *Writer) loop(ctx, workCtx context.Context) {
 	tick := time.NewTimer(time.Hour)
 	defer tick.Stop()
 	var end <-chan time.Time
-	ended := ctx.Done()
+	done := ctx.Done()
 	for {
 		select {
-		case i := <-w.in:
-			w.add(i)
-		case l := <-w.out:
-			w.back(l)
-		case l := <-w.again:
-			l.timed = false
-			w.unpark(l)
+		case p := <-w.incoming:
+			w.enqueue(p)
+		case q := <-w.finished:
+			w.complete(q)
+		case q := <-w.retryDue:
+			q.retryScheduled = false
+			w.requeueDeferred(q)
 		case <-tick.C:
-		case <-ended:
-			ended = nil
-			timer := time.NewTimer(drainWait)
+		case <-done:
+			done = nil
+			timer := time.NewTimer(drainTimeout)
 			defer timer.Stop()
 			end = timer.C
 		case <-end:
 			return
 		}
-		if wait := w.launch(work); wait > 0 {
+		if wait := w.startCommits(workCtx); wait > 0 {
 			tick.Reset(wait)
 		}
-		if ended == nil && w.idle() {
+		if done == nil && w.idle() {
 			return
 		}
 	}
 }
 
+// idle reports whether no op is queued and no commit runs. Deferred outcomes
+// do not count.
 func (w *Writer) idle() bool {
-	for _, l := range w.lanes {
-		if l.busy || len(l.waiting) > 0 {
+	for _, q := range w.queues {
+		if q.busy || len(q.waiting) > 0 {
 			return false
 		}
 	}
-	return len(w.in) == 0
+	return len(w.incoming) == 0
 }
--- a/parts/claim/writer_test.go
+++ b/parts/claim/writer_test.go
@@ -14,32 +14,32 @@
 	"fuchsiashelf.dev/parts/store"
 )
 
-// memory is a store in memory whose writes can be made to wait or to fail.
-type memory struct {
+// memStore is an in-memory store whose writes can be blocked or made to fail.
+type memStore struct {
 	store.API
-	mu      sync.Mutex
-	objects map[string]store.Object
-	version uint64
-	writes  int
-	fail    func(write int) error
-	gate    chan struct{}
+	mu       sync.Mutex
+	objects  map[string]store.Object
+	version  uint64
+	writes   int
+	writeErr func(write int) error
+	gate     chan struct{}
 }
 
-func (m *memory) Get(_ context.Context, key string) (store.Object, error) {
+func (m *memStore) Get(_ context.Context, key string) (store.Object, error) {
 	m.mu.Lock()
 	defer m.mu.Unlock()
 	return m.objects[key], nil
 }
 
-func (m *memory) Put(_ context.Context, key string, value []byte, version uint64) (uint64, error) {
+func (m *memStore) Put(_ context.Context, key string, value []byte, version uint64) (uint64, error) {
 	if m.gate != nil {
 		<-m.gate
 	}
 	m.mu.Lock()
 	defer m.mu.Unlock()
 	m.writes++
-	if m.fail != nil {
-		if err := m.fail(m.writes); err != nil {
+	if m.writeErr != nil {
+		if err := m.writeErr(m.writes); err != nil {
 			return 0, err
 		}
 	}
@@ -51,7 +51,8 @@
 	return m.version, nil
 }
 
-func run(t *testing.T, m *memory) (*Writer, func()) {
+// startWriter runs a Writer and returns a function that stops it.
+func startWriter(t *testing.T, m *memStore) (*Writer, func()) {
 	m.objects = map[string]store.Object{}
 	w := &Writer{Store: m, Log: slog.New(slog.DiscardHandler), Done: make(chan struct{})}
 	ctx, cancel := context.WithCancel(context.Background())
@@ -63,71 +64,71 @@
 	}
 }
 
-// sameShard returns takes whose keys are in one shard.
+// sameShard returns n Takes whose keys are in one shard.
 func sameShard(n int) []Take {
 	var takes []Take
-	shard := take("seat", 1).key().Shard()
+	shard := newTake("seat", 1).key().Shard()
 	for i := 0; len(takes) < n; i++ {
-		if t := take(fmt.Sprint("seat", i), uint64(i+1)); t.key().Shard() == shard {
+		if t := newTake(fmt.Sprint("seat", i), uint64(i+1)); t.key().Shard() == shard {
 			takes = append(takes, t)
 		}
 	}
 	return takes
 }
 
-// All claims that wait while a shard is being written share the next write.
+// Claims that arrive while their shard is being written share the next write.
 func TestGroupCommit(t *testing.T) {
-	m := &memory{gate: make(chan struct{})}
-	w, stop := run(t, m)
+	m := &memStore{gate: make(chan struct{})}
+	w, stop := startWriter(t, m)
 	takes := sameShard(40)
-	var all sync.WaitGroup
-	for _, one := range takes {
-		all.Go(func() {
-			found, e := w.Acquire(context.Background(), one)
+	var wg sync.WaitGroup
+	for _, take := range takes {
+		wg.Go(func() {
+			result, e := w.Acquire(context.Background(), take)
 			qt.Check(t, e == nil, qt.IsTrue)
-			qt.Check(t, found, qt.Equals, OpResult(Granted{}))
+			qt.Check(t, result, qt.Equals, OpResult(Granted{}))
 		})
 	}
 	m.gate <- struct{}{}
 	close(m.gate)
-	all.Wait()
+	wg.Wait()
 	stop()
 	qt.Assert(t, m.writes < 40, qt.IsTrue, qt.Commentf("%d writes", m.writes))
 }
 
-// The store fails as an outcome is written. It is written again, since a
-// resend would otherwise hear only that the call may have run.
-func TestSettleAgain(t *testing.T) {
+// The store fails while an outcome is written. Without a retry, a resend
+// would only be told that the call may have run.
+func TestSettleIsRetried(t *testing.T) {
 	defer goleak.VerifyNone(t, goleak.IgnoreCurrent())
-	m := &memory{fail: func(write int) error {
+	m := &memStore{writeErr: func(write int) error {
 		if write == 2 {
 			return &fault.Error{Code: fault.StoreDown, Verdict: fault.NotRun}
 		}
 		return nil
 	}}
-	w, stop := run(t, m)
-	first := take("seat", 1)
+	w, stop := startWriter(t, m)
+	first := newTake("seat", 1)
 	_, e := w.Acquire(context.Background(), first)
 	qt.Assert(t, e == nil, qt.IsTrue)
-	<-w.Settle(done(first))
+	<-w.Settle(settleOf(first))
 	second := first
 	second.Record.Nonce = 2
-	found, e := w.Acquire(context.Background(), second)
+	result, e := w.Acquire(context.Background(), second)
 	qt.Assert(t, e == nil, qt.IsTrue)
-	qt.Assert(t, found, qt.DeepEquals, OpResult(Completed{done(first).Record}))
+	qt.Assert(t, result, qt.DeepEquals, OpResult(Completed{settleOf(first).Record}))
 	stop()
 }
 
-// An entry host that stops writes the outcomes that it has not written yet.
-func TestStopWritesOutcomes(t *testing.T) {
+// An entry host that stops first writes its remaining outcomes.
+func TestStopFlushesOutcomes(t *testing.T) {
 	defer goleak.VerifyNone(t, goleak.IgnoreCurrent())
-	m := &memory{gate: make(chan struct{}, 1)}
-	w, stop := run(t, m)
-	first := take("seat", 1)
+	m := &memStore{gate: make(chan struct{}, 1)}
+	w, stop := startWriter(t, m)
+	first := newTake("seat", 1)
 	m.gate <- struct{}{}
 	_, e := w.Acquire(context.Background(), first)
 	qt.Assert(t, e == nil, qt.IsTrue)
-	written := w.Settle(done(first))
+	written := w.Settle(settleOf(first))
 	close(m.gate)
 	stop()
 	<-written
@@ -135,22 +136,22 @@
 }
 
 // A caller's deadline ends while its claim waits for the store. The claim is
-// taken back, so that the caller can send its call again.
-func TestGiveUpWaiting(t *testing.T) {
-	m := &memory{gate: make(chan struct{})}
-	w, stop := run(t, m)
-	first := take("seat", 1)
+// withdrawn, so that the caller can send its call again.
+func TestReleaseAfterCancel(t *testing.T) {
+	m := &memStore{gate: make(chan struct{})}
+	w, stop := startWriter(t, m)
+	first := newTake("seat", 1)
 	ctx, cancel := context.WithCancel(context.Background())
 	cancel()
 	_, e := w.Acquire(ctx, first)
 	qt.Assert(t, e.Verdict, qt.Equals, fault.NotRun)
-	back := w.Release(Void{first.Record.Key, 1})
+	released := w.Release(Void{first.Record.Key, 1})
 	close(m.gate)
-	<-back
+	<-released
 	second := first
 	second.Record.Nonce = 2
-	found, e := w.Acquire(context.Background(), second)
+	result, e := w.Acquire(context.Background(), second)
 	qt.Assert(t, e == nil, qt.IsTrue)
-	qt.Assert(t, found, qt.Equals, OpResult(Granted{}))
+	qt.Assert(t, result, qt.Equals, OpResult(Granted{}))
 	stop()
 }
