--- a/parts/peer/tell.go
+++ b/parts/peer/broadcast.go
@@ -10,55 +10,56 @@
 	"fuchsiashelf.dev/parts/wire"
 )
 
-// Mark takes a mark of this member's own and tells the others. It reports
-// whether it was new.
+// Mark adds a mark of this member and gossips it to the others. It reports
+// whether the mark was new.
 func (p *Peer) Mark(m Mark) bool {
 	p.init()
 	p.mu.Lock()
-	news := p.marks.Add(m, time.Now())
+	changed := p.marks.Add(m, time.Now())
 	p.mu.Unlock()
-	if news {
+	if changed {
 		p.TriggerRound()
 	}
-	return news
+	return changed
 }
 
-// Broadcast takes a mark like Mark, and tells it to all living members at once. It
-// returns when all have it or the context ends; its cost grows with the fleet,
-// so it is for the rare fact that must not wait for rounds.
+// Broadcast adds a mark like Mark and sends it at once to all members that
+// are alive. It returns when all calls have finished or the context ends. Its
+// cost grows with the fleet, so use it only for rare facts that cannot wait
+// for gossip rounds.
 func (p *Peer) Broadcast(ctx context.Context, m Mark) {
 	p.init()
 	p.mu.Lock()
 	p.marks.Add(m, time.Now())
-	d := p.digest(&LocalState{})
+	d := p.buildDigest(&LocalState{})
 	d.Secret, d.Usages = p.Secret, nil
 	d.Members = d.Members[:1]
 	d.Marks = []*wire.Mark{wireMark(&m)}
 	members := p.table.Others()
 	p.mu.Unlock()
-	tells, err := ants.NewPool(tellSize)
+	pool, err := ants.NewPool(maxBroadcastCalls)
 	if err != nil {
 		return
 	}
-	defer tells.Release()
-	var told sync.WaitGroup
+	defer pool.Release()
+	var wg sync.WaitGroup
 	for _, to := range members {
 		if to.State != Alive || to.Address == "" {
 			continue
 		}
-		told.Add(1)
-		err := tells.Submit(func() {
-			defer told.Done()
+		wg.Add(1)
+		err := pool.Submit(func() {
+			defer wg.Done()
 			_, _ = p.Client(ctx, to.Address).Exchange(ctx, d)
 		})
 		if err != nil {
-			told.Done()
+			wg.Done()
 		}
 	}
-	told.Wait()
+	wg.Wait()
 }
 
-// Marks returns the marks of a kind that have not ended, by name.
+// Marks returns the marks of a kind that have not expired, by name.
 func (p *Peer) Marks(kind Kind) map[string]Mark {
 	p.init()
 	p.mu.Lock()
--- a/parts/peer/conn.go
+++ b/parts/peer/conn.go
@@ -12,29 +12,29 @@
 	"fuchsiashelf.dev/parts/wire"
 )
 
-// dialWait bounds the time to reach another member.
-const dialWait = time.Second
+// dialTimeout bounds the time to connect to another member.
+const dialTimeout = time.Second
 
-// Client returns a client of a member. It shares the kept connections, and
-// dials when it is first used and none is free.
+// Client returns a client of the member at an address. It uses a pooled
+// connection, or dials on first use if none is idle.
 func (p *Peer) Client(ctx context.Context, address string) wire.DRPCEntryClient {
 	p.init()
 	return wire.NewDRPCEntryClient(p.conns.Get(ctx, address, p.dial))
 }
 
 func (p *Peer) dial(ctx context.Context, address string) (*drpcconn.Conn, error) {
-	dialer := net.Dialer{Timeout: dialWait}
+	dialer := net.Dialer{Timeout: dialTimeout}
 	raw, err := dialer.DialContext(ctx, "tcp", address)
 	if err != nil {
 		return nil, err
 	}
-	counts := &counted{raw, bytesIn, bytesOut}
+	counting := &countingConn{raw, bytesIn, bytesOut}
 	if p.TLS == nil {
-		return drpcconn.New(counts), nil
+		return drpcconn.New(counting), nil
 	}
-	secure := tls.Client(counts, p.TLS)
-	if err := secure.HandshakeContext(ctx); err != nil {
+	conn := tls.Client(counting, p.TLS)
+	if err := conn.HandshakeContext(ctx); err != nil {
 		return nil, errors.Join(err, raw.Close())
 	}
-	return drpcconn.New(secure), nil
+	return drpcconn.New(conn), nil
 }
--- a/parts/peer/count.go
+++ b/parts/peer/count.go
@@ -6,33 +6,33 @@
 	"github.com/rcrowley/go-metrics"
 )
 
-// The counters of all bytes of the connections between members.
+// Counters of the bytes on all connections between members.
 var (
 	bytesIn  = metrics.GetOrRegisterCounter("peer.bytes.in", nil)
 	bytesOut = metrics.GetOrRegisterCounter("peer.bytes.out", nil)
 )
 
-// counted counts the bytes of a connection, headers of TCP and IP left out.
-type counted struct {
+// countingConn counts the bytes of a connection, without TCP and IP headers.
+type countingConn struct {
 	net.Conn
 	in, out metrics.Counter
 }
 
 // Read implements [net.Conn].
-func (c *counted) Read(b []byte) (int, error) {
+func (c *countingConn) Read(b []byte) (int, error) {
 	n, err := c.Conn.Read(b)
 	c.in.Inc(int64(n))
 	return n, err
 }
 
 // Write implements [net.Conn].
-func (c *counted) Write(b []byte) (int, error) {
+func (c *countingConn) Write(b []byte) (int, error) {
 	n, err := c.Conn.Write(b)
 	c.out.Inc(int64(n))
 	return n, err
 }
 
-// Listener counts the bytes of the connections that it accepts, on
+// Listener counts the bytes of the connections that it accepts in
 // peer.bytes.in and peer.bytes.out.
 type Listener struct {
 	net.Listener
@@ -44,5 +44,5 @@
 	if err != nil {
 		return nil, err
 	}
-	return &counted{conn, bytesIn, bytesOut}, nil
+	return &countingConn{conn, bytesIn, bytesOut}, nil
 }
--- a/parts/peer/digest.go
+++ b/parts/peer/digest.go
@@ -9,52 +9,53 @@
 	"fuchsiashelf.dev/parts/wire"
 )
 
-// digestBytes bounds the part of a digest that may grow: members, marks and
-// usages. With three exchanges begun and three answered a second, both ways,
-// it keeps a node under its 4 KB a second; docs/design/membership.md has the
-// sum.
+// digestBytes bounds the variable part of a digest: members, marks and
+// usages. With three exchanges started and three answered per second, in both
+// directions, it keeps a node below 4 KB per second;
+// docs/design/membership.md has the calculation.
 const digestBytes = 180
 
-// The shares of a digest that marks and usages may fill. The rest, and what
-// they leave, is for members.
+// The shares of digestBytes that marks and usages may use. Members get the
+// rest.
 const (
 	markBytes  = 90
 	usageBytes = 50
 )
 
-// LocalState is what this member says of itself in each digest.
+// LocalState is what this member reports about itself in each digest.
 type LocalState struct {
-	// Revision is the configuration revision in force here.
+	// Revision is the configuration revision in use.
 	Revision uint64
-	// Drains holds the servers that are being stopped.
+	// Drains holds the servers that are being drained.
 	Drains []Drain
-	// Usages holds the use of teams here.
+	// Usages holds the request rate of each team on this member.
 	Usages []Usage
 }
 
-// maxDrains bounds the servers whose drain one digest reports.
+// maxDrains bounds the servers whose drain is reported in one digest.
 const maxDrains = 64
 
-// size returns the bytes that a message takes within another.
-func size(m proto.Message) int {
+// embeddedSize returns the encoded size of a message as a field of another
+// message.
+func embeddedSize(m proto.Message) int {
 	return proto.Size(m) + 2
 }
 
-// digest builds what this member tells in one exchange.
-func (p *Peer) digest(own *LocalState) *wire.Digest {
-	d := &wire.Digest{Revision: own.Revision, Clock: p.Trace.Now()}
+// buildDigest builds the digest for one exchange.
+func (p *Peer) buildDigest(local *LocalState) *wire.Digest {
+	d := &wire.Digest{Revision: local.Revision, Clock: p.Trace.Now()}
 	self := wireMember(&p.table.Self)
-	self.Revision = own.Revision
-	for _, drain := range own.Drains[:min(len(own.Drains), maxDrains)] {
+	self.Revision = local.Revision
+	for _, drain := range local.Drains[:min(len(local.Drains), maxDrains)] {
 		self.Draining = append(self.Draining, &wire.Drain{
 			Server: drain.Server, InFlight: drain.InFlight, Revision: drain.Revision,
 		})
 	}
 	d.Members = append(d.Members, self)
-	room := digestBytes
-	room -= p.addMarks(d, markBytes)
-	room -= p.addUsages(d, own.Usages, usageBytes)
-	p.table.fill(d, room)
+	remaining := digestBytes
+	remaining -= p.addMarks(d, markBytes)
+	remaining -= p.addUsages(d, local.Usages, usageBytes)
+	p.table.addMembers(d, remaining)
 	return d
 }
 
@@ -71,62 +72,65 @@
 	}
 }
 
-// addMarks adds the marks that were told least and returns their bytes.
-func (p *Peer) addMarks(d *wire.Digest, room int) int {
+// addMarks adds the marks that were sent least often, up to the given number
+// of bytes, and returns the bytes used.
+func (p *Peer) addMarks(d *wire.Digest, limit int) int {
 	used := 0
-	for _, e := range p.marks.next() {
+	for _, e := range p.marks.bySends() {
 		m := wireMark(&e.Mark)
-		if used += size(m); used > room {
-			return used - size(m)
+		if used += embeddedSize(m); used > limit {
+			return used - embeddedSize(m)
 		}
-		e.sent++
+		e.sends++
 		d.Marks = append(d.Marks, m)
 	}
 	return used
 }
 
-// addUsages adds the usage of some teams, in turns, and returns their bytes.
-func (p *Peer) addUsages(d *wire.Digest, usages []Usage, room int) int {
+// addUsages adds usages in round-robin order, up to the given number of
+// bytes, and returns the bytes used.
+func (p *Peer) addUsages(d *wire.Digest, usages []Usage, limit int) int {
 	used := 0
 	for i := range usages {
 		u := usages[(p.usageCursor+i)%len(usages)]
 		m := &wire.Usage{Team: u.Team, Rate: u.Rate}
-		if used += size(m); used > room {
+		if used += embeddedSize(m); used > limit {
 			p.usageCursor = (p.usageCursor + i) % len(usages)
-			return used - size(m)
+			return used - embeddedSize(m)
 		}
 		d.Usages = append(d.Usages, m)
 	}
 	return used
 }
 
-// fill adds members to a digest: those whose state changed lately, the least
-// told first, then the rest in turns.
-func (t *Table) fill(d *wire.Digest, room int) {
-	var news []ID
+// addMembers adds members to a digest, up to the given number of bytes: first
+// those whose state changed recently, least sent first, then the others in
+// round-robin order.
+func (t *Table) addMembers(d *wire.Digest, limit int) {
+	var recent []ID
 	for _, id := range t.order {
-		if m := t.others[id]; m.sent < spread && m.Incarnation > 0 {
-			news = append(news, id)
+		if m := t.others[id]; m.sends < prioritySends && m.Incarnation > 0 {
+			recent = append(recent, id)
 		}
 	}
-	slices.SortStableFunc(news, func(a, b ID) int { return t.others[a].sent - t.others[b].sent })
-	told := map[ID]bool{}
+	slices.SortStableFunc(recent, func(a, b ID) int { return t.others[a].sends - t.others[b].sends })
+	added := map[ID]bool{}
 	add := func(id ID) bool {
 		m := t.others[id]
-		if told[id] || m.Incarnation == 0 {
+		if added[id] || m.Incarnation == 0 {
 			return true
 		}
 		w := wireMember(m)
 		w.Id = uint64(id)
-		if room -= size(w); room < 0 {
+		if limit -= embeddedSize(w); limit < 0 {
 			return false
 		}
-		told[id] = true
-		m.sent++
+		added[id] = true
+		m.sends++
 		d.Members = append(d.Members, w)
 		return true
 	}
-	for _, id := range news {
+	for _, id := range recent {
 		if !add(id) {
 			return
 		}
@@ -140,60 +144,64 @@
 	}
 }
 
-// maxDigestItems bounds what is taken from one digest, whoever sent it.
+// maxDigestItems bounds the items of each kind that are read from one
+// message, regardless of its sender.
 const maxDigestItems = 4096
 
-// heard is what a digest told that the embedding daemon may have to act on.
-type heard struct {
-	// news says that the state of a member or a mark changed.
-	news bool
-	// nameless holds members that are known only by id.
-	nameless []uint64
-	marks    []Mark
+// mergeResult says what a merged digest changed, for the caller to act on.
+type mergeResult struct {
+	// changed is true if the state of a member or a mark changed.
+	changed bool
+	// unnamed holds the members that are known only by ID.
+	unnamed []uint64
+	// marks holds the marks that were new.
+	marks []Mark
 }
 
-// take merges a digest. The sender is its first member.
-func (p *Peer) take(d *wire.Digest, now time.Time) heard {
-	var h heard
+// mergeDigest merges a digest into the local state. Its first member is the
+// sender.
+func (p *Peer) mergeDigest(d *wire.Digest, now time.Time) mergeResult {
+	var result mergeResult
 	p.Trace.Observe(d.Clock)
 	for _, m := range d.Members[:min(len(d.Members), maxDigestItems)] {
 		r := Record{Incarnation: m.Incarnation, Heartbeat: m.Beat, State: stateOf(m.State)}
-		news, nameless := p.table.Merge(ID(m.Id), r, m.Revision, now)
-		h.news = h.news || news
-		if nameless {
-			h.nameless = append(h.nameless, m.Id)
+		changed, unnamed := p.table.Merge(ID(m.Id), r, m.Revision, now)
+		result.changed = result.changed || changed
+		if unnamed {
+			result.unnamed = append(result.unnamed, m.Id)
 		}
 	}
-	p.takeSender(d, now)
+	p.mergeSender(d, now)
 	for _, m := range d.Marks[:min(len(d.Marks), maxDigestItems)] {
 		mark := Mark{
 			Kind: Kind(m.Kind), Name: m.Name, Until: time.UnixMilli(m.Until), Count: int(m.Count),
 		}
 		if p.marks.Add(mark, now) {
-			h.marks = append(h.marks, mark)
+			result.marks = append(result.marks, mark)
 		}
 	}
-	h.news = h.news || len(h.marks) > 0
-	return h
+	result.changed = result.changed || len(result.marks) > 0
+	return result
 }
 
-func (p *Peer) takeSender(d *wire.Digest, now time.Time) {
+// mergeSender merges the parts of a digest that only its sender reports.
+func (p *Peer) mergeSender(d *wire.Digest, now time.Time) {
 	if len(d.Members) == 0 {
 		return
 	}
-	first := d.Members[0]
+	sender := d.Members[0]
 	var drains []Drain
-	for _, w := range first.Draining {
+	for _, w := range sender.Draining {
 		drains = append(drains, Drain{Server: w.Server, InFlight: w.InFlight, Revision: w.Revision})
 	}
-	p.table.RecordContact(ID(first.Id), drains, now)
+	p.table.RecordContact(ID(sender.Id), drains, now)
 	for _, u := range d.Usages[:min(len(d.Usages), maxDigestItems)] {
-		p.ledger.Add(ID(first.Id), Usage{Team: u.Team, Rate: u.Rate}, now)
+		p.remoteUsage.Add(ID(sender.Id), Usage{Team: u.Team, Rate: u.Rate}, now)
 	}
 }
 
-// stateOf reads a state from the wire. One that a later version may have
-// added is taken as a suspicion: whom to talk to, and nothing else.
+// stateOf converts a state from the wire. An unknown state, from a newer
+// version, counts as Suspect, which only affects the choice of partners.
 func stateOf(s uint32) State {
 	if s > uint32(Left) {
 		return Suspect
--- a/parts/peer/event.go
+++ b/parts/peer/event.go
@@ -1,21 +1,22 @@
 package peer
 
-// Event is something that the embedding daemon may act on: [NewerConfig], [MarksReceived]
-// or [MembershipChanged].
+// Event is sent to the embedding daemon: [NewerConfig], [MarksReceived] or
+// [MembershipChanged].
 type Event interface{ event() }
 
-// NewerConfig says that a member has a newer configuration in force.
+// NewerConfig says that a member uses a newer configuration revision.
 type NewerConfig struct {
 	From     Member
 	Revision uint64
 }
 
-// MarksReceived says that marks were learned from another member.
+// MarksReceived says that another member sent new marks.
 type MarksReceived struct {
 	Marks []Mark
 }
 
-// MembershipChanged says that the members changed: a state, or who there is.
+// MembershipChanged says that the set of members or the state of a member
+// changed.
 type MembershipChanged struct{}
 
 func (NewerConfig) event()       {}
--- a/parts/peer/exchange.go
+++ b/parts/peer/exchange.go
@@ -9,39 +9,43 @@
 	"fuchsiashelf.dev/parts/wire"
 )
 
-// exchange swaps digests with one member.
+// exchange exchanges digests with one member, unless an exchange with it is
+// still running.
 func (p *Peer) exchange(ctx context.Context, m Member) {
 	id := IDOf(m.Name)
 	p.mu.Lock()
-	if p.busy[id] {
+	if p.exchanging[id] {
 		p.mu.Unlock()
 		return
 	}
-	p.busy[id] = true
+	p.exchanging[id] = true
 	p.mu.Unlock()
-	reply, err := p.swap(ctx, m.Address)
+	reply, err := p.sendDigest(ctx, m.Address)
 	p.mu.Lock()
-	delete(p.busy, id)
+	delete(p.exchanging, id)
 	p.mu.Unlock()
 	if err != nil {
-		p.failed(ctx, m, err)
+		p.recordFailure(ctx, m, err)
 		return
 	}
-	p.learn(reply, m)
+	p.handleDigest(reply, m)
 }
 
-func (p *Peer) swap(ctx context.Context, address string) (*wire.Digest, error) {
-	ctx, cancel := context.WithTimeout(ctx, roundWait)
+// sendDigest sends a digest to an address and returns the digest of the reply.
+func (p *Peer) sendDigest(ctx context.Context, address string) (*wire.Digest, error) {
+	ctx, cancel := context.WithTimeout(ctx, exchangeTimeout)
 	defer cancel()
-	own := p.own()
+	local := p.localState()
 	p.mu.Lock()
-	mine := p.digest(own)
+	digest := p.buildDigest(local)
 	p.mu.Unlock()
-	mine.Secret = p.Secret
-	return p.Client(ctx, address).Exchange(ctx, mine)
+	digest.Secret = p.Secret
+	return p.Client(ctx, address).Exchange(ctx, digest)
 }
 
-func (p *Peer) failed(ctx context.Context, m Member, err error) {
+// recordFailure records a failed exchange. If the member becomes suspect, it
+// logs the error and emits an event.
+func (p *Peer) recordFailure(ctx context.Context, m Member, err error) {
 	if ctx.Err() != nil {
 		return
 	}
@@ -52,39 +56,39 @@
 		return
 	}
 	p.Trace.Record("peer", "", "member does not answer: "+m.Name)
-	p.Log.Warn("peer: member does not answer", "member", m.Name, "err", err)
+	p.Log.Warn("peer: member did not respond", "member", m.Name, "err", err)
 	p.emit(MembershipChanged{})
 }
 
-// learn takes a digest and acts on what is new in it.
-func (p *Peer) learn(d *wire.Digest, from Member) {
+// handleDigest merges a digest and acts on what changed.
+func (p *Peer) handleDigest(d *wire.Digest, from Member) {
 	p.mu.Lock()
-	h := p.take(d, time.Now())
-	clashes := p.table.NameConflicts
+	result := p.mergeDigest(d, time.Now())
+	conflicts := p.table.NameConflicts
 	p.table.NameConflicts = 0
 	p.mu.Unlock()
-	if clashes > 0 {
+	if conflicts > 0 {
 		metrics.GetOrRegisterCounter("peer.clashes", nil).Inc(1)
 		p.Trace.Record("peer", "", "another member has the name "+p.Name)
-		p.Log.Error("peer: another member has this name, or the clock was set back", "name", p.Name)
+		p.Log.Error("peer: name in use by another member, or clock set back", "name", p.Name)
 	}
-	if len(h.marks) > 0 {
-		p.emit(MarksReceived{Marks: h.marks})
+	if len(result.marks) > 0 {
+		p.emit(MarksReceived{Marks: result.marks})
 		p.TriggerRound()
 	}
-	if d.Revision > p.own().Revision && from.Address != "" {
+	if d.Revision > p.localState().Revision && from.Address != "" {
 		p.emit(NewerConfig{From: from, Revision: d.Revision})
 	}
-	if h.news {
+	if result.changed {
 		p.emit(MembershipChanged{})
 	}
 	if d.Stranger {
-		// The other side has no name for this member and so never talks to
-		// it by itself. A question for the other's own name introduces us.
-		h.nameless = append(h.nameless, uint64(IDOf(from.Name)))
+		// The other member does not know the name of this one and so never
+		// starts an exchange with it. A lookup sends it the name.
+		result.unnamed = append(result.unnamed, uint64(IDOf(from.Name)))
 	}
-	if len(h.nameless) > 0 && from.Address != "" {
-		p.want(from.Address, h.nameless)
+	if len(result.unnamed) > 0 && from.Address != "" {
+		p.scheduleLookup(from.Address, result.unnamed)
 	}
 }
 
@@ -94,7 +98,7 @@
 	}
 }
 
-// Exchange implements the call of the other members.
+// Exchange implements the RPC that other members call.
 func (p *Peer) Exchange(_ context.Context, d *wire.Digest) (*wire.Digest, error) {
 	p.init()
 	if !SecretsEqual(d.Secret, p.Secret) {
@@ -107,11 +111,11 @@
 		from, _ = p.table.Get(ID(d.Members[0].Id))
 		p.mu.Unlock()
 	}
-	p.learn(d, from)
-	own := p.own()
+	p.handleDigest(d, from)
+	local := p.localState()
 	p.mu.Lock()
 	defer p.mu.Unlock()
-	reply := p.digest(own)
+	reply := p.buildDigest(local)
 	reply.Stranger = from.Name == ""
 	return reply, nil
 }
--- a/parts/peer/marks.go
+++ b/parts/peer/marks.go
@@ -5,40 +5,42 @@
 	"time"
 )
 
-// Kind says what a mark is about.
+// Kind is the kind of a mark.
 type Kind uint8
 
-// The kinds, as the wire carries them.
+// The kinds. Their values are part of the wire protocol.
 const (
-	// SuspectServer: a backend server failed lately; avoid it.
+	// SuspectServer: a backend server failed recently and should be avoided.
 	SuspectServer Kind = iota
-	// RefusingServer: a backend server answered that it takes no new work.
+	// RefusingServer: a backend server replied that it takes no new work.
 	RefusingServer
-	// PoisonRequest: a request has taken backend servers down.
+	// PoisonRequest: a request has crashed backend servers.
 	PoisonRequest
 )
 
 // Mark is a short-lived fact about a backend server or a request.
 type Mark struct {
 	Kind Kind
-	// Name is a server, or the fingerprint of a request.
+	// Name is the name of a server or the fingerprint of a request.
 	Name string
-	// Until is when the mark ends.
+	// Until is when the mark expires.
 	Until time.Time
-	// Count is how many servers a request has taken down.
+	// Count is the number of servers that a request has crashed.
 	Count int
 }
 
-// maxMarks bounds the marks that are kept. Those that end first go first.
+// maxMarks bounds the stored marks. Those that expire first are evicted
+// first.
 const maxMarks = 1024
 
-// markStep is the least growth of an end that counts as news. Whoever renews
-// a mark does so by more; less is not worth telling the fleet again.
-const markStep = time.Second
+// minMarkExtension is the minimum extension of a mark that counts as a
+// change. Renewals extend a mark by more; less is not worth sending to all
+// members again.
+const minMarkExtension = time.Second
 
-// longest bounds the time that a mark from elsewhere may still run, so that a
-// host whose clock is ahead marks nothing for ever.
-func longest(k Kind) time.Duration {
+// maxMarkTTL bounds the remaining lifetime of a mark, so that a host whose
+// clock is ahead cannot set a mark that never expires.
+func maxMarkTTL(k Kind) time.Duration {
 	if k == PoisonRequest {
 		return time.Hour
 	}
@@ -52,20 +54,20 @@
 
 type markEntry struct {
 	Mark
-	sent int
+	sends int
 }
 
-// Marks is a set of marks. It is pure and not safe for concurrent use; the
-// zero value is empty.
+// Marks is a set of marks. It does no I/O and is not safe for concurrent use;
+// the zero value is empty.
 type Marks struct {
 	all map[markKey]*markEntry
 }
 
-// Add takes a mark and reports whether it is news. Of two marks on one thing
-// the longer end and the higher count hold, so the order of arrival does not
-// matter.
+// Add merges a mark and reports whether it changed the set. Of two marks with
+// the same kind and name, the later expiry and the higher count win, so the
+// order of arrival does not matter.
 func (s *Marks) Add(m Mark, now time.Time) bool {
-	if limit := now.Add(longest(m.Kind)); m.Until.After(limit) {
+	if limit := now.Add(maxMarkTTL(m.Kind)); m.Until.After(limit) {
 		m.Until = limit
 	}
 	if !now.Before(m.Until) {
@@ -73,7 +75,7 @@
 	}
 	key := markKey{m.Kind, m.Name}
 	old := s.all[key]
-	if old != nil && m.Until.Sub(old.Until) < markStep && m.Count <= old.Count {
+	if old != nil && m.Until.Sub(old.Until) < minMarkExtension && m.Count <= old.Count {
 		return false
 	}
 	if old != nil {
@@ -92,18 +94,19 @@
 	return true
 }
 
+// evict removes the mark that expires first.
 func (s *Marks) evict() {
-	var first markKey
-	var at *markEntry
+	var firstKey markKey
+	var first *markEntry
 	for key, e := range s.all {
-		if at == nil || e.Until.Before(at.Until) {
-			first, at = key, e
+		if first == nil || e.Until.Before(first.Until) {
+			firstKey, first = key, e
 		}
 	}
-	delete(s.all, first)
+	delete(s.all, firstKey)
 }
 
-// Sweep forgets the marks that have ended.
+// Sweep removes expired marks.
 func (s *Marks) Sweep(now time.Time) {
 	for key, e := range s.all {
 		if !now.Before(e.Until) {
@@ -112,29 +115,29 @@
 	}
 }
 
-// All returns the marks of a kind that have not ended, by name.
+// All returns the marks of a kind that have not expired, by name.
 func (s *Marks) All(kind Kind, now time.Time) map[string]Mark {
-	found := map[string]Mark{}
+	marks := map[string]Mark{}
 	for key, e := range s.all {
 		if key.kind == kind && now.Before(e.Until) {
-			found[key.name] = e.Mark
+			marks[key.name] = e.Mark
 		}
 	}
-	return found
+	return marks
 }
 
-// next returns the marks in the order in which digests should carry them: the
-// least told first, then the rest in turns.
-func (s *Marks) next() []*markEntry {
-	list := make([]*markEntry, 0, len(s.all))
+// bySends returns the marks in the order in which digests should include
+// them: least sent first, then by expiry.
+func (s *Marks) bySends() []*markEntry {
+	entries := make([]*markEntry, 0, len(s.all))
 	for _, e := range s.all {
-		list = append(list, e)
+		entries = append(entries, e)
 	}
-	slices.SortFunc(list, func(a, b *markEntry) int {
-		if a.sent != b.sent {
-			return a.sent - b.sent
+	slices.SortFunc(entries, func(a, b *markEntry) int {
+		if a.sends != b.sends {
+			return a.sends - b.sends
 		}
 		return a.Until.Compare(b.Until)
 	})
-	return list
+	return entries
 }
--- a/parts/peer/member.go
+++ b/parts/peer/member.go
@@ -1,20 +1,22 @@
-// Package peer is the membership of the entry hosts and what they tell each
-// other, for a daemon to embed.
+// Package peer implements gossip membership among the entry hosts and spreads
+// short-lived facts between them. It is embedded in a daemon.
 //
-// Each round, a [Peer] exchanges a [wire.Digest] with a few random members: in
-// its own failure domain, and one across. A digest is bounded in bytes, so the
-// cost of a node does not grow with the fleet; what changed lately goes first,
-// and the rest takes turns. Nothing is agreed upon. What two members know of a
-// third is compared by [Record.After], so that merging is commutative,
-// associative and idempotent, and late or doubled digests do no harm.
+// In each round a [Peer] exchanges a [wire.Digest] with a few random members
+// of its own failure domain and of others. A digest has a bounded size, so
+// the cost per node does not grow with the fleet: recent changes go first,
+// and the rest is sent in round-robin order. There is no consensus. Two
+// records of a member are compared by [Record.After], so that merging is
+// commutative, associative and idempotent, and delayed or duplicate digests
+// do no harm.
 //
-// The words: a member is one entry host. Its incarnation tells one run from
-// the next; its beat grows each round. It is alive, suspect (it did not
-// answer), dead (suspect for a while) or left (it said goodbye). These states
-// say only whom to talk to. A member is gone when the platform's host list no
-// longer has it, or when it said goodbye; never because it was silent.
+// A member is one entry host. Its incarnation distinguishes the runs of its
+// process, and its heartbeat is incremented each round. It is alive, suspect
+// (it did not respond), dead (suspect for suspectTimeout) or left (it
+// announced that it leaves). These states only decide which members to talk
+// to. A member is gone only when the platform's host list no longer has it or
+// when it has left, never because it did not respond.
 //
-// [Table], [Marks] and [RemoteUsage] are pure; Peer is the thin runner over drpc.
+// [Table], [Marks] and [RemoteUsage] do no I/O; Peer runs them over drpc.
 package peer
 
 import (
@@ -25,11 +27,10 @@
 	"fuchsiashelf.dev/parts/domain"
 )
 
-// State is what is known about a member.
+// State is the state of a member as another member sees it.
 type State uint8
 
-// The states, in the order in which one replaces the other when nothing else
-// tells two records apart.
+// The states. Between otherwise equal records the higher state wins.
 const (
 	Alive State = iota
 	Suspect
@@ -52,29 +53,30 @@
 	return "unknown"
 }
 
-// ID is the hash of a member's name, as digests carry it.
+// ID is the hash of the name of a member. Digests carry it instead of the
+// name.
 type ID uint64
 
-// IDOf returns the id of a name.
+// IDOf returns the ID of a name.
 func IDOf(name string) ID {
 	return ID(xxhash.Sum64String(name))
 }
 
-// Record is the part of a member that digests compare.
+// Record is the versioned state of a member that is merged from digests.
 type Record struct {
-	// Incarnation tells one run from the next, in Unix milliseconds of its
-	// start.
+	// Incarnation distinguishes the runs of a member. It is the start time in
+	// Unix milliseconds.
 	Incarnation uint64
-	// Heartbeat grows with each round of the member.
+	// Heartbeat is incremented in each round of the member.
 	Heartbeat uint64
-	// State is what is known.
+	// State is the last known state.
 	State State
 }
 
-// After reports whether r is later news than o. It is a strict total order:
-// by incarnation, a goodbye after the rest, by beat, by state. A suspicion
-// holds for the beat at which it arose, so the member's next beat refutes it
-// wherever that arrives, with no word from the member itself.
+// After reports whether r is newer than o. It is a strict total order: by
+// incarnation, then Left after other states, then by heartbeat, then by
+// state. A suspicion applies to one heartbeat, so the next heartbeat of the
+// member refutes it wherever it arrives, without an explicit message.
 func (r Record) After(o Record) bool {
 	switch {
 	case r.Incarnation != o.Incarnation:
@@ -87,37 +89,37 @@
 	return r.State > o.State
 }
 
-// Drain is how many requests a member has in flight on a server that is being
-// stopped.
+// Drain is the number of requests that a member has in flight on a server
+// that is being drained.
 type Drain struct {
 	Server   string
 	InFlight int64
-	// Revision is the configuration revision at which it was counted.
+	// Revision is the configuration revision at the time of the count.
 	Revision uint64
 }
 
 // Member is one entry host.
 type Member struct {
 	Record
-	// Name is empty while only the id is known.
+	// Name is empty while only the ID is known.
 	Name string
-	// Address is host:port of the peers' listener.
+	// Address is the host:port on which the member listens for peers.
 	Address string
 	// Domain is the failure domain.
 	Domain domain.Name
-	// Revision is the configuration revision that it last reported.
+	// Revision is the highest configuration revision reported for it.
 	Revision uint64
-	// Drains is what it reported itself at Heard.
+	// Drains is what it reported about itself at LastHeard.
 	Drains []Drain
-	// Heard is when a digest last came from it directly.
-	Heard time.Time
-	// Listed says that the platform's host list has it.
+	// LastHeard is when the last digest arrived from the member itself.
+	LastHeard time.Time
+	// Listed is true if the platform's host list has the member.
 	Listed bool
 
-	// changed is when State last changed.
-	changed time.Time
-	// sent counts the digests that carried the last change.
-	sent int
-	// missed counts failed exchanges in a row.
-	missed int
+	// changedAt is when State last changed.
+	changedAt time.Time
+	// sends is the number of digests that carried the last change.
+	sends int
+	// failures is the number of consecutive failed exchanges.
+	failures int
 }
--- a/parts/peer/peer.go
+++ b/parts/peer/peer.go
@@ -22,79 +22,83 @@
 	"fuchsiashelf.dev/parts/wire"
 )
 
-// Peer is one member: it exchanges digests with others each round. Set the
-// exported fields, then Run. Register it, or a server that hands Exchange and
-// Members on to it, at a drpc server for the entry service.
+// Peer is one member. It exchanges digests with other members in each round.
+// Set the exported fields, then call Run. Register the Peer, or a server that
+// forwards Exchange and Members to it, as the entry service of a drpc server.
 type Peer struct {
 	wire.DRPCEntryUnimplementedServer
 
-	// Name, Address and Domain are of this member.
+	// Name, Address and Domain describe this member.
 	Name    string
 	Address string
 	Domain  domain.Name
 	// Secret is shared by all members.
 	Secret string
-	// TLS is for connections to other members; nil for none.
+	// TLS is the configuration of connections to other members; nil means no
+	// TLS.
 	TLS *tls.Config
-	// Seeds are addresses to begin with while the host list is not known.
+	// Seeds are the addresses to contact while the host list is not known.
 	Seeds []string
-	// Round is the time between rounds; zero means a second.
+	// Round is the time between rounds; zero means one second.
 	Round time.Duration
 	// Hosts returns the host list, or nil while it is not known.
 	Hosts func() map[string]host.Host
-	// Local returns what to say of this member; nil says nothing.
+	// Local returns the state to report about this member; nil reports
+	// nothing.
 	Local func() LocalState
-	// OnEvent is called for each event, from several goroutines; it must not
-	// block. Nil drops events.
+	// OnEvent is called for each event, from several goroutines, and must not
+	// block. If nil, events are dropped.
 	OnEvent func(Event)
-	// Trace gives the clock of the messages.
+	// Trace records events and provides the logical clock of the digests.
 	Trace *trace.Recorder
 	// Log may be nil.
 	Log *slog.Logger
-	// Done is closed when Run has ended; nil if nobody waits.
+	// Done is closed when Run returns; may be nil.
 	Done chan struct{}
 
-	once  sync.Once
-	wake  chan struct{}
-	pool  *ants.Pool
-	conns *drpcpool.Pool[string, *drpcconn.Conn]
-	rates atomic.Pointer[map[string]float64]
+	once        sync.Once
+	trigger     chan struct{}
+	pool        *ants.Pool
+	conns       *drpcpool.Pool[string, *drpcconn.Conn]
+	remoteRates atomic.Pointer[map[string]float64]
 
 	mu          sync.Mutex
 	rand        *rand.Rand
 	table       *Table
 	marks       Marks
-	ledger      RemoteUsage
+	remoteUsage RemoteUsage
 	usageCursor int
-	busy        map[ID]bool
-	asked       map[uint64]time.Time
-	wants       []want
+	exchanging  map[ID]bool
+	lastLookup  map[uint64]time.Time
+	lookups     []lookup
 }
 
 const (
 	defaultRound = time.Second
-	// roundWait bounds one exchange. A member that takes longer is as good as
-	// silent to a round of a second.
-	roundWait = 800 * time.Millisecond
-	// poolSize bounds the exchanges under way; more than a few are silent
-	// members on which a timeout runs.
-	poolSize = 16
-	// tellSize bounds the calls under way of one Tell.
-	tellSize = 32
-	// maxConns and connIdle bound the idle connections that are kept open.
-	maxConns = 64
-	connIdle = 5 * time.Minute
-	// askAgain is the least time between two questions for one name.
-	askAgain = 10 * time.Second
-	// Rounds ahead of time: eagerRounds for each news, at most eagerBurst,
-	// then one in each eagerEvery, eagerGap apart.
-	eagerRounds = 4
-	eagerBurst  = 12
-	eagerEvery  = 5 * time.Second
-	eagerGap    = 50 * time.Millisecond
+	// exchangeTimeout bounds one exchange. With a round of one second, a
+	// member that takes longer counts as not responding.
+	exchangeTimeout = 800 * time.Millisecond
+	// maxExchanges bounds the concurrent exchanges. More than a few are only
+	// in progress when members do not respond and their timeouts run.
+	maxExchanges = 16
+	// maxBroadcastCalls bounds the concurrent calls of one Broadcast.
+	maxBroadcastCalls = 32
+	// maxConns and connIdleTimeout bound the idle connections that are kept
+	// open.
+	maxConns        = 64
+	connIdleTimeout = 5 * time.Minute
+	// lookupInterval is the minimum time between two lookups of one ID.
+	lookupInterval = 10 * time.Second
+	// A change triggers roundsPerChange extra rounds, extraRoundDelay apart.
+	// A token bucket limits them to a burst of extraRoundBurst and one per
+	// extraRoundInterval.
+	roundsPerChange    = 4
+	extraRoundBurst    = 12
+	extraRoundInterval = 5 * time.Second
+	extraRoundDelay    = 50 * time.Millisecond
 )
 
-// ErrSecret is the answer to a wrong secret.
+// ErrSecret is returned for a wrong secret.
 var ErrSecret = errors.New("peer: wrong secret")
 
 // SecretsEqual compares secrets in constant time.
@@ -102,6 +106,8 @@
 	return subtle.ConstantTimeCompare([]byte(a), []byte(b)) == 1
 }
 
+// init sets up the fields on first use, since other members may call before
+// Run.
 func (p *Peer) init() {
 	p.once.Do(func() {
 		now := time.Now()
@@ -116,72 +122,74 @@
 			p.Log = slog.New(slog.DiscardHandler)
 		}
 		p.rand = rand.New(rand.NewPCG(uint64(now.UnixNano()), uint64(IDOf(p.Name))))
-		p.wake = make(chan struct{}, 1)
-		p.busy = map[ID]bool{}
-		p.asked = map[uint64]time.Time{}
+		p.trigger = make(chan struct{}, 1)
+		p.exchanging = map[ID]bool{}
+		p.lastLookup = map[uint64]time.Time{}
 		p.conns = drpcpool.New[string, *drpcconn.Conn](drpcpool.Options{
-			Expiration: connIdle, Capacity: maxConns, KeyCapacity: 1,
+			Expiration: connIdleTimeout, Capacity: maxConns, KeyCapacity: 1,
 		})
-		p.rates.Store(&map[string]float64{})
+		p.remoteRates.Store(&map[string]float64{})
 	})
 }
 
-// Run exchanges digests until the context ends, then says goodbye.
+// Run exchanges digests until the context ends, then announces that this
+// member leaves.
 func (p *Peer) Run(ctx context.Context) error {
 	p.init()
 	if p.Done != nil {
 		defer close(p.Done)
 	}
-	pool, err := ants.NewPool(poolSize, ants.WithNonblocking(true))
+	pool, err := ants.NewPool(maxExchanges, ants.WithNonblocking(true))
 	if err != nil {
 		return err
 	}
-	defer pool.ReleaseTimeout(roundWait)
+	defer pool.ReleaseTimeout(exchangeTimeout)
 	defer p.conns.Close()
 	p.pool = pool
-	eager := newBudget(eagerBurst, eagerEvery)
+	extraRounds := newTokenBucket(extraRoundBurst, extraRoundInterval)
 	tick := time.NewTicker(p.Round)
 	defer tick.Stop()
-	hot := 0
+	pending := 0
 	for {
 		p.round(ctx)
-		// News goes ahead of the next round, a few times over, since a member
-		// may tell it to one that knows; but never as a storm.
-		var soon <-chan time.Time
-		if hot > 0 && eager.take(time.Now()) {
-			hot--
-			soon = time.After(eagerGap)
+		// Changes trigger extra rounds before the next tick. There are several
+		// of them, since a partner may already know the change, and they are
+		// rate limited.
+		var extraRound <-chan time.Time
+		if pending > 0 && extraRounds.allow(time.Now()) {
+			pending--
+			extraRound = time.After(extraRoundDelay)
 		}
 		for waiting := true; waiting; {
 			select {
 			case <-ctx.Done():
-				p.goodbye()
+				p.announceLeave()
 				return nil
 			case <-tick.C:
 				waiting = false
-			case <-soon:
+			case <-extraRound:
 				waiting = false
-			case <-p.wake:
-				hot = eagerRounds
-				if soon == nil && eager.take(time.Now()) {
-					hot--
-					soon = time.After(eagerGap)
+			case <-p.trigger:
+				pending = roundsPerChange
+				if extraRound == nil && extraRounds.allow(time.Now()) {
+					pending--
+					extraRound = time.After(extraRoundDelay)
 				}
 			}
 		}
 	}
 }
 
-// TriggerRound asks for a round ahead of time, since there is news.
+// TriggerRound requests an extra round, to spread a change.
 func (p *Peer) TriggerRound() {
 	p.init()
 	select {
-	case p.wake <- struct{}{}:
+	case p.trigger <- struct{}{}:
 	default:
 	}
 }
 
-// round begins one exchange with each partner of the round.
+// round starts one exchange with each partner of the round.
 func (p *Peer) round(ctx context.Context) {
 	now := time.Now()
 	p.mu.Lock()
@@ -198,53 +206,56 @@
 	if p.table.Len() > 0 {
 		seeds = nil
 	}
-	wants := p.wants
-	p.wants = nil
+	lookups := p.lookups
+	p.lookups = nil
 	p.mu.Unlock()
-	for _, w := range wants {
-		p.submit(func() { p.ask(ctx, w.address, w.ids) })
+	for _, l := range lookups {
+		p.submit(func() { p.lookUpMembers(ctx, l.address, l.ids) })
 	}
 	for _, m := range partners {
 		p.submit(func() { p.exchange(ctx, m) })
 	}
 	for _, address := range seeds {
-		p.submit(func() { p.join(ctx, address) })
+		p.submit(func() { p.joinSeed(ctx, address) })
 	}
 }
 
+// submit runs work in the pool, or skips it if the pool is full.
 func (p *Peer) submit(work func()) {
 	if err := p.pool.Submit(work); err != nil {
 		metrics.GetOrRegisterCounter("peer.rounds.skipped", nil).Inc(1)
 	}
 }
 
+// publishRates updates the result of Rates.
 func (p *Peer) publishRates(now time.Time) {
-	heard := 0
+	reporting := 0
 	for _, m := range p.table.others {
-		if now.Sub(m.Heard) <= usageAge {
-			heard++
+		if now.Sub(m.LastHeard) <= usageTTL {
+			reporting++
 		}
 	}
-	rates := p.ledger.Rates(heard, p.table.Len(), now)
-	p.rates.Store(&rates)
+	rates := p.remoteUsage.Rates(reporting, p.table.Len(), now)
+	p.remoteRates.Store(&rates)
 }
 
 // Rates returns the requests per second of each team on all other members, as
-// far as they have told. The map is read only.
+// far as they have reported. The map must not be modified.
 func (p *Peer) Rates() map[string]float64 {
 	p.init()
-	return *p.rates.Load()
+	return *p.remoteRates.Load()
 }
 
-func (p *Peer) own() *LocalState {
+// localState returns the state to report about this member.
+func (p *Peer) localState() *LocalState {
 	if p.Local == nil {
 		return &LocalState{}
 	}
-	own := p.Local()
-	return &own
+	local := p.Local()
+	return &local
 }
 
-// Others returns the other members, by name.
+// Others returns the other members, sorted by name.
 func (p *Peer) Others() []Member {
 	p.init()
 	p.mu.Lock()
--- a/parts/peer/table.go
+++ b/parts/peer/table.go
@@ -8,46 +8,50 @@
 	"fuchsiashelf.dev/parts/host"
 )
 
-// The times and bounds of the membership.
+// Timing and sizes of the gossip protocol.
 const (
-	// suspectFor is how long a suspect has to refute before it counts as
-	// dead. A garbage collection or a short pause of a host ends well within.
-	suspectFor = 5 * time.Second
-	// forgetAfter is how long a dead member that no host list names is kept.
-	// It is far longer than the host list lags.
+	// suspectTimeout is how long a suspect has to refute the suspicion before
+	// it counts as dead. A garbage collection or a short pause of a host is
+	// far shorter.
+	suspectTimeout = 5 * time.Second
+	// forgetAfter is how long a dead or left member that is not in the host
+	// list is kept. It is far longer than the host list can lag behind.
 	forgetAfter = 10 * time.Minute
-	// spread is how many digests carry a change first. Each carrier infects
-	// others, so a small multiple of the logarithm of the fleet reaches all.
-	spread = 12
-	// near and across are the partners in a round, in the own domain and in
-	// others.
-	near, across = 2, 1
-	// nearView and farView bound the members that partners are drawn from, so
-	// that connections stay open and few; one of each is replaced every
-	// viewTurn rounds. A random graph of this degree mixes as fast as the
-	// full one, and every member comes by in time.
-	nearView, farView = 6, 3
-	viewTurn          = 60
-	// retryOdds is one in how many rounds also tries a dead member. After a
-	// partition heals, both sides hold each other dead, and only this joins
-	// them again.
-	retryOdds = 4
+	// prioritySends is the number of digests in which a change is sent with
+	// priority. Each receiver spreads it further, so a small multiple of the
+	// logarithm of the fleet size reaches all members.
+	prioritySends = 12
+	// localPartners and remotePartners are the exchanges per round with
+	// members of the local failure domain and of others.
+	localPartners, remotePartners = 2, 1
+	// localViewSize and remoteViewSize bound the members that partners are
+	// drawn from, so that few connections are needed and they stay open. One
+	// member of each view is replaced every viewRotationRounds rounds. A
+	// random graph of this degree mixes as fast as the complete graph, and
+	// rotation reaches every member eventually.
+	localViewSize, remoteViewSize = 6, 3
+	viewRotationRounds            = 60
+	// One in deadRetryOdds rounds also contacts a dead member. After a
+	// partition heals, both sides consider each other dead, and only this
+	// reconnects them.
+	deadRetryOdds = 4
 )
 
-// Table is the membership as one member knows it. It is a pure state machine
-// and not safe for concurrent use. Make one with NewTable.
+// Table is the membership as one member knows it. It is a state machine
+// without I/O and is not safe for concurrent use. Create it with NewTable.
 type Table struct {
 	// Self is this member.
 	Self Member
-	// NameConflicts counts news of a later run under the own name: a second host
-	// with the same name, or an own clock that was set back.
+	// NameConflicts counts records of a later run under the name of this
+	// member: another host has the same name, or the local clock was set
+	// back.
 	NameConflicts int
 
 	others map[ID]*Member
 	order  []ID
 	cursor int
-	// near and far are the members that partners are drawn from.
-	near, far []ID
+	// localView and remoteView are the members that partners are drawn from.
+	localView, remoteView []ID
 }
 
 // NewTable returns a table that knows only this member.
@@ -55,12 +59,12 @@
 	return &Table{Self: self, others: map[ID]*Member{}}
 }
 
-// Len returns how many other members are known.
+// Len returns the number of other members.
 func (t *Table) Len() int {
 	return len(t.others)
 }
 
-// Others returns the other members with a name, by name.
+// Others returns the other members whose name is known, sorted by name.
 func (t *Table) Others() []Member {
 	all := make([]Member, 0, len(t.others))
 	for _, id := range t.order {
@@ -77,7 +81,7 @@
 	return all
 }
 
-// Get returns another member.
+// Get returns another member, if it is known.
 func (t *Table) Get(id ID) (Member, bool) {
 	m, ok := t.others[id]
 	if !ok {
@@ -86,47 +90,48 @@
 	return *m, true
 }
 
-func (t *Table) add(id ID, now time.Time) *Member {
+// getOrAdd returns a member and adds it if it is not known.
+func (t *Table) getOrAdd(id ID, now time.Time) *Member {
 	if m := t.others[id]; m != nil {
 		return m
 	}
-	m := &Member{changed: now}
+	m := &Member{changedAt: now}
 	t.others[id] = m
 	at, _ := slices.BinarySearch(t.order, id)
 	t.order = slices.Insert(t.order, at, id)
 	return m
 }
 
-func (t *Table) drop(id ID) {
+func (t *Table) remove(id ID) {
 	delete(t.others, id)
 	if at, ok := slices.BinarySearch(t.order, id); ok {
 		t.order = slices.Delete(t.order, at, at+1)
 	}
 }
 
-// SetContact tells the name, address and domain of a member. For a member that
-// the host list has, the list's word holds: what members say of others may be
-// older, or an address that only they can reach.
-func (t *Table) SetContact(name, address string, in domain.Name, now time.Time) {
+// SetContact sets the name, address and domain of a member. It does nothing
+// for a member of the host list: what other members report may be outdated,
+// or an address that only they can reach.
+func (t *Table) SetContact(name, address string, dom domain.Name, now time.Time) {
 	if name == t.Self.Name || name == "" {
 		return
 	}
-	m := t.add(IDOf(name), now)
+	m := t.getOrAdd(IDOf(name), now)
 	if m.Listed {
 		return
 	}
 	if m.Address != address {
-		m.missed = 0
+		m.failures = 0
 	}
-	m.Name, m.Address, m.Domain = name, address, in
+	m.Name, m.Address, m.Domain = name, address, dom
 }
 
-// SetHosts takes a new host list: its entry hosts are members, and members that
-// an earlier list had and this one lacks are gone.
+// SetHosts applies a new host list. Its entry hosts become members. Members
+// that an earlier list had and this one lacks are removed.
 func (t *Table) SetHosts(hosts map[string]host.Host, now time.Time) {
 	for _, h := range hosts {
 		if h.Role == host.Entry && h.Name != t.Self.Name {
-			m := t.add(IDOf(h.Name), now)
+			m := t.getOrAdd(IDOf(h.Name), now)
 			m.Listed = false
 			t.SetContact(h.Name, h.Address, h.Domain, now)
 			m.Listed = true
@@ -135,14 +140,15 @@
 	for _, id := range slices.Clone(t.order) {
 		m := t.others[id]
 		if h, ok := hosts[m.Name]; m.Listed && (!ok || h.Role != host.Entry) {
-			t.drop(id)
+			t.remove(id)
 		}
 	}
 }
 
-// Merge takes a record of a member from a digest. It reports whether it
-// was news worth passing on at once, and whether the name is missing.
-func (t *Table) Merge(id ID, r Record, revision uint64, now time.Time) (news, nameless bool) {
+// Merge merges a record from a digest. changed reports whether the state or
+// the incarnation of the member changed, which is worth sending on at once;
+// unnamed reports whether its name is not known.
+func (t *Table) Merge(id ID, r Record, revision uint64, now time.Time) (changed, unnamed bool) {
 	if id == IDOf(t.Self.Name) {
 		return t.refute(r), false
 	}
@@ -151,73 +157,77 @@
 		if r.State == Dead || r.State == Left {
 			return false, false
 		}
-		m = t.add(id, now)
+		m = t.getOrAdd(id, now)
 	}
 	if r.After(m.Record) {
-		news = r.State != m.State || r.Incarnation != m.Incarnation
-		if news {
-			m.changed, m.sent = now, 0
+		changed = r.State != m.State || r.Incarnation != m.Incarnation
+		if changed {
+			m.changedAt, m.sends = now, 0
 		}
 		m.Record = r
 		m.Revision = max(m.Revision, revision)
 	}
-	return news, m.Name == ""
+	return changed, m.Name == ""
 }
 
-// refute answers news of this member itself that is not its own: it goes
-// beyond them, so that its next beat is the later news everywhere.
+// refute handles a record of this member that came from another. If it is
+// newer than the local record, refute raises the local incarnation above it,
+// so that the next heartbeat is newer everywhere. It reports whether it did.
 func (t *Table) refute(r Record) bool {
 	if !r.After(t.Self.Record) {
-		// An old suspicion; the beat sent since has refuted it already.
+		// An old suspicion, already refuted by a later heartbeat.
 		return false
 	}
 	if r.Incarnation > t.Self.Incarnation {
 		t.NameConflicts++
 	}
 	t.Self.Incarnation = r.Incarnation + 1
-	t.Self.sent = 0
+	t.Self.sends = 0
 	return true
 }
 
-// RecordContact notes a digest that came from a member directly.
+// RecordContact records that a digest arrived from the member itself.
 func (t *Table) RecordContact(id ID, drains []Drain, now time.Time) {
 	if m := t.others[id]; m != nil {
-		m.Heard, m.Drains, m.missed = now, drains, 0
+		m.LastHeard, m.Drains, m.failures = now, drains, 0
 	}
 }
 
-// RecordFailure notes that a member did not answer. It reports whether that makes
-// the member suspect.
+// RecordFailure records that a member did not respond. It reports whether the
+// member became suspect.
 func (t *Table) RecordFailure(id ID, now time.Time) bool {
 	m := t.others[id]
 	if m == nil {
 		return false
 	}
-	m.missed++
+	m.failures++
 	if m.State != Alive {
 		return false
 	}
-	m.State, m.changed, m.sent = Suspect, now, 0
+	m.State, m.changedAt, m.sends = Suspect, now, 0
 	return true
 }
 
-// Tick begins a round: it moves the own beat on and lets suspects grow old.
+// Tick starts a round: it increments the local heartbeat, declares suspects
+// dead after suspectTimeout, and removes unlisted members that have been dead
+// or left for forgetAfter.
 func (t *Table) Tick(now time.Time) {
 	t.Self.Heartbeat++
 	for _, id := range slices.Clone(t.order) {
 		m := t.others[id]
 		switch {
-		case m.State == Suspect && now.Sub(m.changed) >= suspectFor:
-			m.State, m.changed, m.sent = Dead, now, 0
+		case m.State == Suspect && now.Sub(m.changedAt) >= suspectTimeout:
+			m.State, m.changedAt, m.sends = Dead, now, 0
 		case m.State == Left && !m.Listed, m.State == Dead && !m.Listed:
-			if now.Sub(m.changed) >= forgetAfter {
-				t.drop(id)
+			if now.Sub(m.changedAt) >= forgetAfter {
+				t.remove(id)
 			}
 		}
 	}
 }
 
-// Leave says goodbye: the own record is the last of this incarnation.
+// Leave marks this member as left, which is the last record of this
+// incarnation.
 func (t *Table) Leave() {
 	t.Self.State = Left
 }
--- a/parts/peer/table_test.go
+++ b/parts/peer/table_test.go
@@ -13,8 +13,10 @@
 	"fuchsiashelf.dev/parts/host"
 )
 
+// start is the fixed time at which the tests run.
 var start = time.UnixMilli(1_800_000_000_000)
 
+// records generates records of one member.
 func records() *rapid.Generator[Record] {
 	return rapid.Custom(func(t *rapid.T) Record {
 		return Record{
@@ -25,32 +27,32 @@
 	})
 }
 
-// Digests arrive late, doubled and in any order. Whatever the order, all
-// members must end with the same picture, or two entry hosts would for ever
-// disagree on who is there.
+// Digests arrive late, duplicated and in any order. All members must converge
+// to the same state, or entry hosts would disagree about the membership
+// forever.
 func TestMergeInAnyOrder(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
-		news := rapid.SliceOfN(records(), 1, 12).Draw(t, "news")
-		other := rapid.Permutation(append(slices.Clone(news), news[0])).Draw(t, "other")
-		end := func(all []Record) Record {
+		original := rapid.SliceOfN(records(), 1, 12).Draw(t, "original")
+		shuffled := rapid.Permutation(append(slices.Clone(original), original[0])).Draw(t, "shuffled")
+		merged := func(list []Record) Record {
 			table := NewTable(Member{Name: "e1"})
 			table.SetContact("e2", "h:1", "a", start)
-			for _, r := range all {
+			for _, r := range list {
 				table.Merge(IDOf("e2"), r, 0, start)
 			}
 			m, _ := table.Get(IDOf("e2"))
 			return m.Record
 		}
-		if a, b := end(news), end(other); a != b {
+		if a, b := merged(original), merged(shuffled); a != b {
 			t.Fatalf("%v in one order, %v in the other", a, b)
 		}
 	})
 }
 
-// A host pauses for a while, is held dead, and goes on. Its next beat has to
-// bring it back, and an old suspicion that still goes round must not put it
-// out again.
-func TestThawedMemberComesBack(t *testing.T) {
+// A host pauses, is declared dead, and continues. Its next heartbeat must
+// make it alive again, and an old suspicion that still circulates must not
+// undo that.
+func TestDeadMemberRecovers(t *testing.T) {
 	c := qt.New(t)
 	table := NewTable(Member{Name: "e1"})
 	table.SetContact("e2", "h:1", "a", start)
@@ -58,21 +60,21 @@
 	table.Merge(id, Record{Incarnation: 1, Heartbeat: 5}, 0, start)
 	c.Assert(table.RecordFailure(id, start), qt.IsTrue)
 	c.Assert(table.RecordFailure(id, start), qt.IsFalse)
-	table.Tick(start.Add(suspectFor))
+	table.Tick(start.Add(suspectTimeout))
 	m, _ := table.Get(id)
 	c.Assert(m.State, qt.Equals, Dead)
 
-	news, _ := table.Merge(id, Record{Incarnation: 1, Heartbeat: 6}, 0, start)
-	c.Assert(news, qt.IsTrue)
+	changed, _ := table.Merge(id, Record{Incarnation: 1, Heartbeat: 6}, 0, start)
+	c.Assert(changed, qt.IsTrue)
 	table.Merge(id, Record{Incarnation: 1, Heartbeat: 5, State: Dead}, 0, start)
 	m, _ = table.Get(id)
 	c.Assert(m.State, qt.Equals, Alive)
 }
 
-// A member that is only silent is not gone: a stop would be called safe
-// while it still had requests in flight. It is gone when the host list drops
-// it or it says goodbye.
-func TestSilentMemberIsNotGone(t *testing.T) {
+// A member that does not respond must stay a member, or a drain would be
+// reported as complete while it still has requests in flight. It is removed
+// when the host list drops it or it leaves.
+func TestSilentMemberIsKept(t *testing.T) {
 	c := qt.New(t)
 	table := NewTable(Member{Name: "e1"})
 	hosts := map[string]host.Host{"e2": {Name: "e2", Address: "h:1", Domain: "a", Role: host.Entry}}
@@ -88,14 +90,14 @@
 	c.Assert(table.Others(), qt.HasLen, 0)
 }
 
-// A second host is set up under a name that is in use, or a host's clock was
-// set back before it restarted. The member must notice, and go beyond the
-// news of itself so that it is not held for the other run.
-func TestNewsOfSelfIsOutbid(t *testing.T) {
+// A second host uses the same name, or the clock of a host was set back
+// before a restart. The member must detect it and raise its incarnation, so
+// that it is not mistaken for the other run.
+func TestSelfRefutesNewerRecord(t *testing.T) {
 	c := qt.New(t)
 	table := NewTable(Member{Name: "e1", Record: Record{Incarnation: 10, Heartbeat: 3}})
-	news, _ := table.Merge(IDOf("e1"), Record{Incarnation: 10, Heartbeat: 2, State: Dead}, 0, start)
-	c.Assert(news, qt.IsFalse)
+	changed, _ := table.Merge(IDOf("e1"), Record{Incarnation: 10, Heartbeat: 2, State: Dead}, 0, start)
+	c.Assert(changed, qt.IsFalse)
 	table.Merge(IDOf("e1"), Record{Incarnation: 10, Heartbeat: 3, State: Suspect}, 0, start)
 	c.Assert(table.Self.Incarnation, qt.Equals, uint64(11))
 	c.Assert(table.NameConflicts, qt.Equals, 0)
@@ -104,9 +106,9 @@
 	c.Assert(table.NameConflicts, qt.Equals, 1)
 }
 
-// After a partition heals, both sides hold each other dead. Somebody has to
-// try a dead member, or they would never speak again.
-func TestDeadMembersAreTried(t *testing.T) {
+// After a partition heals, both sides consider each other dead. Unless
+// members contact dead ones, the sides never reconnect.
+func TestDeadMembersAreRetried(t *testing.T) {
 	c := qt.New(t)
 	table := NewTable(Member{Name: "e1", Domain: "a"})
 	for i := range 6 {
@@ -115,21 +117,22 @@
 		table.Merge(IDOf(name), Record{Incarnation: 1, Heartbeat: 1}, 0, start)
 	}
 	table.RecordFailure(IDOf("e7"), start)
-	table.Tick(start.Add(suspectFor))
-	tried := 0
+	table.Tick(start.Add(suspectTimeout))
+	contacted := 0
 	r := rand.New(rand.NewPCG(1, 2))
 	for range 100 {
 		for _, m := range table.Partners(r) {
 			if m.Name == "e7" {
-				tried++
+				contacted++
 			}
 		}
 	}
-	c.Assert(tried > 5 && tried < 60, qt.IsTrue, qt.Commentf("%d", tried))
+	c.Assert(contacted > 5 && contacted < 60, qt.IsTrue, qt.Commentf("%d", contacted))
 }
 
-// Marks keep the longer end, forget what has ended, and do not believe in a
-// far future: a host whose clock is ahead would put a server out for ever.
+// Marks keep the later expiry, are removed once expired, and have a bounded
+// lifetime: a host whose clock is ahead could otherwise exclude a server
+// forever.
 func TestMarks(t *testing.T) {
 	c := qt.New(t)
 	var marks Marks
@@ -138,9 +141,9 @@
 	c.Assert(marks.Add(m, start), qt.IsFalse)
 	m.Until = start.Add(24 * time.Hour)
 	c.Assert(marks.Add(m, start), qt.IsTrue)
-	c.Assert(marks.All(SuspectServer, start)["a1"].Until, qt.Equals, start.Add(longest(SuspectServer)))
+	c.Assert(marks.All(SuspectServer, start)["a1"].Until, qt.Equals, start.Add(maxMarkTTL(SuspectServer)))
 	c.Assert(marks.Add(Mark{Name: "a2", Until: start}, start), qt.IsFalse)
-	marks.Sweep(start.Add(longest(SuspectServer)))
+	marks.Sweep(start.Add(maxMarkTTL(SuspectServer)))
 	c.Assert(marks.All(SuspectServer, start), qt.HasLen, 0)
 	for i := range maxMarks + 10 {
 		marks.Add(Mark{Name: fmt.Sprint(i), Until: start.Add(time.Minute)}, start)
@@ -148,22 +151,22 @@
 	c.Assert(marks.All(SuspectServer, start), qt.HasLen, maxMarks)
 }
 
-// A team's limit is corrected by what the others report. Reports from a part
-// of the fleet stand for all of it, and old ones must not count for ever.
-func TestLedger(t *testing.T) {
+// The limit of a team is corrected by the usage that others report. Reports
+// from part of the fleet are scaled up to all of it, and old ones expire.
+func TestRemoteUsageRates(t *testing.T) {
 	c := qt.New(t)
-	var l RemoteUsage
-	l.Add(1, Usage{"lyra", 10}, start)
-	l.Add(2, Usage{"lyra", 20}, start)
-	c.Assert(l.Rates(2, 2, start), qt.DeepEquals, map[string]float64{"lyra": 30})
-	c.Assert(l.Rates(2, 8, start), qt.DeepEquals, map[string]float64{"lyra": 120})
-	c.Assert(l.Rates(2, 2, start.Add(usageAge+1)), qt.HasLen, 0)
+	var usage RemoteUsage
+	usage.Add(1, Usage{"lyra", 10}, start)
+	usage.Add(2, Usage{"lyra", 20}, start)
+	c.Assert(usage.Rates(2, 2, start), qt.DeepEquals, map[string]float64{"lyra": 30})
+	c.Assert(usage.Rates(2, 8, start), qt.DeepEquals, map[string]float64{"lyra": 120})
+	c.Assert(usage.Rates(2, 2, start.Add(usageTTL+1)), qt.HasLen, 0)
 }
 
-// An entry host stops in order and is started again at the same address. Its
-// new run must count as alive although the old one said goodbye, and late
-// news of the old run must not put the new one out.
-func TestRestartAfterGoodbye(t *testing.T) {
+// An entry host stops cleanly and restarts at the same address. Its new run
+// must be alive although the old run left, and a late record of the old run
+// must not change that.
+func TestRestartAfterLeave(t *testing.T) {
 	c := qt.New(t)
 	table := NewTable(Member{Name: "e1"})
 	table.SetContact("e2", "h:1", "a", start)
