--- a/parts/ticket/ticket.go
+++ b/parts/ticket/ticket.go
@@ -1,12 +1,13 @@
-// Package ticket makes ids of calls that name the one entry host that may
+// Package ticket implements call IDs that name the only entry host that may
 // send the call.
 //
-// A caller asks an entry host for a ticket and sends its call under it,
-// through any entry host. Only the entry host that issued the ticket, and
-// only in the incarnation that did, sends the call, once, and remembers it
-// in its own memory. So there is one owner by construction, and neither
-// agreement nor a write to the object API is needed: a failure domain that is
-// cut off goes on. Once that incarnation is gone the call is never run.
+// A caller gets a ticket from an entry host and sends its call with the
+// ticket as ID, through any entry host. Only the entry host that issued the
+// ticket sends the call, at most once and only within the incarnation that
+// issued it, and keeps the outcome in memory. Each call thus has one owner by
+// construction and needs neither consensus nor a write to the object API, so
+// that a partitioned failure domain keeps working. Once that incarnation has
+// ended, the call is never run.
 package ticket
 
 import (
@@ -21,88 +22,88 @@
 	"github.com/fxamacker/cbor/v2"
 )
 
-// Prefix opens every ticket. An id of a caller's own may not start with it.
+// Prefix starts every ticket. IDs chosen by callers must not start with it.
 const Prefix = "fst1."
 
-// TTL is how long a ticket may be used. It bounds what its issuer has to
-// remember.
+// TTL is how long a ticket can be used. It bounds the state that the issuer
+// keeps.
 const TTL = 10 * time.Minute
 
-// Ticket is the content of a ticket.
+// Ticket is the decoded form of a ticket.
 type Ticket struct {
 	_ struct{} `cbor:",toarray"`
 	// Entry is the name of the issuing entry host.
 	Entry string
-	// Incarnation tells one run of it from the next.
+	// Incarnation distinguishes the runs of the entry host.
 	Incarnation uint64
 	// Serial is unique within the incarnation.
 	Serial uint64
-	// Issued is how long the incarnation had run when it issued the ticket.
-	// No clock of another host takes part.
+	// Issued is the uptime of the incarnation when it issued the ticket. It
+	// does not depend on the clock of another host.
 	Issued time.Duration
 }
 
-// Expired reports whether the ticket may no longer be used; up is how long
-// the incarnation has run.
-func (t Ticket) Expired(up time.Duration) bool {
-	return up-t.Issued >= TTL
+// Expired reports whether the ticket has expired at the given uptime of the
+// incarnation.
+func (t Ticket) Expired(uptime time.Duration) bool {
+	return uptime-t.Issued >= TTL
 }
 
-// Signer issues and reads tickets.
+// Signer issues and verifies tickets.
 type Signer struct {
 	// Secret is shared by all entry hosts.
 	Secret string
 }
 
-// macBytes is the length of a ticket's authentication.
+// macBytes is the length of the truncated HMAC.
 const macBytes = 16
 
-// errForged tells nothing about what is wrong, so that a forger learns
-// nothing.
-var errForged = errors.New("ticket: not a ticket of this system and team")
+// errInvalid does not say what is wrong, so that it gives no hints for
+// forging tickets.
+var errInvalid = errors.New("ticket: not a ticket of this system and team")
 
-var coding = base64.RawURLEncoding
+var encoding = base64.RawURLEncoding
 
-// Is reports whether an id claims to be a ticket.
+// Is reports whether an ID has the prefix of a ticket.
 func Is(id string) bool {
 	return strings.HasPrefix(id, Prefix)
 }
 
-// Issue returns the text of a ticket for a team.
+// Issue returns the encoded and signed ticket for a team.
 func (s Signer) Issue(t Ticket, team string) (string, error) {
 	content, err := cbor.Marshal(t)
 	if err != nil {
 		return "", err
 	}
-	return Prefix + coding.EncodeToString(append(content, s.mac(content, team)...)), nil
+	return Prefix + encoding.EncodeToString(append(content, s.mac(content, team)...)), nil
 }
 
-// Parse reads the text of a ticket. It fails unless the ticket was issued
+// Parse verifies and decodes a ticket. It fails unless the ticket was issued
 // with the same secret for the same team.
 func (s Signer) Parse(text, team string) (Ticket, error) {
 	var t Ticket
-	rest, ok := strings.CutPrefix(text, Prefix)
+	encoded, ok := strings.CutPrefix(text, Prefix)
 	if !ok {
-		return t, errForged
+		return t, errInvalid
 	}
-	all, err := coding.DecodeString(rest)
-	// A decoder takes several texts for the same bytes. If one ticket had two
-	// texts, a call could run under each.
-	if err != nil || len(all) < macBytes || coding.EncodeToString(all) != rest {
-		return t, errForged
+	signed, err := encoding.DecodeString(encoded)
+	// Base64 decoding accepts several texts for the same bytes. If a ticket had
+	// two valid texts, its call could run once for each.
+	if err != nil || len(signed) < macBytes || encoding.EncodeToString(signed) != encoded {
+		return t, errInvalid
 	}
-	content, mac := all[:len(all)-macBytes], all[len(all)-macBytes:]
+	content, mac := signed[:len(signed)-macBytes], signed[len(signed)-macBytes:]
 	if !hmac.Equal(mac, s.mac(content, team)) {
-		return t, errForged
+		return t, errInvalid
 	}
 	if err := cbor.Unmarshal(content, &t); err != nil {
-		return Ticket{}, errForged
+		return Ticket{}, errInvalid
 	}
 	return t, nil
 }
 
-// mac authenticates a ticket and the team that it is for. The secret serves
-// other purposes too; the label keeps them apart.
+// mac returns the HMAC of a ticket and its team. The label in the key
+// separates it from other uses of the secret.
 func (s Signer) mac(content []byte, team string) []byte {
 	h := hmac.New(sha256.New, []byte("fuchsiashelf ticket\x00"+s.Secret))
 	var size [8]byte
--- a/parts/ticket/ticket_test.go
+++ b/parts/ticket/ticket_test.go
@@ -24,33 +24,33 @@
 	qt.Assert(t, got.Expired(time.Second+TTL), qt.IsTrue)
 }
 
-// A ticket that was changed, or taken from another team, would let a caller
-// name an entry host that never issued it. Each byte counts.
-func TestForged(t *testing.T) {
+// A modified ticket, or one of another team, would let a caller name an entry
+// host that never issued it. Every byte must be protected.
+func TestForgedTickets(t *testing.T) {
 	text := issue(t)
-	for _, bad := range []string{"", Prefix, "seat-1", text[:len(text)-1], text + "A", text[len(Prefix):], text + "\n"} {
-		_, err := signer.Parse(bad, "cantata")
-		qt.Check(t, err, qt.Equals, errForged, qt.Commentf("%q", bad))
+	for _, forged := range []string{"", Prefix, "seat-1", text[:len(text)-1], text + "A", text[len(Prefix):], text + "\n"} {
+		_, err := signer.Parse(forged, "cantata")
+		qt.Check(t, err, qt.Equals, errInvalid, qt.Commentf("%q", forged))
 	}
 	for i := len(Prefix); i < len(text); i++ {
 		changed := []byte(text)
 		changed[i] ^= 1
 		_, err := signer.Parse(string(changed), "cantata")
-		qt.Check(t, err, qt.Equals, errForged, qt.Commentf("byte %d", i))
+		qt.Check(t, err, qt.Equals, errInvalid, qt.Commentf("byte %d", i))
 	}
 	_, err := signer.Parse(text, "lyra")
-	qt.Assert(t, err, qt.Equals, errForged)
+	qt.Assert(t, err, qt.Equals, errInvalid)
 	_, err = Signer{Secret: "other"}.Parse(text, "cantata")
-	qt.Assert(t, err, qt.Equals, errForged)
+	qt.Assert(t, err, qt.Equals, errInvalid)
 }
 
-// Callers send any text as a ticket; none but an issued one is taken.
+// Callers can send any text as a ticket; only issued ones may be accepted.
 func FuzzParse(f *testing.F) {
 	f.Add(issue(f))
 	f.Add(Prefix + "AAAA")
 	f.Fuzz(func(t *testing.T, text string) {
 		if _, err := signer.Parse(text, "cantata"); err == nil && text != issue(t) {
-			t.Fatalf("took %q", text)
+			t.Fatalf("accepted %q", text)
 		}
 	})
 }
