--- a/parts/lease/lease.go
+++ b/parts/lease/lease.go
@@ -1,16 +1,18 @@
-// Package lease decides who may give orders, by one object of the object API.
+// Package lease implements a lease on one object of the object API. Its
+// holder is the only entry host that may give orders.
 //
-// The holder renews the object by conditional updates. Its version is the
-// fencing number: it grows with each write, so an order under an older number
-// is an older order. No clocks of two hosts are compared. The holder counts
-// its term from before it sent the write that began it; a contender counts
-// from after it read that version, and waits out a longer term. So the
-// holder's term has ended before another's begins, as long as the clocks of
-// two hosts run at rates that differ by less than the wait allows.
+// The holder renews the lease by conditional updates of the object. The
+// version of the object is the fencing number: it grows with each write, so
+// an order with a lower number is an older order. Clocks of different hosts
+// are never compared. The holder counts its term from before it sent the
+// write that started it. A contender counts from after it read that version,
+// and waits for a longer term. The holder's term thus ends before that of the
+// next holder starts, as long as the clock rates of the two hosts differ by
+// less than the additional wait allows.
 //
-// [Candidate] is pure: what it read, what became of its writes and the time are
-// arguments. Times must carry Go's monotonic reading, which goes on while a
-// process is paused.
+// [Candidate] does no I/O: read values, results of writes and the time are
+// arguments. Times must have a monotonic clock reading, which advances while
+// a process is paused.
 package lease
 
 import (
@@ -19,120 +21,126 @@
 	"fuchsiashelf.dev/parts/fault"
 )
 
-// Value is what the object holds.
+// Value is the content of the lease object.
 type Value struct {
-	// Holder is the name of the entry host that wrote it.
+	// Holder is the name of the entry host that wrote the value.
 	Holder string `json:"holder"`
-	// Nonce tells one write from another.
+	// Nonce distinguishes one write from another.
 	Nonce string `json:"nonce"`
-	// TermMs is how long the holder holds it, in milliseconds.
+	// TermMs is the duration of the lease, in milliseconds.
 	TermMs int64 `json:"termMs"`
-	// Note is the holder's own, for its successor.
+	// Note is data that the holder leaves for its successor.
 	Note []string `json:"note,omitempty"`
 }
 
-// Candidate is one contender. Set the exported fields before first use.
+// Candidate is an entry host that holds the lease or contends for it. Set the
+// exported fields before first use.
 type Candidate struct {
 	// Self is the name of this entry host.
 	Self string
-	// Term is how long a write holds.
+	// Term is the duration of the lease after a write.
 	Term time.Duration
 
-	// seen is the version read last, seenAt when it was first read, and
-	// value what it held.
-	seen   uint64
-	seenAt time.Time
-	value  Value
-	// number and until are the own lease; until is zero without one.
+	// seenVersion is the version read or written last, seenAt is when it was
+	// first seen, and seenValue is its value.
+	seenVersion uint64
+	seenAt      time.Time
+	seenValue   Value
+	// number and until describe the lease held by this candidate; until is
+	// zero if it never held one.
 	number uint64
 	until  time.Time
-	// renew asks for a write ahead of time.
-	renew bool
-	// pending is a write whose outcome is not known.
+	// renewNow requests a write before the lease is due for renewal.
+	renewNow bool
+	// pending is a write, sent at sentAt, whose outcome is not known.
 	pending Value
 	sentAt  time.Time
 }
 
 const (
-	// renewals is how many writes fit into one term, so that one may fail.
-	renewals = 3
-	// waitOver and waitUnder make the term that a contender waits out: a
-	// quarter longer than the holder's.
-	waitOver, waitUnder = 5, 4
+	// writesPerTerm is the number of renewals per term, so that one of them
+	// may fail.
+	writesPerTerm = 3
+	// A contender waits for 5/4 of the holder's term. The additional quarter
+	// allows for clocks that run at different rates.
+	waitNumerator, waitDenominator = 5, 4
 )
 
-// Read takes what was read from the object API; version zero means that there
-// is no object.
-func (m *Candidate) Read(version uint64, value Value, now time.Time) {
-	if m.pending.Nonce != "" && value.Nonce == m.pending.Nonce {
-		// The reply was lost, and the write took effect.
-		m.won(version, m.sentAt)
+// Read takes the result of reading the object. Version zero means that the
+// object does not exist.
+func (c *Candidate) Read(version uint64, value Value, now time.Time) {
+	if c.pending.Nonce != "" && value.Nonce == c.pending.Nonce {
+		// The write took effect, but its reply was lost.
+		c.acquired(version, c.sentAt)
 	}
-	if version != m.seen || m.seenAt.IsZero() {
-		m.seen, m.seenAt, m.value = version, now, value
+	if version != c.seenVersion || c.seenAt.IsZero() {
+		c.seenVersion, c.seenAt, c.seenValue = version, now, value
 	}
-	if value.Nonce != m.pending.Nonce {
-		m.pending = Value{}
+	if value.Nonce != c.pending.Nonce {
+		c.pending = Value{}
 	}
 }
 
-// Write returns the value to write now and the version to write over, if it
-// is time to: to renew the own lease, or to take one that nobody renewed.
-func (m *Candidate) Write(nonce string, note []string, now time.Time) (Value, uint64, bool) {
-	if m.seenAt.IsZero() || !m.due(now) {
+// Write returns the value to write and the version that it replaces, if a
+// write is due: to renew the lease, or to take over an expired one.
+func (c *Candidate) Write(nonce string, note []string, now time.Time) (Value, uint64, bool) {
+	if c.seenAt.IsZero() || !c.writeDue(now) {
 		return Value{}, 0, false
 	}
-	m.pending = Value{Holder: m.Self, Nonce: nonce, TermMs: m.Term.Milliseconds(), Note: note}
-	m.sentAt, m.renew = now, false
-	return m.pending, m.seen, true
+	c.pending = Value{Holder: c.Self, Nonce: nonce, TermMs: c.Term.Milliseconds(), Note: note}
+	c.sentAt, c.renewNow = now, false
+	return c.pending, c.seenVersion, true
 }
 
-func (m *Candidate) due(now time.Time) bool {
+// writeDue reports whether to renew the lease or to take it over.
+func (c *Candidate) writeDue(now time.Time) bool {
 	switch {
-	case m.seen == 0:
+	case c.seenVersion == 0:
 		return true
-	case m.seen == m.number && now.Before(m.until):
-		return m.renew || m.until.Sub(now) < m.Term*(renewals-1)/renewals
+	case c.seenVersion == c.number && now.Before(c.until):
+		return c.renewNow || c.until.Sub(now) < c.Term*(writesPerTerm-1)/writesPerTerm
 	}
-	// Somebody's, also a former life's of this entry host: an order of that
-	// one may still be under way.
-	term := time.Duration(m.value.TermMs) * time.Millisecond
-	return now.Sub(m.seenAt) >= term*waitOver/waitUnder
+	// The lease belongs to another holder, or to an earlier run of this entry
+	// host, whose orders may still be in flight. Wait until it has expired.
+	term := time.Duration(c.seenValue.TermMs) * time.Millisecond
+	return now.Sub(c.seenAt) >= term*waitNumerator/waitDenominator
 }
 
-// Wrote takes the outcome of the write: the new version, or the error.
-func (m *Candidate) Wrote(version uint64, err error, now time.Time) {
+// Wrote takes the result of the write: the new version or an error.
+func (c *Candidate) Wrote(version uint64, err error, now time.Time) {
 	if err == nil {
-		m.seen, m.seenAt, m.value = version, now, m.pending
-		m.won(version, m.sentAt)
+		c.seenVersion, c.seenAt, c.seenValue = version, now, c.pending
+		c.acquired(version, c.sentAt)
 		return
 	}
 	if fault.As(err).Verdict == fault.NotRun {
-		m.pending = Value{}
+		c.pending = Value{}
 	}
-	// Otherwise the next read tells whether it took effect.
+	// Otherwise the next read shows whether the write took effect.
 }
 
-func (m *Candidate) won(version uint64, sentAt time.Time) {
-	m.number, m.until = version, sentAt.Add(m.Term)
-	m.pending = Value{}
+// acquired records that a write that was sent at sentAt took effect.
+func (c *Candidate) acquired(version uint64, sentAt time.Time) {
+	c.number, c.until = version, sentAt.Add(c.Term)
+	c.pending = Value{}
 }
 
-// Renew asks for a write ahead of time, since the note has changed.
-func (m *Candidate) Renew() {
-	m.renew = true
+// Renew requests a write as soon as possible, for example after the note
+// changed.
+func (c *Candidate) Renew() {
+	c.renewNow = true
 }
 
-// Note returns what the object was last seen to hold for a successor.
-func (m *Candidate) Note() []string {
-	return m.value.Note
+// Note returns the last note that was seen in the object.
+func (c *Candidate) Note() []string {
+	return c.seenValue.Note
 }
 
-// Held returns the fencing number and the end of the own lease if it lasts
-// for at least the given time more.
-func (m *Candidate) Held(now time.Time, least time.Duration) (number uint64, until time.Time, held bool) {
-	if m.until.Sub(now) < least {
+// Held returns the fencing number and the end of the lease, if this candidate
+// holds it for at least minLeft longer.
+func (c *Candidate) Held(now time.Time, minLeft time.Duration) (number uint64, until time.Time, held bool) {
+	if c.until.Sub(now) < minLeft {
 		return 0, time.Time{}, false
 	}
-	return m.number, m.until, true
+	return c.number, c.until, true
 }
