--- a/parts/wait/wait.go
+++ b/parts/wait/wait.go
@@ -1,4 +1,4 @@
-// Package wait pauses until some time has passed or a context has ended.
+// Package wait provides sleeps that end early when a context is done.
 package wait
 
 import (
@@ -6,7 +6,7 @@
 	"time"
 )
 
-// For waits for a time, or until the context ends.
+// For waits for d or until the context is done.
 func For(ctx context.Context, d time.Duration) {
 	if d <= 0 {
 		return
