--- a/parts/engine/client.go
+++ b/parts/engine/client.go
@@ -16,23 +16,25 @@
 	"fuchsiashelf.dev/parts/fault"
 )
 
-// maxFrame bounds one line of an engine's answer, in bytes.
+// maxFrame is the maximum length of one line of a response stream, in bytes.
 const maxFrame = 256 << 10
 
-// Client talks to engines. The zero value works.
+// Client sends requests to engines. The zero value is ready to use.
 type Client struct {
-	// HTTP is the client underneath; nil means one of the package's own.
+	// HTTP is the underlying client; nil means a default client that all
+	// Clients share.
 	HTTP *http.Client
 }
 
-// dialTimeout bounds the time to connect. A host that is gone without a
-// trace answers nothing, and only this tells it from a slow one.
+// dialTimeout bounds the time to connect. A host that is down may send no
+// reply at all, and only this timeout distinguishes it from a slow one.
 const dialTimeout = 2 * time.Second
 
-// maxIdle bounds the idle connections kept to one engine.
+// maxIdle bounds the idle connections per engine.
 const maxIdle = 256
 
-var shared = &http.Client{Transport: &http.Transport{
+// defaultClient is used by Clients without an HTTP client of their own.
+var defaultClient = &http.Client{Transport: &http.Transport{
 	DialContext:         (&net.Dialer{Timeout: dialTimeout}).DialContext,
 	MaxIdleConnsPerHost: maxIdle,
 	DisableCompression:  true,
@@ -42,30 +44,30 @@
 	if c.HTTP != nil {
 		return c.HTTP
 	}
-	return shared
+	return defaultClient
 }
 
-// Stream is an answer under way. Close it to cancel.
+// Stream is the response to a request. Close it to cancel the request.
 type Stream struct {
-	body  io.ReadCloser
-	scan  *bufio.Scanner
-	frame Frame
+	body    io.ReadCloser
+	scanner *bufio.Scanner
+	frame   Frame
 }
 
 // Generate sends a request to the first server of its chain. The error is a
 // *fault.Error.
-func (c *Client) Generate(ctx context.Context, ask *Request) (*Stream, error) {
-	body, err := json.Marshal(ask)
+func (c *Client) Generate(ctx context.Context, request *Request) (*Stream, error) {
+	body, err := json.Marshal(request)
 	if err != nil {
 		return nil, &fault.Error{Code: fault.Internal, Verdict: fault.NotRun, Cause: err}
 	}
-	first := ask.Chain[0]
+	first := request.Chain[0]
 	url := "http://" + first.Address + "/v1/generate"
 	req, err := http.NewRequestWithContext(ctx, http.MethodPost, url, bytes.NewReader(body))
 	if err != nil {
 		return nil, &fault.Error{Code: fault.Internal, Verdict: fault.NotRun, Cause: err}
 	}
-	// A body that cannot be read twice keeps net/http from resending.
+	// Without GetBody, net/http cannot resend the request on its own.
 	req.GetBody = nil
 	req.Header.Set("Content-Type", "application/json")
 	resp, err := c.http().Do(req)
@@ -74,52 +76,53 @@
 	}
 	if resp.StatusCode != http.StatusOK {
 		defer resp.Body.Close()
-		return nil, refusal(resp, first.Server)
+		return nil, responseError(resp, first.Server)
 	}
-	scan := bufio.NewScanner(resp.Body)
-	scan.Buffer(nil, maxFrame)
-	return &Stream{body: resp.Body, scan: scan}, nil
+	scanner := bufio.NewScanner(resp.Body)
+	scanner.Buffer(nil, maxFrame)
+	return &Stream{body: resp.Body, scanner: scanner}, nil
 }
 
-func refusal(resp *http.Response, server string) *fault.Error {
+// responseError converts a response with a status other than 200 to an error.
+func responseError(resp *http.Response, server string) *fault.Error {
 	e := &fault.Error{Code: fault.ServerFailed, Verdict: fault.MayHaveRun, Server: server}
 	e.Message = fmt.Sprintf("status %d", resp.StatusCode)
-	if why := resp.Header.Get(NotRunHeader); why != "" {
-		e.Code, e.Verdict, e.Message = fault.ServerRefused, fault.NotRun, why
+	if reason := resp.Header.Get(NotRunHeader); reason != "" {
+		e.Code, e.Verdict, e.Message = fault.ServerRefused, fault.NotRun, reason
 	}
 	return e
 }
 
-// frames decodes frames. It is the one decoder whose cost counts, for each
-// token of each answer. Strings are copied, since the scanner's buffer is used
-// again for the next line.
-var frames = sonic.Config{CopyString: true, ValidateString: true}.Froze()
+// frameDecoder decodes frames. It is the only decoder that runs for every
+// token, so its CPU cost matters. Strings are copied, since the scanner
+// reuses its buffer for the next line.
+var frameDecoder = sonic.Config{CopyString: true, ValidateString: true}.Froze()
 
-// Next returns the next frame, or io.EOF when the engine closed the stream.
-// Its spans are valid until the next call.
+// Next returns the next frame, or io.EOF when the engine has closed the
+// stream. The spans are valid until the next call.
 func (s *Stream) Next() (Frame, error) {
-	if !s.scan.Scan() {
-		if err := s.scan.Err(); err != nil {
+	if !s.scanner.Scan() {
+		if err := s.scanner.Err(); err != nil {
 			return Frame{}, err
 		}
 		return Frame{}, io.EOF
 	}
-	// What the line does not fill must not keep the values of the last one.
+	// The spans are reused, so clear the values of the previous frame.
 	spans := s.frame.Spans
 	clear(spans[:cap(spans)])
 	s.frame = Frame{Spans: spans[:0]}
-	if err := frames.Unmarshal(s.scan.Bytes(), &s.frame); err != nil {
+	if err := frameDecoder.Unmarshal(s.scanner.Bytes(), &s.frame); err != nil {
 		return Frame{}, fmt.Errorf("engine: bad frame: %w", err)
 	}
 	return s.frame, nil
 }
 
-// Close cancels the answer.
+// Close cancels the request.
 func (s *Stream) Close() error {
 	return s.body.Close()
 }
 
-// Status asks an engine for its report.
+// Status returns the status that an engine reports.
 func (c *Client) Status(ctx context.Context, address string) (Status, error) {
 	var s Status
 	req, err := http.NewRequestWithContext(ctx, http.MethodGet, "http://"+address+"/v1/status", nil)
@@ -132,7 +135,7 @@
 	}
 	defer resp.Body.Close()
 	if resp.StatusCode != http.StatusOK {
-		return s, refusal(resp, address)
+		return s, responseError(resp, address)
 	}
 	return s, json.NewDecoder(resp.Body).Decode(&s)
 }
--- a/parts/engine/client_test.go
+++ b/parts/engine/client_test.go
@@ -12,12 +12,12 @@
 
 func stream(lines ...string) *Stream {
 	body := io.NopCloser(strings.NewReader(strings.Join(lines, "\n")))
-	return &Stream{body: body, scan: bufio.NewScanner(body)}
+	return &Stream{body: body, scanner: bufio.NewScanner(body)}
 }
 
-// A frame's fields that its line leaves out must be empty, whatever the frame
-// before held: a doubled span or an old token would be passed on as new.
-func TestFramesDoNotMix(t *testing.T) {
+// Fields that a line omits must be empty, whatever the previous frame had. A
+// stale span or token would be passed on as new.
+func TestFramesDoNotShareFields(t *testing.T) {
 	c := quicktest.New(t)
 	s := stream(
 		`{"request":"r1","attempt":1,"index":0,"token":"t0","spans":[{"server":"a1","end":8,"runUs":5,"linkUs":7},{"server":"a2","first":8,"end":16}]}`,
@@ -49,7 +49,7 @@
 	}
 }
 
-// FuzzFrame compares the fast decoder with the standard one.
+// FuzzFrame compares frameDecoder with encoding/json.
 func FuzzFrame(f *testing.F) {
 	f.Add(`{"request":"r1","attempt":1,"token":"a\u00e9","spans":[{"server":"a1","end":8}]}`)
 	f.Add(`{"fail":{"server":"a1","what":"x","refused":true}}`)
@@ -58,14 +58,14 @@
 			return
 		}
 		var want Frame
-		err := json.Unmarshal([]byte(line), &want)
-		got, fast := stream(line).Next()
-		if err != nil || fast != nil {
+		wantErr := json.Unmarshal([]byte(line), &want)
+		got, gotErr := stream(line).Next()
+		if wantErr != nil || gotErr != nil {
 			return
 		}
-		wanted, _ := json.Marshal(want)
-		if text, _ := json.Marshal(got); string(text) != string(wanted) {
-			t.Fatalf("%q: %s, not %s", line, text, wanted)
+		wantText, _ := json.Marshal(want)
+		if gotText, _ := json.Marshal(got); string(gotText) != string(wantText) {
+			t.Fatalf("%q: got %s, want %s", line, gotText, wantText)
 		}
 	})
 }
--- a/parts/engine/order.go
+++ b/parts/engine/order.go
@@ -9,8 +9,9 @@
 	"fuchsiashelf.dev/parts/fault"
 )
 
-// Order gives an engine an order. The error is a *fault.Error; it is NotRun,
-// with Fenced or Lapsed as its message, if the engine refused.
+// Order sends an order to an engine. The error is a *fault.Error. If the
+// engine refused the order, its verdict is NotRun and its message is Fenced,
+// Expired or Leaving.
 func (c *Client) Order(ctx context.Context, address string, order *Order) error {
 	body, err := json.Marshal(order)
 	if err != nil {
@@ -20,7 +21,7 @@
 	if err != nil {
 		return &fault.Error{Code: fault.Internal, Verdict: fault.NotRun, Cause: err}
 	}
-	// A body that cannot be read twice keeps net/http from resending.
+	// Without GetBody, net/http cannot resend the request on its own.
 	req.GetBody = nil
 	resp, err := c.http().Do(req)
 	if err != nil {
@@ -28,12 +29,12 @@
 	}
 	defer resp.Body.Close()
 	if resp.StatusCode != http.StatusOK {
-		return refusal(resp, address)
+		return responseError(resp, address)
 	}
 	return nil
 }
 
-// Orders returns the orders that took effect on an engine, oldest first.
+// Orders returns the orders that an engine has carried out, oldest first.
 func (c *Client) Orders(ctx context.Context, address string) ([]Order, error) {
 	req, err := http.NewRequestWithContext(ctx, http.MethodGet, "http://"+address+"/v1/orders", nil)
 	if err != nil {
@@ -45,7 +46,7 @@
 	}
 	defer resp.Body.Close()
 	if resp.StatusCode != http.StatusOK {
-		return nil, refusal(resp, address)
+		return nil, responseError(resp, address)
 	}
 	var orders []Order
 	return orders, json.NewDecoder(resp.Body).Decode(&orders)
