--- a/entry/internal/invoke/forwarder.go
+++ b/entry/internal/invoke/forwarder.go
@@ -115,7 +115,7 @@
 		case <-ctx.Done():
 			return nil
 		case now := <-tick.C:
-			f.flights.Sweep(now)
+			f.flights.RemoveExpired(now)
 		}
 	}
 }
--- a/entry/internal/order/order.go
+++ b/entry/internal/order/order.go
@@ -138,7 +138,7 @@
 	if object.Version > 0 && json.Unmarshal(object.Value, &value) != nil {
 		c.Log.Error("order: lease object cannot be decoded")
 	}
-	c.candidate.Read(object.Version, value, time.Now())
+	c.candidate.OnRead(object.Version, value, time.Now())
 	note := c.recordedDrains
 	if !c.isHolder {
 		note = value.Note
@@ -153,7 +153,7 @@
 		return
 	}
 	version, err := c.Store.Put(ctx, LeaseKey, body, readVersion)
-	c.candidate.Wrote(version, err, time.Now())
+	c.candidate.OnWrite(version, err, time.Now())
 }
 
 // sendDueOrders sends the orders that are due and waits for their results.
--- a/entry/prog/calls.go
+++ b/entry/prog/calls.go
@@ -20,7 +20,7 @@
 	p := &invoke.Forwarder{
 		View: publisher, Trace: recorder, Log: d.log,
 		Claims: &claim.Writer{
-			Store: api, Log: d.log, Writes: d.settings.Claims.WriteRate, Done: make(chan struct{}),
+			Store: api, Log: d.log, WriteRate: d.settings.Claims.WriteRate, Done: make(chan struct{}),
 		},
 		ClaimTerms: d.settings.Claims.Timing,
 		Holder:     claim.Holder{Entry: d.settings.Name, Incarnation: rand.Uint64()},
--- a/parts/claim/bench_test.go
+++ b/parts/claim/bench_test.go
@@ -59,7 +59,7 @@
 	ctx, cancel := context.WithCancel(context.Background())
 	writers := make([]*Writer, entries)
 	for i := range writers {
-		writers[i] = &Writer{Store: s, Log: slog.New(slog.DiscardHandler), Writes: budget, Done: make(chan struct{})}
+		writers[i] = &Writer{Store: s, Log: slog.New(slog.DiscardHandler), WriteRate: budget, Done: make(chan struct{})}
 		go func() { _ = writers[i].Run(ctx) }()
 	}
 	var wg sync.WaitGroup
--- a/parts/claim/claim_test.go
+++ b/parts/claim/claim_test.go
@@ -212,8 +212,8 @@
 	second.Finish("done", false)
 	_, own, _ = table.Begin(key, body, 3, start)
 	qt.Assert(t, own, qt.IsFalse)
-	qt.Assert(t, table.Sweep(start), qt.Equals, 1)
-	qt.Assert(t, table.Sweep(start.Add(1)), qt.Equals, 0)
+	qt.Assert(t, table.RemoveExpired(start), qt.Equals, 1)
+	qt.Assert(t, table.RemoveExpired(start.Add(1)), qt.Equals, 0)
 }
 
 // Other entry hosts write shard objects too. Any value must either be
--- a/parts/claim/model_test.go
+++ b/parts/claim/model_test.go
@@ -289,7 +289,7 @@
 		modelDeadline / 4, modelDeadline, modelExpiry / 2, modelExpiry,
 	}).Draw(m.t, "time"))
 	for _, h := range m.hosts {
-		h.table.Sweep(m.now)
+		h.table.RemoveExpired(m.now)
 	}
 }
 
--- a/parts/claim/table.go
+++ b/parts/claim/table.go
@@ -109,9 +109,9 @@
 	return value.(*Flight[R]), true
 }
 
-// Sweep removes finished flights whose Until has passed and returns the
+// RemoveExpired removes finished flights whose Until has passed and returns the
 // number of flights that remain.
-func (t *Table[R]) Sweep(now time.Time) int {
+func (t *Table[R]) RemoveExpired(now time.Time) int {
 	remaining := 0
 	t.flights.Range(func(key, value any) bool {
 		f := value.(*Flight[R])
--- a/parts/claim/writer.go
+++ b/parts/claim/writer.go
@@ -21,9 +21,9 @@
 	Store store.API
 	// Log receives failures.
 	Log *slog.Logger
-	// Writes is the maximum rate of commits per second; zero means no limit.
+	// WriteRate is the maximum rate of commits per second; zero means no limit.
 	// Changes that exceed it wait and share a write.
-	Writes float64
+	WriteRate float64
 	// Workers is the number of concurrent commits; zero means DefaultWorkers.
 	Workers int
 	// Done is closed when Run returns. Make it before calling Run.
@@ -178,8 +178,8 @@
 	defer pool.Release()
 	w.pool = pool
 	w.limiter = rate.NewLimiter(rate.Inf, 0)
-	if w.Writes > 0 {
-		w.limiter = rate.NewLimiter(rate.Limit(w.Writes), max(1, int(w.Writes/20)))
+	if w.WriteRate > 0 {
+		w.limiter = rate.NewLimiter(rate.Limit(w.WriteRate), max(1, int(w.WriteRate/20)))
 	}
 	workCtx, stop := context.WithCancel(context.WithoutCancel(ctx))
 	defer stop()
--- a/parts/lease/lease.go
+++ b/parts/lease/lease.go
@@ -66,9 +66,9 @@
 	waitNumerator, waitDenominator = 5, 4
 )
 
-// Read takes the result of reading the object. Version zero means that the
+// OnRead takes the result of reading the object. Version zero means that the
 // object does not exist.
-func (c *Candidate) Read(version uint64, value Value, now time.Time) {
+func (c *Candidate) OnRead(version uint64, value Value, now time.Time) {
 	if c.pending.Nonce != "" && value.Nonce == c.pending.Nonce {
 		// The write took effect, but its reply was lost.
 		c.acquired(version, c.sentAt)
@@ -106,8 +106,8 @@
 	return now.Sub(c.seenAt) >= term*waitNumerator/waitDenominator
 }
 
-// Wrote takes the result of the write: the new version or an error.
-func (c *Candidate) Wrote(version uint64, err error, now time.Time) {
+// OnWrite takes the result of the write: the new version or an error.
+func (c *Candidate) OnWrite(version uint64, err error, now time.Time) {
 	if err == nil {
 		c.seenVersion, c.seenAt, c.seenValue = version, now, c.pending
 		c.acquired(version, c.sentAt)
--- a/parts/lease/lease_test.go
+++ b/parts/lease/lease_test.go
@@ -25,14 +25,14 @@
 func TestLostReplyIsResolvedByRead(t *testing.T) {
 	c := qt.New(t)
 	lease := Candidate{Self: "e1", Term: term}
-	lease.Read(0, Value{}, start)
+	lease.OnRead(0, Value{}, start)
 	value, replaces, due := lease.Write("n1", nil, start)
 	c.Assert(due, qt.IsTrue)
 	c.Assert(replaces, qt.Equals, uint64(0))
-	lease.Wrote(0, errLost, start)
+	lease.OnWrite(0, errLost, start)
 	_, _, held := lease.Held(start, 0)
 	c.Assert(held, qt.IsFalse)
-	lease.Read(7, value, start.Add(time.Second))
+	lease.OnRead(7, value, start.Add(time.Second))
 	number, until, held := lease.Held(start.Add(time.Second), 0)
 	c.Assert(held, qt.IsTrue)
 	c.Assert(number, qt.Equals, uint64(7))
@@ -44,9 +44,9 @@
 func TestPausedHolderLosesLease(t *testing.T) {
 	c := qt.New(t)
 	lease := Candidate{Self: "e1", Term: term}
-	lease.Read(0, Value{}, start)
+	lease.OnRead(0, Value{}, start)
 	_, _, _ = lease.Write("n1", nil, start)
-	lease.Wrote(3, nil, start)
+	lease.OnWrite(3, nil, start)
 	_, _, held := lease.Held(start.Add(term), 0)
 	c.Assert(held, qt.IsTrue)
 	_, _, held = lease.Held(start.Add(term+1), 0)
@@ -94,7 +94,7 @@
 			},
 			"read arrives": func(t *rapid.T) {
 				if c := anyHost(t); c.read != nil && c.wrote == nil {
-					c.Read(c.read.version, c.read.value, now)
+					c.OnRead(c.read.version, c.read.value, now)
 					c.read = nil
 				}
 			},
@@ -120,7 +120,7 @@
 			},
 			"write arrives": func(t *rapid.T) {
 				if c := anyHost(t); c.wrote != nil {
-					c.Wrote(c.wrote.version, c.wrote.err, now)
+					c.OnWrite(c.wrote.version, c.wrote.err, now)
 					c.wrote = nil
 				}
 			},
