--- a/stand/cmd/fsstand/main.go
+++ b/stand/cmd/fsstand/main.go
@@ -1,4 +1,4 @@
-// Command fsstand is a stand-in for one neighbour of the system.
+// Command fsstand runs a stand-in for an external dependency of the system.
 package main
 
 import (
--- a/stand/fakes/order.go
+++ b/stand/fakes/order.go
@@ -9,32 +9,33 @@
 	"time"
 )
 
-type layersBody struct {
+// layerRange is a range of layers in the platform's wire format.
+type layerRange struct {
 	First   int `json:"from"`
 	End     int `json:"target"`
 	Version int `json:"version"`
 }
 
-func (r *Server) report(w http.ResponseWriter) {
-	r.mu.Lock()
-	defer r.mu.Unlock()
-	type stalled struct {
+func (s *Server) serveReport(w http.ResponseWriter) {
+	s.mu.Lock()
+	defer s.mu.Unlock()
+	type stalledRequest struct {
 		ID      string `json:"id"`
 		Address string `json:"address"`
 	}
-	list := []stalled{}
-	for id, address := range r.stalled {
-		list = append(list, stalled{id, address})
+	requests := []stalledRequest{}
+	for id, address := range s.stalled {
+		requests = append(requests, stalledRequest{id, address})
 	}
-	answer(w, map[string]any{
-		"stage": "both", "busy": r.busy, "sequence": r.orders, "born": 1_700_000_000_000,
-		"layers": layersBody{r.first, r.end, 1}, "stalled": list,
+	writeJSON(w, map[string]any{
+		"stage": "both", "busy": s.loading, "sequence": s.orderCount, "born": 1_700_000_000_000,
+		"layers": layerRange{s.first, s.end, 1}, "stalled": requests,
 	})
 }
 
-// order takes an order to hold layers or to change a chain.
-func (r *Server) order(w http.ResponseWriter, req *http.Request) {
-	var o struct {
+// serveOrder serves orders to hold a range of layers or to change a chain.
+func (s *Server) serveOrder(w http.ResponseWriter, req *http.Request) {
+	var order struct {
 		Operation string  `json:"operation"`
 		First     int     `json:"from"`
 		End       int     `json:"target"`
@@ -42,112 +43,117 @@
 		ID        string  `json:"id"`
 		Path      string  `json:"path"`
 	}
-	if err := json.NewDecoder(req.Body).Decode(&o); err != nil {
+	if err := json.NewDecoder(req.Body).Decode(&order); err != nil {
 		w.WriteHeader(http.StatusBadRequest)
 		return
 	}
-	if expect := req.Header.Get("X-Expect-Instance"); expect != "" && expect != r.ID {
+	if expect := req.Header.Get("X-Expect-Instance"); expect != "" && expect != s.ID {
 		w.WriteHeader(http.StatusMisdirectedRequest)
 		return
 	}
-	if o.Operation == "repath" {
-		w.WriteHeader(r.repath(o.ID, o.Path))
+	if order.Operation == "repath" {
+		w.WriteHeader(s.reroute(order.ID, order.Path))
 		return
 	}
-	w.WriteHeader(r.place(o.First, o.End, o.Expected))
+	w.WriteHeader(s.assign(order.First, order.End, order.Expected))
 }
 
-func (r *Server) place(first, end int, expected *uint64) int {
-	r.mu.Lock()
-	defer r.mu.Unlock()
-	if r.first == first && r.end == end {
+// assign begins to load a range of layers and returns the HTTP status.
+func (s *Server) assign(first, end int, expected *uint64) int {
+	s.mu.Lock()
+	defer s.mu.Unlock()
+	if s.first == first && s.end == end {
 		return http.StatusOK
 	}
-	if r.busy || expected != nil && *expected != r.orders {
+	if s.loading || expected != nil && *expected != s.orderCount {
 		return http.StatusConflict
 	}
-	if float64(end-first)*r.Model.LayerMB > r.MemoryMB {
-		r.world.fault("%s: ordered to hold %d layers", r.ID, end-first)
+	if float64(end-first)*s.Model.LayerMB > s.MemoryMB {
+		s.platform.recordViolation("%s: ordered to hold %d layers", s.ID, end-first)
 		return http.StatusBadRequest
 	}
-	r.orders++
-	r.busy = true
-	time.AfterFunc(r.LoadTime, func() {
-		r.mu.Lock()
-		r.first, r.end, r.busy = first, end, false
-		r.mu.Unlock()
-		if !r.dead() {
-			_ = r.beat()
+	s.orderCount++
+	s.loading = true
+	time.AfterFunc(s.LoadTime, func() {
+		s.mu.Lock()
+		s.first, s.end, s.loading = first, end, false
+		s.mu.Unlock()
+		if !s.hasCrashed() {
+			_ = s.register()
 		}
 	})
 	return http.StatusAccepted
 }
 
-func (r *Server) repath(id, path string) int {
-	parts, err := parse(path)
+// reroute changes the chain of a stream in progress and returns the HTTP status.
+func (s *Server) reroute(id, path string) int {
+	stages, err := parseChain(path)
 	if err != nil {
 		return http.StatusBadRequest
 	}
-	r.mu.Lock()
-	change := r.chains[id]
-	r.mu.Unlock()
-	if change == nil {
+	s.mu.Lock()
+	updates := s.chainUpdates[id]
+	s.mu.Unlock()
+	if updates == nil {
 		return http.StatusNotFound
 	}
-	r.check(id, path, parts)
-	if r.broken(parts) != "" {
+	s.checkChain(id, path, stages)
+	if s.unavailableStage(stages) != "" {
 		return http.StatusConflict
 	}
-	change <- parts
+	updates <- stages
 	return http.StatusAccepted
 }
 
-// part is one server's part of a chain.
-type part struct {
+// stage is the range of layers that one server runs in a chain.
+type stage struct {
 	address    string
 	first, end int
 }
 
-func parse(path string) ([]part, error) {
-	var list []part
-	for entry := range strings.SplitSeq(path, ",") {
-		address, layers, _ := strings.Cut(entry, "=")
+// parseChain parses "address=first-end,...".
+func parseChain(path string) ([]stage, error) {
+	var stages []stage
+	for item := range strings.SplitSeq(path, ",") {
+		address, layers, _ := strings.Cut(item, "=")
 		first, end, _ := strings.Cut(layers, "-")
-		f, err := strconv.Atoi(first)
-		e, endErr := strconv.Atoi(end)
+		firstLayer, err := strconv.Atoi(first)
+		endLayer, endErr := strconv.Atoi(end)
 		if err != nil || endErr != nil {
 			return nil, fmt.Errorf("chain %q", path)
 		}
-		list = append(list, part{address, f, e})
+		stages = append(stages, stage{address, firstLayer, endLayer})
 	}
-	return list, nil
+	return stages, nil
 }
 
-// check writes down a chain that does not run each layer once and in order.
-func (r *Server) check(id, path string, parts []part) {
-	at := 0
-	for _, p := range parts {
-		if p.first != at {
-			r.world.fault("%s: chain %s", id, path)
+// checkChain records a violation if a chain does not run each layer exactly once
+// and in order.
+func (s *Server) checkChain(id, path string, stages []stage) {
+	next := 0
+	for _, st := range stages {
+		if st.first != next {
+			s.platform.recordViolation("%s: chain %s", id, path)
 			return
 		}
-		at = p.end
+		next = st.end
 	}
-	if at != r.Model.Layers {
-		r.world.fault("%s: chain %s", id, path)
+	if next != s.Model.Layers {
+		s.platform.recordViolation("%s: chain %s", id, path)
 	}
 }
 
-// broken returns the address of a part that is not there.
-func (r *Server) broken(parts []part) string {
-	for _, p := range parts {
-		other := r.world.at(p.address)
+// unavailableStage returns the address of the first stage whose server is down or
+// does not hold the layers, or "".
+func (s *Server) unavailableStage(stages []stage) string {
+	for _, st := range stages {
+		other := s.platform.liveServer(st.address)
 		if other == nil {
-			return p.address
+			return st.address
 		}
 		first, end := other.Layers()
-		if first > p.first || end < p.end {
-			return p.address
+		if first > st.first || end < st.end {
+			return st.address
 		}
 	}
 	return ""
--- /dev/null
+++ b/stand/fakes/platform.go
@@ -0,0 +1,143 @@
+package fakes
+
+import (
+	"fmt"
+	"net"
+	"net/http"
+	"slices"
+	"sync"
+)
+
+// Execution is one run of a request on a backend server.
+type Execution struct {
+	// Request is the caller's attempt ID.
+	Request string
+	// Server is the ID of the chain's first server, or of the plain server.
+	Server string
+	// Service is the service of the server.
+	Service string
+	// Team is the caller's team as the entry host forwarded it.
+	Team string
+	// Resumed is the Last-Event-Id that a resumed stream continues after.
+	Resumed string
+	// Chain is the chain as received in X-Hop-Count.
+	Chain string
+}
+
+// Platform runs the object API and the backend servers.
+type Platform struct {
+	Store Store
+
+	mu         sync.Mutex
+	address    string
+	servers    map[string]*Server
+	executions []Execution
+	violations []string
+	stops      []func()
+}
+
+// Start serves the object API on a free port.
+func (p *Platform) Start() error {
+	address, stop, err := serve(&p.Store)
+	if err != nil {
+		return err
+	}
+	p.address = address
+	p.stops = append(p.stops, stop)
+	return nil
+}
+
+// Address returns the address of the object API.
+func (p *Platform) Address() string { return p.address }
+
+// Close crashes all servers and stops the object API.
+func (p *Platform) Close() {
+	p.mu.Lock()
+	servers := make([]*Server, 0, len(p.servers))
+	for _, s := range p.servers {
+		servers = append(servers, s)
+	}
+	p.mu.Unlock()
+	for _, s := range servers {
+		s.Crash()
+	}
+	for _, stop := range p.stops {
+		stop()
+	}
+}
+
+// AddServer starts a server and registers it in the store.
+func (p *Platform) AddServer(s *Server) error {
+	s.platform = p
+	address, stop, err := serve(s)
+	if err != nil {
+		return err
+	}
+	if s.Proxy != nil {
+		if address, err = s.Proxy(address); err != nil {
+			stop()
+			return err
+		}
+	}
+	s.address, s.stop = address, stop
+	p.mu.Lock()
+	if p.servers == nil {
+		p.servers = map[string]*Server{}
+	}
+	p.servers[address] = s
+	p.mu.Unlock()
+	return s.register()
+}
+
+// Executions returns the executions so far, in order.
+func (p *Platform) Executions() []Execution {
+	p.mu.Lock()
+	defer p.mu.Unlock()
+	return slices.Clone(p.executions)
+}
+
+// Violations returns what must never happen: chains that omit or repeat layers,
+// and assignments that exceed a server's memory.
+func (p *Platform) Violations() []string {
+	p.mu.Lock()
+	defer p.mu.Unlock()
+	return slices.Clone(p.violations)
+}
+
+func (p *Platform) recordExecution(e Execution) {
+	p.mu.Lock()
+	defer p.mu.Unlock()
+	p.executions = append(p.executions, e)
+}
+
+func (p *Platform) recordViolation(format string, args ...any) {
+	p.mu.Lock()
+	defer p.mu.Unlock()
+	p.violations = append(p.violations, fmt.Sprintf(format, args...))
+}
+
+// liveServer returns the server with an address, or nil if there is none or it
+// has crashed.
+func (p *Platform) liveServer(address string) *Server {
+	p.mu.Lock()
+	s := p.servers[address]
+	p.mu.Unlock()
+	if s == nil || s.hasCrashed() {
+		return nil
+	}
+	return s
+}
+
+// serve listens on a free port of loopback.
+func serve(h http.Handler) (address string, stop func(), err error) {
+	listener, err := net.Listen("tcp", "127.0.0.1:0")
+	if err != nil {
+		return "", nil, err
+	}
+	server := &http.Server{Handler: h, ReadHeaderTimeout: readHeaderTimeout}
+	go func() {
+		// Serve returns once the server is closed.
+		_ = server.Serve(listener)
+	}()
+	return listener.Addr().String(), func() { _ = server.Close() }, nil
+}
--- /dev/null
+++ b/stand/fakes/server.go
@@ -0,0 +1,206 @@
+package fakes
+
+import (
+	"fmt"
+	"io"
+	"net/http"
+	"strings"
+	"sync"
+	"time"
+)
+
+// readHeaderTimeout is the limit for reading a request's header.
+const readHeaderTimeout = 5 * time.Second
+
+// CrashBody crashes each server that runs a request whose body contains it.
+const CrashBody = "crash"
+
+// Model describes the model that an engine runs.
+type Model struct {
+	Layers  int
+	LayerMB float64
+}
+
+// Server is a backend server. Set the exported fields before
+// Platform.AddServer.
+type Server struct {
+	ID, Service, Zone string
+	Slots             int
+	// Model is nil for a plain service.
+	Model *Model
+	// Kind is the kind of accelerator, MemoryMB its memory.
+	Kind     string
+	MemoryMB float64
+	// StepTime is the time between two events.
+	StepTime time.Duration
+	// LoadTime is how long loading newly assigned layers takes.
+	LoadTime time.Duration
+	// Proxy starts a proxy in front of the server's address and returns the
+	// address to register; nil means no proxy.
+	Proxy func(address string) (string, error)
+
+	platform *Platform
+	address  string
+	stop     func()
+
+	mu            sync.Mutex
+	first, end    int
+	orderCount    uint64
+	loading       bool
+	draining      bool
+	crashed       bool
+	stalled       map[string]string
+	chainUpdates  map[string]chan []stage
+	dropNext      int
+	refuseNext    int
+	failNext      int
+	truncateAfter int
+}
+
+// Address returns the address that the server is registered under.
+func (s *Server) Address() string { return s.address }
+
+// Layers returns the layers that the server holds.
+func (s *Server) Layers() (first, end int) {
+	s.mu.Lock()
+	defer s.mu.Unlock()
+	return s.first, s.end
+}
+
+// Crash stops the server without notice; its registration stays.
+func (s *Server) Crash() {
+	s.mu.Lock()
+	alreadyCrashed := s.crashed
+	s.crashed = true
+	s.mu.Unlock()
+	if !alreadyCrashed {
+		s.stop()
+	}
+}
+
+func (s *Server) hasCrashed() bool {
+	s.mu.Lock()
+	defer s.mu.Unlock()
+	return s.crashed
+}
+
+// Drain registers the server as draining.
+func (s *Server) Drain() error {
+	s.mu.Lock()
+	s.draining = true
+	s.mu.Unlock()
+	return s.register()
+}
+
+// DropAnswers makes the server run the next n requests and close their
+// connections without an answer.
+func (s *Server) DropAnswers(n int) {
+	s.mu.Lock()
+	defer s.mu.Unlock()
+	s.dropNext = n
+}
+
+// RefuseNext makes the server refuse the next n requests without running them.
+func (s *Server) RefuseNext(n int) {
+	s.mu.Lock()
+	defer s.mu.Unlock()
+	s.refuseNext = n
+}
+
+// TruncateAfter makes the server close the connection of its next stream in the
+// middle of the event that follows the given number of events.
+func (s *Server) TruncateAfter(events int) {
+	s.mu.Lock()
+	defer s.mu.Unlock()
+	s.truncateAfter = events
+}
+
+// FailNext makes the server answer the next n requests with 500.
+func (s *Server) FailNext(n int) {
+	s.mu.Lock()
+	defer s.mu.Unlock()
+	s.failNext = n
+}
+
+// register writes the server's current state into the store.
+func (s *Server) register() error {
+	s.mu.Lock()
+	record := map[string]any{
+		"service": s.Service, "address": s.address, "zone": s.Zone, "version": "v1", "slots": s.Slots,
+		"state": "ready", "cold_remaining_ms": 0, "sequence": 1, "born": 1_700_000_000_000,
+	}
+	if s.draining {
+		record["state"] = "draining"
+	}
+	if s.Model != nil {
+		record["kind"] = s.Kind
+		record["layers"] = layerRange{s.first, s.end, 1}
+	}
+	s.mu.Unlock()
+	return s.platform.Store.Put("servers", s.ID, record)
+}
+
+// ServeHTTP implements http.Handler.
+func (s *Server) ServeHTTP(w http.ResponseWriter, req *http.Request) {
+	switch {
+	case req.URL.Path == "/report":
+		s.serveReport(w)
+	case req.URL.Path == "/order":
+		s.serveOrder(w, req)
+	case req.URL.Path == "/health":
+		w.Header().Set("X-Instance-Id", s.ID)
+	default:
+		s.serveRequest(w, req)
+	}
+}
+
+// serveRequest runs a request that an entry host forwards.
+func (s *Server) serveRequest(w http.ResponseWriter, req *http.Request) {
+	id := req.Header.Get("X-Attempt-Id")
+	w.Header().Set("X-Attempt-Id", id)
+	if expect := req.Header.Get("X-Expect-Instance"); expect != "" && expect != s.ID {
+		w.WriteHeader(http.StatusMisdirectedRequest)
+		return
+	}
+	if s.consume(&s.refuseNext) {
+		w.Header().Set("X-Not-Executed", "1")
+		w.WriteHeader(http.StatusServiceUnavailable)
+		return
+	}
+	body, err := io.ReadAll(req.Body)
+	if err != nil {
+		return
+	}
+	s.platform.recordExecution(Execution{
+		Request: id, Server: s.ID, Service: s.Service, Team: req.Header.Get("X-Tenant"),
+		Resumed: req.Header.Get("Last-Event-Id"), Chain: req.Header.Get("X-Hop-Count"),
+	})
+	if strings.Contains(string(body), CrashBody) {
+		s.Crash()
+		panic(http.ErrAbortHandler)
+	}
+	if s.consume(&s.dropNext) {
+		panic(http.ErrAbortHandler)
+	}
+	w.Header().Set("X-Server-Signature", "sig-"+id)
+	if s.consume(&s.failNext) {
+		w.WriteHeader(http.StatusInternalServerError)
+		return
+	}
+	if s.Model == nil {
+		fmt.Fprintf(w, "%s %s %d bytes for %s\n", req.Method, req.RequestURI, len(body), id)
+		return
+	}
+	s.serveStream(w, req, id)
+}
+
+// consume decrements *n and reports true, or reports false if it is zero.
+func (s *Server) consume(n *int) bool {
+	s.mu.Lock()
+	defer s.mu.Unlock()
+	if *n <= 0 {
+		return false
+	}
+	*n--
+	return true
+}
--- a/stand/fakes/store.go
+++ b/stand/fakes/store.go
@@ -1,10 +1,11 @@
-// Package plat is a stand-in for the users' platform: its object API with the
-// operator's configuration, engines that hold layers and pass chains on, and
-// plain services. It speaks their form over HTTP on loopback, and does what
-// their pages say goes wrong when a test asks for it.
+// Package fakes implements fakes of the users' platform for tests: the object
+// API with the operator's configuration, engines that hold a range of layers
+// and serve as a stage of a chain, and plain services. They speak the platform's
+// protocol over HTTP on loopback and reproduce the failures that the platform
+// documents when a test asks for them.
 //
-// A [Platform] holds all of them and writes down what ran where, which is what
-// tests look at.
+// A [Platform] runs the fakes and records which server ran which request, for
+// tests to check.
 package fakes
 
 import (
@@ -17,7 +18,7 @@
 	"time"
 )
 
-// object is what the object API holds.
+// object is an object of the object API in its wire format.
 type object struct {
 	Metadata metadata        `json:"metadata"`
 	Spec     json.RawMessage `json:"spec"`
@@ -32,6 +33,7 @@
 	Deleting   bool     `json:"deleting"`
 }
 
+// event is a change of an object; watches deliver it.
 type event struct {
 	kind     string
 	revision uint64
@@ -39,34 +41,34 @@
 	Deleted  bool   `json:"deleted"`
 }
 
-// FailureMode is how the object API fails.
+// FailureMode selects how the object API fails.
 type FailureMode uint8
 
-// The troubles.
+// The failure modes.
 const (
-	// Healthy: it answers.
+	// Healthy: every call is answered.
 	Healthy FailureMode = iota
-	// Unavailable: it answers 503.
+	// Unavailable: every call is answered with 503.
 	Unavailable
-	// Unresponsive: it takes calls and never answers.
+	// Unresponsive: calls are accepted and never answered.
 	Unresponsive
 )
 
-// Store is the object API. The zero value is empty and well.
+// Store is the object API. The zero value is empty and healthy.
 type Store struct {
 	mu       sync.Mutex
 	revision uint64
 	objects  map[string]map[string]object
 	events   []event
-	// forgotten is the revision up to which changes are no longer told.
-	forgotten uint64
-	changed   chan struct{}
-	trouble   FailureMode
-	calls     int
-	// deaf counts how often the watches of a kind that waited went deaf.
-	deaf map[string]int
-	// waits is the longest that a watch of a kind was to wait.
-	waits map[string]time.Duration
+	// compactedRevision is the revision up to which the history is dropped.
+	compactedRevision uint64
+	changed           chan struct{}
+	failureMode       FailureMode
+	calls             int
+	// muteCounts counts the MuteWatches calls by kind.
+	muteCounts map[string]int
+	// longestWaits holds the longest wait that a watch of each kind asked for.
+	longestWaits map[string]time.Duration
 }
 
 func (s *Store) init() {
@@ -74,32 +76,32 @@
 		s.objects = map[string]map[string]object{}
 		s.revision = 40
 		s.changed = make(chan struct{})
-		s.deaf = map[string]int{}
-		s.waits = map[string]time.Duration{}
+		s.muteCounts = map[string]int{}
+		s.longestWaits = map[string]time.Duration{}
 	}
 }
 
-// MuteWatches makes the watches of a kind that wait now hear of no change to it
-// until their wait is over, without ending them.
+// MuteWatches makes the pending watches of a kind report no change until their
+// wait is over. The watches stay open.
 func (s *Store) MuteWatches(kind string) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	s.init()
-	s.deaf[kind]++
+	s.muteCounts[kind]++
 	close(s.changed)
 	s.changed = make(chan struct{})
 }
 
-// LongestWait returns the longest that a watch of a kind was to wait.
+// LongestWait returns the longest wait that a watch of a kind asked for.
 func (s *Store) LongestWait(kind string) time.Duration {
 	s.mu.Lock()
 	defer s.mu.Unlock()
-	return s.waits[kind]
+	return s.longestWaits[kind]
 }
 
-// Put writes an object as its owner would.
+// Put writes an object. A spec equal to the stored one changes nothing.
 func (s *Store) Put(kind, name string, spec any) error {
-	text, err := json.Marshal(spec)
+	encoded, err := json.Marshal(spec)
 	if err != nil {
 		return err
 	}
@@ -110,16 +112,16 @@
 		s.objects[kind] = map[string]object{}
 	}
 	old, exists := s.objects[kind][name]
-	if exists && string(old.Spec) == string(text) {
+	if exists && string(old.Spec) == string(encoded) {
 		return nil
 	}
 	s.revision++
-	o := object{Metadata: metadata{Name: name, Revision: s.revision, Created: old.Metadata.Created}, Spec: text}
+	o := object{Metadata: metadata{Name: name, Revision: s.revision, Created: old.Metadata.Created}, Spec: encoded}
 	if !exists {
 		o.Metadata.Created = s.revision
 	}
 	s.objects[kind][name] = o
-	s.tell(event{kind: kind, revision: s.revision, Object: o})
+	s.appendEvent(event{kind: kind, revision: s.revision, Object: o})
 	return nil
 }
 
@@ -134,38 +136,40 @@
 	}
 	s.revision++
 	delete(s.objects[kind], name)
-	s.tell(event{kind: kind, revision: s.revision, Object: o, Deleted: true})
+	s.appendEvent(event{kind: kind, revision: s.revision, Object: o, Deleted: true})
 }
 
-// tell wakes those that watch. The mutex is held.
-func (s *Store) tell(e event) {
+// appendEvent appends a change to the history and wakes all watches. The caller
+// holds the mutex.
+func (s *Store) appendEvent(e event) {
 	s.events = append(s.events, e)
 	close(s.changed)
 	s.changed = make(chan struct{})
 }
 
-// DropHistory drops the history of changes.
+// DropHistory drops the history of changes, so that watches from an older
+// revision get 410.
 func (s *Store) DropHistory() {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	s.init()
 	s.events = nil
-	s.forgotten = s.revision
+	s.compactedRevision = s.revision
 	close(s.changed)
 	s.changed = make(chan struct{})
 }
 
-// SetFailureMode puts the object API into trouble, or ends it.
-func (s *Store) SetFailureMode(t FailureMode) {
+// SetFailureMode sets how the object API fails; Healthy ends a failure.
+func (s *Store) SetFailureMode(mode FailureMode) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	s.init()
-	s.trouble = t
+	s.failureMode = mode
 	close(s.changed)
 	s.changed = make(chan struct{})
 }
 
-// Calls returns how many calls were made.
+// Calls returns how many calls the object API received.
 func (s *Store) Calls() int {
 	s.mu.Lock()
 	defer s.mu.Unlock()
@@ -177,9 +181,9 @@
 	s.mu.Lock()
 	s.init()
 	s.calls++
-	trouble := s.trouble
+	mode := s.failureMode
 	s.mu.Unlock()
-	switch trouble {
+	switch mode {
 	case Unavailable:
 		w.WriteHeader(http.StatusServiceUnavailable)
 		return
@@ -208,10 +212,10 @@
 		w.WriteHeader(http.StatusNotFound)
 		return
 	}
-	answer(w, o)
+	writeJSON(w, o)
 }
 
-// pageSize is small, so that lists have pages.
+// pageSize is small, so that lists take several pages.
 const pageSize = 5
 
 func (s *Store) list(w http.ResponseWriter, kind, after string) {
@@ -233,7 +237,7 @@
 	for _, name := range names[:min(pageSize, len(names))] {
 		page.Items = append(page.Items, s.objects[kind][name])
 	}
-	answer(w, page)
+	writeJSON(w, page)
 }
 
 func (s *Store) watch(w http.ResponseWriter, r *http.Request, kind, from string) {
@@ -243,37 +247,37 @@
 		w.WriteHeader(http.StatusBadRequest)
 		return
 	}
-	longest := time.Duration(wait) * time.Millisecond
-	end := time.After(longest)
+	limit := time.Duration(wait) * time.Millisecond
+	timeout := time.After(limit)
 	s.mu.Lock()
-	s.waits[kind] = max(s.waits[kind], longest)
-	hearing := s.deaf[kind]
+	s.longestWaits[kind] = max(s.longestWaits[kind], limit)
+	muteCount := s.muteCounts[kind]
 	s.mu.Unlock()
 	for {
 		s.mu.Lock()
-		deaf := s.deaf[kind] != hearing
-		forgotten, changed, revision, trouble := after < s.forgotten, s.changed, s.revision, s.trouble
-		events := s.since(kind, after)
+		muted := s.muteCounts[kind] != muteCount
+		compacted, changed, revision, mode := after < s.compactedRevision, s.changed, s.revision, s.failureMode
+		events := s.eventsSince(kind, after)
 		s.mu.Unlock()
-		if trouble != Healthy {
+		if mode != Healthy {
 			<-r.Context().Done()
 			return
 		}
-		if forgotten {
+		if compacted {
 			w.WriteHeader(http.StatusGone)
 			return
 		}
-		if len(events) > 0 && !deaf {
-			tellEvents(w, events, revision)
+		if len(events) > 0 && !muted {
+			writeEvents(w, events, revision)
 			return
 		}
 		select {
 		case <-changed:
-		case <-end:
-			if deaf {
+		case <-timeout:
+			if muted {
 				revision = after
 			}
-			tellEvents(w, nil, revision)
+			writeEvents(w, nil, revision)
 			return
 		case <-r.Context().Done():
 			return
@@ -281,31 +285,32 @@
 	}
 }
 
-// since returns the changes of a kind after a revision. The mutex is held.
-func (s *Store) since(kind string, after uint64) []event {
-	var list []event
+// eventsSince returns the changes of a kind after a revision. The caller holds
+// the mutex.
+func (s *Store) eventsSince(kind string, after uint64) []event {
+	var events []event
 	for _, e := range s.events {
 		if e.kind == kind && e.revision > after {
-			list = append(list, e)
+			events = append(events, e)
 		}
 	}
-	return list
+	return events
 }
 
-func tellEvents(w http.ResponseWriter, events []event, revision uint64) {
+func writeEvents(w http.ResponseWriter, events []event, revision uint64) {
 	if events == nil {
 		events = []event{}
 	}
-	answer(w, struct {
+	writeJSON(w, struct {
 		Events   []event `json:"events"`
 		Revision uint64  `json:"store_revision"`
 	}{events, revision})
 }
 
-func answer(w http.ResponseWriter, body any) {
+func writeJSON(w http.ResponseWriter, body any) {
 	w.Header().Set("Content-Type", "application/json")
 	if err := json.NewEncoder(w).Encode(body); err != nil {
-		// The caller has left.
+		// The client closed the connection.
 		return
 	}
 }
--- a/stand/fakes/stream.go
+++ b/stand/fakes/stream.go
@@ -7,25 +7,26 @@
 	"time"
 )
 
-// stream answers with as many events as the request asks for.
-func (r *Server) stream(w http.ResponseWriter, req *http.Request, id string) {
+// serveStream answers with the number of events that the request asks for. After
+// Last-Event-Id it continues with the next event.
+func (s *Server) serveStream(w http.ResponseWriter, req *http.Request, id string) {
 	path := req.Header.Get("X-Hop-Count")
-	parts, err := parse(path)
+	stages, err := parseChain(path)
 	if err != nil {
 		w.WriteHeader(http.StatusBadRequest)
 		return
 	}
-	r.check(id, path, parts)
-	if at := r.broken(parts); at != "" {
+	s.checkChain(id, path, stages)
+	if unavailable := s.unavailableStage(stages); unavailable != "" {
 		w.Header().Del("X-Server-Signature")
 		w.Header().Set("X-Not-Executed", "1")
-		w.Header().Set("At-Server", at)
+		w.Header().Set("At-Server", unavailable)
 		w.WriteHeader(http.StatusServiceUnavailable)
 		return
 	}
-	change := make(chan []part, 1)
-	r.join(id, change)
-	defer r.leave(id)
+	updates := make(chan []stage, 1)
+	s.addChain(id, updates)
+	defer s.removeChain(id)
 	var prompt, events int
 	if _, err := fmt.Sscanf(req.Header.Get("X-Token-Counts"), "%d,%d", &prompt, &events); err != nil {
 		w.WriteHeader(http.StatusBadRequest)
@@ -39,82 +40,87 @@
 		}
 	}
 	w.Header().Set("Content-Type", "text/event-stream")
-	flush := http.NewResponseController(w)
+	controller := http.NewResponseController(w)
 	for n := from + 1; n <= events; n++ {
-		if parts = r.wait(req, id, parts, change); parts == nil {
+		if stages = s.waitStep(req, id, stages, updates); stages == nil {
 			return
 		}
-		if r.cut(n) {
+		if s.truncates(n) {
 			fmt.Fprintf(w, "id: %d\nda", n)
-			_ = flush.Flush()
+			_ = controller.Flush()
 			panic(http.ErrAbortHandler)
 		}
 		fmt.Fprintf(w, "id: %d\ndata: %s/%d\n\n", n, id, n)
-		if flush.Flush() != nil {
+		if controller.Flush() != nil {
 			return
 		}
 	}
 }
 
-func (r *Server) cut(n int) bool {
-	r.mu.Lock()
-	defer r.mu.Unlock()
-	if r.cutAfter == 0 || n <= r.cutAfter {
+// truncates reports whether the stream breaks off at event n, once for each
+// TruncateAfter.
+func (s *Server) truncates(n int) bool {
+	s.mu.Lock()
+	defer s.mu.Unlock()
+	if s.truncateAfter == 0 || n <= s.truncateAfter {
 		return false
 	}
-	r.cutAfter = 0
+	s.truncateAfter = 0
 	return true
 }
 
-// wait waits for the next event. While a server of the chain is dead, the
-// request stalls until its chain is changed.
-func (r *Server) wait(req *http.Request, id string, parts []part, change chan []part) []part {
+// waitStep waits until the next event is due and returns the stages of the
+// chain, or nil if the client closed the connection. While a stage is unavailable,
+// the request stalls until its chain is changed.
+func (s *Server) waitStep(req *http.Request, id string, stages []stage, updates chan []stage) []stage {
 	for {
-		at := r.broken(parts)
-		r.stall(id, at)
-		step := time.After(r.StepTime)
-		if at != "" {
-			step = nil
+		unavailable := s.unavailableStage(stages)
+		s.setStalled(id, unavailable)
+		due := time.After(s.StepTime)
+		if unavailable != "" {
+			due = nil
 		}
 		select {
 		case <-req.Context().Done():
 			return nil
-		case parts = <-change:
-		case <-step:
-			return parts
+		case stages = <-updates:
+		case <-due:
+			return stages
 		case <-time.After(100 * time.Millisecond):
-			if at == "" {
-				return parts
+			if unavailable == "" {
+				return stages
 			}
 		}
 	}
 }
 
-func (r *Server) stall(id, at string) {
-	r.mu.Lock()
-	defer r.mu.Unlock()
-	if r.stalled == nil {
-		r.stalled = map[string]string{}
+// setStalled records which unavailable stage a request waits for; an empty address
+// clears it.
+func (s *Server) setStalled(id, address string) {
+	s.mu.Lock()
+	defer s.mu.Unlock()
+	if s.stalled == nil {
+		s.stalled = map[string]string{}
 	}
-	if at == "" {
-		delete(r.stalled, id)
+	if address == "" {
+		delete(s.stalled, id)
 		return
 	}
-	r.stalled[id] = at
+	s.stalled[id] = address
 }
 
-func (r *Server) join(id string, change chan []part) {
-	r.mu.Lock()
-	defer r.mu.Unlock()
-	if r.chains == nil {
-		r.chains = map[string]chan []part{}
+func (s *Server) addChain(id string, updates chan []stage) {
+	s.mu.Lock()
+	defer s.mu.Unlock()
+	if s.chainUpdates == nil {
+		s.chainUpdates = map[string]chan []stage{}
 	}
-	r.chains[id] = change
+	s.chainUpdates[id] = updates
 }
 
-func (r *Server) leave(id string) {
-	r.mu.Lock()
-	defer r.mu.Unlock()
-	delete(r.chains, id)
-	delete(r.stalled, id)
+func (s *Server) removeChain(id string) {
+	s.mu.Lock()
+	defer s.mu.Unlock()
+	delete(s.chainUpdates, id)
+	delete(s.stalled, id)
 }
--- a/stand/inject/inject.go
+++ b/stand/inject/inject.go
@@ -1,5 +1,4 @@
-// Package inject holds the faults that a test switches on in a stand-in while
-// it runs.
+// Package inject keeps the faults that a test injects into a running stand-in.
 package inject
 
 import (
@@ -11,26 +10,26 @@
 	"github.com/cloudwego/hertz/pkg/app/server"
 )
 
-// Kind names a fault.
+// Kind identifies a kind of fault.
 type Kind string
 
-// Fault is a fault that is switched on.
+// Fault is one injected fault.
 type Fault struct {
-	// Kind names the fault.
+	// Kind is the kind of fault.
 	Kind Kind `json:"kind"`
 	// Value is the fault's parameter, for example a prompt or a duration.
 	Value string `json:"value"`
-	// Count is how often the fault strikes; zero means always.
+	// Count is how often the fault triggers; zero means always.
 	Count int `json:"count"`
 }
 
-// Set holds the faults of one stand-in. The zero value has none. Set the
-// exported fields before Routes.
+// Set holds the active faults of one stand-in, one of each kind. The zero value
+// has none. Set the exported fields before Routes.
 type Set struct {
-	// OnAdd, if set, is called as a fault is switched on; its error tells
-	// what is wrong with the fault's value.
+	// OnAdd, if set, is called before a fault is added; an error rejects the
+	// fault's value.
 	OnAdd func(f Fault) error
-	// OnClear, if set, is called as all faults are switched off.
+	// OnClear, if set, is called after faults are cleared over HTTP.
 	OnClear func()
 
 	mu      sync.Mutex
@@ -39,7 +38,7 @@
 	cleared chan struct{}
 }
 
-// Add switches a fault on.
+// Add activates a fault and replaces an active one of the same kind.
 func (s *Set) Add(f Fault) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
@@ -47,11 +46,11 @@
 		s.faults = map[Kind]*Fault{}
 	}
 	s.faults[f.Kind] = &f
-	signal(&s.changed)
+	broadcast(&s.changed)
 }
 
-// Clear switches faults off, all if none is named, and releases whatever
-// waits for Cleared.
+// Clear removes the faults of the given kinds, or all if none is given, and closes
+// the channels of Cleared.
 func (s *Set) Clear(kinds ...Kind) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
@@ -61,30 +60,30 @@
 	for _, kind := range kinds {
 		delete(s.faults, kind)
 	}
-	signal(&s.changed)
-	signal(&s.cleared)
+	broadcast(&s.changed)
+	broadcast(&s.cleared)
 }
 
-// Changed returns a channel that is closed when a fault is switched on or
-// the faults are cleared. Take it before a look at the faults to miss nothing.
+// Changed returns a channel that is closed when a fault is added or faults are
+// cleared. Call it before reading the faults, so that no change is missed.
 func (s *Set) Changed() <-chan struct{} {
 	s.mu.Lock()
 	defer s.mu.Unlock()
-	return wake(&s.changed)
+	return channel(&s.changed)
 }
 
-// Cleared returns a channel that is closed when the faults are cleared.
+// Cleared returns a channel that is closed by the next Clear.
 func (s *Set) Cleared() <-chan struct{} {
 	s.mu.Lock()
 	defer s.mu.Unlock()
-	return wake(&s.cleared)
+	return channel(&s.cleared)
 }
 
-// WaitInactive waits while a fault is on.
+// WaitInactive waits until a fault is not active or the context ends.
 func (s *Set) WaitInactive(ctx context.Context, kind Kind) {
 	for ctx.Err() == nil {
 		changed := s.Changed()
-		if _, on := s.Active(kind); !on {
+		if _, active := s.Active(kind); !active {
 			return
 		}
 		select {
@@ -94,21 +93,23 @@
 	}
 }
 
-func wake(c *chan struct{}) <-chan struct{} {
+// channel returns the channel that the next broadcast closes.
+func channel(c *chan struct{}) <-chan struct{} {
 	if *c == nil {
 		*c = make(chan struct{})
 	}
 	return *c
 }
 
-func signal(c *chan struct{}) {
+// broadcast wakes the receivers of a channel.
+func broadcast(c *chan struct{}) {
 	if *c != nil {
 		close(*c)
 		*c = nil
 	}
 }
 
-// Active reports whether a fault is on, without using it up.
+// Active returns the active fault of a kind without decrementing its count.
 func (s *Set) Active(kind Kind) (Fault, bool) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
@@ -119,13 +120,14 @@
 	return *f, true
 }
 
-// Trigger reports whether a fault strikes now, and uses it up by one.
+// Trigger returns the active fault of a kind and decrements its count; a fault
+// whose count reaches zero is removed.
 func (s *Set) Trigger(kind Kind) (Fault, bool) {
 	return s.TriggerIf(kind, func(string) bool { return true })
 }
 
-// TriggerIf is Strike for a fault whose value meets a condition; it leaves
-// any other alone.
+// TriggerIf is Trigger for a fault whose value meets a condition; any other stays
+// unchanged.
 func (s *Set) TriggerIf(kind Kind, meets func(value string) bool) (Fault, bool) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
@@ -133,18 +135,18 @@
 	if f == nil || !meets(f.Value) {
 		return Fault{}, false
 	}
-	hit := *f
+	triggered := *f
 	if f.Count > 0 {
 		f.Count--
 		if f.Count == 0 {
 			delete(s.faults, kind)
 		}
 	}
-	return hit, true
+	return triggered, true
 }
 
-// Routes adds the control calls to a server: POST /fault, and DELETE /fault
-// for all faults or DELETE /fault?kind=KIND for one.
+// Routes adds the control routes to a server: POST /fault adds a fault, DELETE
+// /fault clears all faults and DELETE /fault?kind=KIND clears one kind.
 func (s *Set) Routes(h *server.Hertz) {
 	h.POST("/fault", func(_ context.Context, c *app.RequestContext) {
 		var f Fault
--- a/stand/internal/engine/batch.go
+++ b/stand/internal/engine/batch.go
@@ -9,107 +9,109 @@
 	"fuchsiashelf.dev/parts/wait"
 )
 
-// batch runs tokens in steps. The zero value works.
+// batch runs tokens in steps. The zero value is ready to use.
 type batch struct {
 	mu      sync.Mutex
-	queue   []*turn
+	queue   []*batchItem
 	running bool
 }
 
-// turn is one token's place in a step.
-type turn struct {
-	// extra is time that the token adds to its step, for reading a prompt.
-	extra time.Duration
-	// priority is that of the request; a step takes the highest first.
+// batchItem is one token that waits for a step.
+type batchItem struct {
+	// prefillTime is the time that the token adds to its step for reading a prompt.
+	prefillTime time.Duration
+	// priority is the priority of the request; a step takes the highest first.
 	priority int
-	// began is when the step began, set before done is closed.
-	began time.Time
-	done  chan struct{}
-	gone  bool
+	// startedAt is the start of the step, set before done is closed.
+	startedAt time.Time
+	done      chan struct{}
+	canceled  bool
 }
 
-// run waits for a step, spends it, and returns when it began.
-func (b *batch) run(ctx context.Context, capacity int, t *turn, step func() time.Duration) (time.Time, error) {
-	t.done = make(chan struct{})
+// run waits until a step with the item has run and returns when the step started.
+// step returns the length of a step without prefill.
+func (b *batch) run(ctx context.Context, capacity int, item *batchItem, step func() time.Duration) (time.Time, error) {
+	item.done = make(chan struct{})
 	b.mu.Lock()
-	b.join(t)
+	b.enqueue(item)
 	if !b.running {
 		b.running = true
-		go b.steps(max(capacity, 1), step)
+		go b.runSteps(max(capacity, 1), step)
 	}
 	b.mu.Unlock()
 	select {
-	case <-t.done:
-		return t.began, nil
+	case <-item.done:
+		return item.startedAt, nil
 	case <-ctx.Done():
 		b.mu.Lock()
-		t.gone = true
+		item.canceled = true
 		b.mu.Unlock()
 		return time.Time{}, ctx.Err()
 	}
 }
 
-// join puts a turn behind all of its priority.
-func (b *batch) join(t *turn) {
-	at := len(b.queue)
-	for at > 0 && b.queue[at-1].priority < t.priority {
-		at--
+// enqueue inserts an item behind all items of its priority or a higher one. The
+// caller holds the mutex.
+func (b *batch) enqueue(item *batchItem) {
+	i := len(b.queue)
+	for i > 0 && b.queue[i-1].priority < item.priority {
+		i--
 	}
-	b.queue = slices.Insert(b.queue, at, t)
+	b.queue = slices.Insert(b.queue, i, item)
 }
 
-// steps runs steps until nothing waits. A step begins when the one before it
-// was due to end, not when its timer woke up: timers wake late, by up to a
-// millisecond, and the sum would take a fifth off the rate of a fast engine.
-func (b *batch) steps(capacity int, step func() time.Duration) {
-	began := time.Now()
+// runSteps runs steps until the queue is empty. A step starts when the previous
+// one was due to end, not when its timer fired: timers fire up to a millisecond
+// late, which would cost a fast engine up to a fifth of its rate.
+func (b *batch) runSteps(capacity int, step func() time.Duration) {
+	startedAt := time.Now()
 	for {
-		turns := b.next(capacity)
-		if len(turns) == 0 {
+		items := b.dequeue(capacity)
+		if len(items) == 0 {
 			return
 		}
 		length := step()
-		for _, t := range turns {
-			length += t.extra
+		for _, item := range items {
+			length += item.prefillTime
 		}
-		wait.For(context.Background(), time.Until(began.Add(length)))
-		for _, t := range turns {
-			t.began = began
-			close(t.done)
+		wait.For(context.Background(), time.Until(startedAt.Add(length)))
+		for _, item := range items {
+			item.startedAt = startedAt
+			close(item.done)
 		}
-		began = began.Add(length)
-		if now := time.Now(); now.Sub(began) > length {
-			// The process stood still; what was missed is not caught up on.
-			began = now
+		startedAt = startedAt.Add(length)
+		if now := time.Now(); now.Sub(startedAt) > length {
+			// The process was paused; missed steps are not made up for.
+			startedAt = now
 		}
 	}
 }
 
-// next takes the tokens of the next step out of the queue, leaving out those
-// whose reader left. With none it marks the batch as idle.
-func (b *batch) next(capacity int) []*turn {
+// dequeue removes up to capacity items from the queue and returns them without the
+// canceled ones. If it returns none, the batch is idle.
+func (b *batch) dequeue(capacity int) []*batchItem {
 	b.mu.Lock()
 	defer b.mu.Unlock()
-	var turns []*turn
-	taken := 0
-	for _, t := range b.queue {
-		if len(turns) == capacity {
+	var items []*batchItem
+	removed := 0
+	for _, item := range b.queue {
+		if len(items) == capacity {
 			break
 		}
-		taken++
-		if !t.gone {
-			turns = append(turns, t)
+		removed++
+		if !item.canceled {
+			items = append(items, item)
 		}
 	}
-	b.queue = b.queue[taken:]
-	if len(turns) == 0 {
+	b.queue = b.queue[removed:]
+	if len(items) == 0 {
 		b.running = false
 	}
-	return turns
+	return items
 }
 
-// waiting returns how many tokens wait for a step.
-func (b *batch) waiting() int {
+// queued returns the number of tokens that wait for a step.
+func (b *batch) queued() int {
 	b.mu.Lock()
 	defer b.mu.Unlock()
 	return len(b.queue)
--- a/stand/internal/engine/batch_test.go
+++ b/stand/internal/engine/batch_test.go
@@ -10,8 +10,8 @@
 	"github.com/frankban/quicktest"
 )
 
-// Tokens that come while a step runs share the next one; more than the
-// capacity wait for another.
+// Tokens that arrive during a step share the next one, up to the capacity; the rest
+// wait for another step.
 func TestBatchSharesSteps(t *testing.T) {
 	c := quicktest.New(t)
 	b := &batch{}
@@ -25,59 +25,58 @@
 		}
 		return 0
 	}
-	var all sync.WaitGroup
-	run := func() { _, _ = b.run(context.Background(), 2, &turn{}, step) }
-	all.Go(run)
+	var wg sync.WaitGroup
+	run := func() { _, _ = b.run(context.Background(), 2, &batchItem{}, step) }
+	wg.Go(run)
 	<-started
 	for range 3 {
-		all.Go(run)
+		wg.Go(run)
 	}
-	for b.waiting() < 3 {
+	for b.queued() < 3 {
 		runtime.Gosched()
 	}
 	close(release)
-	all.Wait()
+	wg.Wait()
 	c.Assert(steps, quicktest.Equals, 3)
-	c.Assert(b.waiting(), quicktest.Equals, 0)
+	c.Assert(b.queued(), quicktest.Equals, 0)
 }
 
-// A reader leaves while its token waits for a step. The step must not be
-// spent on it, or callers who give up would slow those who stay.
-func TestBatchLeavesOutTheGone(t *testing.T) {
+// A client disconnects while its token waits for a step. The token must not take
+// up capacity, or abandoned requests would slow down the others.
+func TestBatchOmitsCanceledItems(t *testing.T) {
 	c := quicktest.New(t)
 	b := &batch{running: true}
 	ctx, cancel := context.WithCancel(context.Background())
 	cancel()
-	_, err := b.run(ctx, 2, &turn{}, nil)
+	_, err := b.run(ctx, 2, &batchItem{}, nil)
 	c.Assert(err, quicktest.ErrorIs, context.Canceled)
-	c.Assert(b.next(2), quicktest.HasLen, 0)
+	c.Assert(b.dequeue(2), quicktest.HasLen, 0)
 }
 
 func TestParseLinks(t *testing.T) {
 	c := quicktest.New(t)
 	got, err := ParseLinks("b1=20ms,b2=cut")
 	c.Assert(err, quicktest.IsNil)
-	c.Assert(got, quicktest.DeepEquals, map[string]time.Duration{"b1": 20 * time.Millisecond, "b2": cut})
-	for _, bad := range []string{"b1", "b1=soon", "b1=-1s"} {
-		_, err := ParseLinks(bad)
-		c.Check(err, quicktest.IsNotNil, quicktest.Commentf(bad))
+	c.Assert(got, quicktest.DeepEquals, map[string]time.Duration{"b1": 20 * time.Millisecond, "b2": linkDownDelay})
+	for _, text := range []string{"b1", "b1=soon", "b1=-1s"} {
+		_, err := ParseLinks(text)
+		c.Check(err, quicktest.IsNotNil, quicktest.Commentf(text))
 	}
 }
 
-// Load reports lag: a caller gets what was true a while ago, and how old it
-// is. A router that took it for the present would send all its work to the
-// server that was idle then.
-func TestReportLags(t *testing.T) {
+// A load report states its age. A router that took an old report for a current one
+// would send all requests to the server that was idle at the time of the report.
+func TestReportStatesItsAge(t *testing.T) {
 	c := quicktest.New(t)
-	r := &report{}
+	history := &reportHistory{}
 	start := time.Unix(100, 0)
 	for i := range 5 {
 		at := start.Add(time.Duration(i) * time.Second)
-		d := dated{at: at}
-		d.status.Waiting = i
-		r.add(d, 2*time.Second)
+		report := timedStatus{at: at}
+		report.status.Waiting = i
+		history.add(report, 2*time.Second)
 	}
-	got, ok := r.oldest(start.Add(4 * time.Second))
+	got, ok := history.oldest(start.Add(4 * time.Second))
 	c.Assert(ok, quicktest.IsTrue)
 	c.Assert(got.Waiting, quicktest.Equals, 2)
 	c.Assert(got.AgeMs, quicktest.Equals, int64(2000))
@@ -86,13 +85,13 @@
 func TestHigherPriorityGoesFirst(t *testing.T) {
 	c := quicktest.New(t)
 	b := &batch{}
-	var turns []*turn
+	var items []*batchItem
 	for _, p := range []int{0, 0, 1, 0, 1} {
-		turns = append(turns, &turn{priority: p})
-		b.join(turns[len(turns)-1])
+		items = append(items, &batchItem{priority: p})
+		b.enqueue(items[len(items)-1])
 	}
 	c.Assert(b.queue, quicktest.HasLen, 5)
 	for i, want := range []int{2, 4, 0, 1, 3} {
-		c.Assert(b.queue[i] == turns[want], quicktest.IsTrue)
+		c.Assert(b.queue[i] == items[want], quicktest.IsTrue)
 	}
 }
--- a/stand/internal/engine/engine.go
+++ b/stand/internal/engine/engine.go
@@ -1,10 +1,10 @@
-// Package engine is a stand-in for a model engine that holds a range of
-// layers. It runs no model: it spends the time that a model would take and
-// derives its tokens with package token.
+// Package engine implements a stand-in for a model engine that holds a range of
+// layers. It runs no model: it waits as long as a model would take and computes
+// its tokens with package token.
 //
-// An engine batches continuously: it works in steps, and a step runs up to
+// An engine uses continuous batching: it works in steps, and a step runs up to
 // Capacity tokens of different requests together in TokenTime. So it runs at
-// most Capacity/TokenTime tokens a second, however they arrive.
+// most Capacity/TokenTime tokens per second, however they arrive.
 package engine
 
 import (
@@ -18,65 +18,64 @@
 	"fuchsiashelf.dev/stand/inject"
 )
 
-// Engine is one stand-in engine. Set the exported fields before its first
-// request.
+// Engine is one engine. Set the exported fields before its first request.
 type Engine struct {
 	Name  string
 	Model string
-	// First and End bound the layers that the engine holds.
+	// First and End are the range [First, End) of layers that the engine holds.
 	First, End int
-	// Kind names the kind of accelerator.
+	// Kind is the kind of accelerator.
 	Kind string
-	// TokenTime is the time of one step.
+	// TokenTime is the duration of one step.
 	TokenTime time.Duration
 	// PrefillTime is the time to read one word of a prompt, or one token that
-	// the caller already has, before the first token.
+	// the client already has, before the first new token.
 	PrefillTime time.Duration
-	// Capacity is how many tokens one step runs; others wait.
+	// Capacity is the most tokens that one step runs; the rest wait.
 	Capacity int
-	// LinkDelay is the one-way delay of links that Links does not name.
+	// LinkDelay is the one-way delay of links that are not in Links.
 	LinkDelay time.Duration
-	// Links holds the one-way delays of links to other servers.
+	// Links holds one-way delays of links by the name of the other server.
 	Links map[string]time.Duration
 	// ReportLag is how old the reports are.
 	ReportLag time.Duration
-	// Fencing says that the engine refuses an order whose number is older
-	// than one it has seen.
+	// Fencing makes the engine refuse an order whose fencing number is lower than
+	// one it has accepted.
 	Fencing bool
 	Faults  *inject.Set
 	// Exit ends the process; nil means os.Exit.
 	Exit func(status int)
 
-	orders orders
-	batch  batch
-	links  links
-	report report
-	known  known
-	swap   swap
-	count  counts
+	orders   orderLog
+	batch    batch
+	links    links
+	reports  reportHistory
+	accepted acceptedChains
+	swap     streamSwap
+	counts   counts
 }
 
-// counts tell what an engine did.
+// counts holds the counters of an engine.
 type counts struct {
-	// runs counts tokens that the engine ran its layers for.
+	// runs counts the tokens that the engine ran its layers for.
 	runs atomic.Int64
-	// taken counts chains that the engine took, as any stage of them.
-	taken atomic.Int64
-	// refused counts requests that it did not take.
+	// accepted counts the chains that the engine accepted as any stage of them.
+	accepted atomic.Int64
+	// refused counts the requests that the engine refused.
 	refused atomic.Int64
-	// cancelled counts answers whose reader left before their end.
+	// cancelled counts the answers whose client disconnected before the end.
 	cancelled atomic.Int64
 	// inFlight counts the calls in progress.
 	inFlight atomic.Int64
 
 	mu sync.Mutex
-	// prompts counts the chains taken by prompt.
+	// prompts counts the accepted chains by prompt.
 	prompts map[string]int
 }
 
-// took counts a chain that the engine took.
-func (c *counts) took(prompt string) {
-	c.taken.Add(1)
+// countChain counts an accepted chain.
+func (c *counts) countChain(prompt string) {
+	c.accepted.Add(1)
 	c.mu.Lock()
 	defer c.mu.Unlock()
 	if c.prompts == nil {
@@ -85,19 +84,19 @@
 	c.prompts[prompt]++
 }
 
-// Counts is what the control listener tells.
+// Counts is the response of GET /counts on the control listener.
 type Counts struct {
 	Runs      int64          `json:"runs"`
-	Taken     int64          `json:"taken"`
+	Accepted  int64          `json:"taken"`
 	Refused   int64          `json:"refused"`
 	Cancelled int64          `json:"cancelled"`
 	InFlight  int64          `json:"inFlight"`
 	Prompts   map[string]int `json:"prompts"`
 }
 
-// Counts tells what the engine did.
+// Counts returns the current counters.
 func (e *Engine) Counts() Counts {
-	c := &e.count
+	c := &e.counts
 	c.mu.Lock()
 	defer c.mu.Unlock()
 	prompts := map[string]int{}
@@ -105,24 +104,24 @@
 		prompts[prompt] = n
 	}
 	return Counts{
-		Runs: c.runs.Load(), Taken: c.taken.Load(), Refused: c.refused.Load(),
+		Runs: c.runs.Load(), Accepted: c.accepted.Load(), Refused: c.refused.Load(),
 		Cancelled: c.cancelled.Load(), InFlight: c.inFlight.Load(), Prompts: prompts,
 	}
 }
 
-// Status returns the engine's report as of now, without the lag.
+// Status returns the current load report, without ReportLag.
 func (e *Engine) Status() wire.Status {
 	state := host.Live
-	if _, on := e.Faults.Active(Refuse); on {
+	if _, active := e.Faults.Active(Refuse); active {
 		state = host.Leaving
 	}
-	waiting := e.batch.waiting()
+	queued := e.batch.queued()
 	return wire.Status{
 		Name: e.Name, Model: e.Model, First: e.First, End: e.End, Kind: e.Kind,
 		State:    state,
-		InFlight: int(e.count.inFlight.Load()), Waiting: waiting,
+		InFlight: int(e.counts.inFlight.Load()), Waiting: queued,
 		Capacity: e.Capacity, TokenUs: e.tokenTime().Microseconds(),
-		Links: e.links.list(), Number: e.orders.seen(),
+		Links: e.links.list(), Number: e.orders.highest(),
 	}
 }
 
--- a/stand/internal/engine/faults.go
+++ b/stand/internal/engine/faults.go
@@ -13,52 +13,57 @@
 
 // The faults of an engine.
 const (
-	// Refuse: new requests are refused with Not-Run, those under way go on.
+	// Refuse: new requests are refused with the Not-Run header; accepted ones continue.
 	Refuse inject.Kind = "refuse"
-	// Exit: the process ends at once.
+	// Exit: the process exits once the control listener has answered.
 	Exit inject.Kind = "die"
-	// ExitAtToken: the process ends as it is to run the token with this index.
+	// ExitAtToken: the process exits before it runs the token whose index is the
+	// value.
 	ExitAtToken inject.Kind = "diesat"
-	// CrashOnPrompt: the process ends as it runs the prompt that is the value.
+	// CrashOnPrompt: the process exits before it runs a token of the prompt that is
+	// the value.
 	CrashOnPrompt inject.Kind = "crash"
-	// Freeze: connections are accepted, and nothing is answered.
+	// Freeze: connections are accepted and nothing is answered.
 	Freeze inject.Kind = "freeze"
-	// DelayLinks: links take the delays of the value, as in "b1=20ms,b2=cut".
+	// DelayLinks: links get the delays in the value, as in "b1=20ms,b2=cut".
 	DelayLinks inject.Kind = "link"
-	// Slow: a step takes the time that is the value.
+	// Slow: a step takes the duration that is the value.
 	Slow inject.Kind = "slow"
-	// StaleFrames: each frame comes after one of an older attempt.
+	// StaleFrames: each frame is preceded by a frame of an older attempt.
 	StaleFrames inject.Kind = "late"
-	// ForeignFrames: each frame comes after one of another request.
+	// ForeignFrames: each frame is preceded by a frame of another request.
 	ForeignFrames inject.Kind = "cross"
-	// Truncate: the stream closes without an end after this many tokens.
+	// Truncate: the stream closes without an end frame after the number of tokens
+	// that is the value.
 	Truncate inject.Kind = "truncate"
-	// OmitEnd: the stream closes after the last token, without an end.
+	// OmitEnd: the stream closes after the last token without an end frame.
 	OmitEnd inject.Kind = "noend"
-	// SwapStreams: the streams of two callers go to each other's connection.
+	// SwapStreams: two streams are sent on each other's connection.
 	SwapStreams inject.Kind = "swap"
-	// OmitLastLayer: the server leaves its last layer out.
+	// OmitLastLayer: the engine does not run its last layer.
 	OmitLastLayer inject.Kind = "wrongrange"
 )
 
-// The exit statuses of an engine that ends by a fault. A session tells by
-// them why an engine ended.
+// The exit statuses of the exit faults. A session tells by the status which kind of
+// fault ended the engine.
 const (
-	ExitDied    = 3
-	ExitCrashed = 4
+	exitFault       = 3
+	exitCrashPrompt = 4
 )
 
-// dieWait lets the control listener answer before the process ends.
-const dieWait = 20 * time.Millisecond
+// exitDelay lets the control listener answer before the process ends.
+const exitDelay = 20 * time.Millisecond
 
-// start readies the parts that faults act on.
-func (e *Engine) start() {
-	e.links.start(e.Links)
-	e.Faults.OnAdd = e.added
+// init connects the faults to the engine.
+func (e *Engine) init() {
+	e.links.init(e.Links)
+	e.Faults.OnAdd = e.faultAdded
 	e.Faults.OnClear = e.links.reset
 }
 
-func (e *Engine) added(f inject.Fault) error {
+// faultAdded checks the value of a new fault and applies the faults that take effect
+// at once.
+func (e *Engine) faultAdded(f inject.Fault) error {
 	switch f.Kind {
 	case DelayLinks:
 		delays, err := ParseLinks(f.Value)
@@ -67,7 +72,7 @@
 		}
 		e.links.set(delays)
 	case Exit:
-		time.AfterFunc(dieWait, func() { e.exit(ExitDied) })
+		time.AfterFunc(exitDelay, func() { e.exit(exitFault) })
 	case Slow:
 		_, err := time.ParseDuration(f.Value)
 		return err
@@ -78,9 +83,9 @@
 	return nil
 }
 
-// tokenTime is the time of one step.
+// tokenTime returns the duration of one step.
 func (e *Engine) tokenTime() time.Duration {
-	if f, on := e.Faults.Active(Slow); on {
+	if f, active := e.Faults.Active(Slow); active {
 		if slow, err := time.ParseDuration(f.Value); err == nil {
 			return slow
 		}
@@ -88,50 +93,52 @@
 	return e.TokenTime
 }
 
-// strike ends the process or holds it, if a fault says so for this step.
-func (e *Engine) strike(ctx context.Context, s *step) error {
-	if f, on := e.Faults.Active(CrashOnPrompt); on && f.Value == s.Prompt {
-		slog.Error("engine: crashed", "server", e.Name, "request", s.Request, "prompt", s.Prompt)
-		e.exit(ExitCrashed)
+// applyFaults exits if a fault says so for this step, and waits while the engine is
+// frozen.
+func (e *Engine) applyFaults(ctx context.Context, s *step) error {
+	if f, active := e.Faults.Active(CrashOnPrompt); active && f.Value == s.Prompt {
+		slog.Error("engine: exit by injected crash on prompt", "server", e.Name, "request", s.Request, "prompt", s.Prompt)
+		e.exit(exitCrashPrompt)
 	}
-	if f, on := e.Faults.Active(ExitAtToken); on && f.Value == strconv.Itoa(s.Index) {
-		slog.Error("engine: died", "server", e.Name, "request", s.Request, "index", s.Index)
-		e.exit(ExitDied)
+	if f, active := e.Faults.Active(ExitAtToken); active && f.Value == strconv.Itoa(s.Index) {
+		slog.Error("engine: exit by injected fault at token", "server", e.Name, "request", s.Request, "index", s.Index)
+		e.exit(exitFault)
 	}
-	return e.thawed(ctx)
+	return e.waitUnfrozen(ctx)
 }
 
-// strays writes the frames that late or crossed streams add before a frame.
-func (e *Engine) strays(w writer, f wire.Frame) error {
-	if _, on := e.Faults.Trigger(StaleFrames); on {
-		old := f
-		old.Attempt--
-		old.Token = token.Start("an older attempt", f.Index).Token()
-		if err := w.write(&old); err != nil {
+// writeExtraFrames writes the frames that StaleFrames and ForeignFrames add before a
+// frame.
+func (e *Engine) writeExtraFrames(w frameWriter, f wire.Frame) error {
+	if _, active := e.Faults.Trigger(StaleFrames); active {
+		stale := f
+		stale.Attempt--
+		stale.Token = token.Start("an older attempt", f.Index).Token()
+		if err := w.write(&stale); err != nil {
 			return err
 		}
 	}
-	if _, on := e.Faults.Trigger(ForeignFrames); on {
-		other := f
-		other.Request = "another-" + f.Request
-		other.Token = token.Start("another request", f.Index).Token()
-		return w.write(&other)
+	if _, active := e.Faults.Trigger(ForeignFrames); active {
+		foreign := f
+		foreign.Request = "another-" + f.Request
+		foreign.Token = token.Start("another request", f.Index).Token()
+		return w.write(&foreign)
 	}
 	return nil
 }
 
-// closes reports whether the stream is to close after so many tokens.
-func (e *Engine) closes(tokens int) bool {
-	f, on := e.Faults.Active(Truncate)
-	if !on || f.Value != strconv.Itoa(tokens) {
+// truncates reports whether the stream is to close after this number of tokens.
+func (e *Engine) truncates(tokens int) bool {
+	f, active := e.Faults.Active(Truncate)
+	if !active || f.Value != strconv.Itoa(tokens) {
 		return false
 	}
-	_, on = e.Faults.Trigger(Truncate)
-	return on
+	_, active = e.Faults.Trigger(Truncate)
+	return active
 }
 
-// thawed returns once the engine is not frozen, or with the context's error.
-func (e *Engine) thawed(ctx context.Context) error {
+// waitUnfrozen waits until the engine is not frozen or the context ends.
+func (e *Engine) waitUnfrozen(ctx context.Context) error {
 	e.Faults.WaitInactive(ctx, Freeze)
 	return ctx.Err()
 }
--- a/stand/internal/engine/links.go
+++ b/stand/internal/engine/links.go
@@ -8,8 +8,8 @@
 	"time"
 )
 
-// LinkDown is the value of a link that hands nothing on.
-const LinkDown = "cut"
+// linkDown is the setting of a link that transmits nothing.
+const linkDown = "cut"
 
 // links holds the delays of the links to other servers.
 type links struct {
@@ -18,10 +18,10 @@
 	delays  map[string]time.Duration
 }
 
-// cut is the delay of a link that hands nothing on.
-const cut = time.Duration(-1)
+// linkDownDelay is the delay that marks a link that transmits nothing.
+const linkDownDelay = time.Duration(-1)
 
-// ParseLinks reads "b1=20ms,b2=cut".
+// ParseLinks parses "b1=20ms,b2=cut".
 func ParseLinks(text string) (map[string]time.Duration, error) {
 	delays := map[string]time.Duration{}
 	for item := range strings.SplitSeq(text, ",") {
@@ -32,8 +32,8 @@
 		if !found {
 			return nil, fmt.Errorf("%q is not server=delay", item)
 		}
-		if value == LinkDown {
-			delays[name] = cut
+		if value == linkDown {
+			delays[name] = linkDownDelay
 			continue
 		}
 		delay, err := time.ParseDuration(value)
@@ -45,14 +45,14 @@
 	return delays, nil
 }
 
-// start sets the delays that reset goes back to.
-func (l *links) start(delays map[string]time.Duration) {
+// init sets the delays that reset restores.
+func (l *links) init(delays map[string]time.Duration) {
 	l.mu.Lock()
 	defer l.mu.Unlock()
 	l.initial, l.delays = delays, maps.Clone(delays)
 }
 
-// set changes some delays.
+// set changes the delays of the given links.
 func (l *links) set(delays map[string]time.Duration) {
 	l.mu.Lock()
 	defer l.mu.Unlock()
@@ -62,14 +62,14 @@
 	maps.Copy(l.delays, delays)
 }
 
-// reset goes back to the delays of the start.
+// reset restores the initial delays.
 func (l *links) reset() {
 	l.mu.Lock()
 	defer l.mu.Unlock()
 	l.delays = maps.Clone(l.initial)
 }
 
-// delay returns the one-way delay to a server.
+// delay returns the one-way delay to a server, or the fallback if none is set.
 func (l *links) delay(server string, fallback time.Duration) time.Duration {
 	l.mu.Lock()
 	defer l.mu.Unlock()
@@ -79,13 +79,13 @@
 	return fallback
 }
 
-// list returns the delays in microseconds, without links that are cut.
+// list returns the delays in microseconds, without links that are down.
 func (l *links) list() map[string]int64 {
 	l.mu.Lock()
 	defer l.mu.Unlock()
 	list := map[string]int64{}
 	for name, delay := range l.delays {
-		if delay != cut {
+		if delay != linkDownDelay {
 			list[name] = delay.Microseconds()
 		}
 	}
--- a/stand/internal/engine/order.go
+++ b/stand/internal/engine/order.go
@@ -12,52 +12,52 @@
 	wire "fuchsiashelf.dev/parts/engine"
 )
 
-// orders holds the orders that took effect.
-type orders struct {
-	mu     sync.Mutex
-	taken  []wire.Order
-	number uint64
+// orderLog keeps the accepted orders.
+type orderLog struct {
+	mu            sync.Mutex
+	accepted      []wire.Order
+	highestNumber uint64
 }
 
-// take carries out an order, or says why not. An engine that does not check
-// numbers still honours the deadline.
-func (o *orders) take(order wire.Order, checks bool, now time.Time) string {
-	o.mu.Lock()
-	defer o.mu.Unlock()
-	if checks && order.Number < o.number {
+// accept records an order and returns "", or returns the reason to refuse it.
+// Without fencing the fencing number is not checked, but the deadline is.
+func (l *orderLog) accept(order wire.Order, fencing bool, now time.Time) string {
+	l.mu.Lock()
+	defer l.mu.Unlock()
+	if fencing && order.Number < l.highestNumber {
 		return wire.Fenced
 	}
 	if order.DeadlineMs > 0 && now.UnixMilli() > order.DeadlineMs {
 		return wire.Expired
 	}
-	o.number = max(o.number, order.Number)
-	o.taken = append(o.taken, order)
+	l.highestNumber = max(l.highestNumber, order.Number)
+	l.accepted = append(l.accepted, order)
 	return ""
 }
 
-// list returns the orders that took effect, oldest first.
-func (o *orders) list() []wire.Order {
-	o.mu.Lock()
-	defer o.mu.Unlock()
-	return slices.Clone(o.taken)
+// list returns the accepted orders, oldest first.
+func (l *orderLog) list() []wire.Order {
+	l.mu.Lock()
+	defer l.mu.Unlock()
+	return slices.Clone(l.accepted)
 }
 
-// seen returns the highest fencing number seen.
-func (o *orders) seen() uint64 {
-	o.mu.Lock()
-	defer o.mu.Unlock()
-	return o.number
+// highest returns the highest fencing number that was accepted.
+func (l *orderLog) highest() uint64 {
+	l.mu.Lock()
+	defer l.mu.Unlock()
+	return l.highestNumber
 }
 
-func (e *Engine) order(_ context.Context, c *app.RequestContext) {
+func (e *Engine) postOrder(_ context.Context, c *app.RequestContext) {
 	var order wire.Order
 	if err := json.Unmarshal(c.Request.Body(), &order); err != nil || order.Order == "" {
 		c.String(400, "bad order: %v", err)
 		return
 	}
-	if why := e.orders.take(order, e.Fencing, time.Now()); why != "" {
-		c.Header(wire.NotRunHeader, why)
-		c.String(409, why)
+	if reason := e.orders.accept(order, e.Fencing, time.Now()); reason != "" {
+		c.Header(wire.NotRunHeader, reason)
+		c.String(409, reason)
 		return
 	}
 	c.String(200, "taken")
--- a/stand/internal/engine/report.go
+++ b/stand/internal/engine/report.go
@@ -8,29 +8,31 @@
 	wire "fuchsiashelf.dev/parts/engine"
 )
 
-// report keeps past reports, so that callers get one that is ReportLag old.
-type report struct {
-	mu   sync.Mutex
-	past []dated
+// reportHistory keeps past load reports, to answer with one that is ReportLag old.
+type reportHistory struct {
+	mu      sync.Mutex
+	reports []timedStatus
 }
 
-type dated struct {
+// timedStatus is a load report with its time.
+type timedStatus struct {
 	at     time.Time
 	status wire.Status
 }
 
-// reportTick is how often a report is taken down when reports lag.
-const reportTick = 50 * time.Millisecond
+// reportInterval is the time between two recorded reports.
+const reportInterval = 50 * time.Millisecond
 
-// Run takes reports down until the context ends.
-func (e *Engine) Run(ctx context.Context) {
+// RecordReports records load reports until the context ends. Without ReportLag it
+// does nothing.
+func (e *Engine) RecordReports(ctx context.Context) {
 	if e.ReportLag <= 0 {
 		return
 	}
-	tick := time.NewTicker(reportTick)
+	tick := time.NewTicker(reportInterval)
 	defer tick.Stop()
 	for {
-		e.report.add(dated{time.Now(), e.Status()}, e.ReportLag)
+		e.reports.add(timedStatus{time.Now(), e.Status()}, e.ReportLag)
 		select {
 		case <-tick.C:
 		case <-ctx.Done():
@@ -39,31 +41,33 @@
 	}
 }
 
-// add keeps a report and drops all but one that are older than the lag.
-func (r *report) add(d dated, lag time.Duration) {
-	r.mu.Lock()
-	defer r.mu.Unlock()
-	r.past = append(r.past, d)
-	for len(r.past) > 1 && d.at.Sub(r.past[1].at) >= lag {
-		r.past = r.past[1:]
+// add appends a report and drops those older than the lag, except the newest of
+// them.
+func (h *reportHistory) add(report timedStatus, lag time.Duration) {
+	h.mu.Lock()
+	defer h.mu.Unlock()
+	h.reports = append(h.reports, report)
+	for len(h.reports) > 1 && report.at.Sub(h.reports[1].at) >= lag {
+		h.reports = h.reports[1:]
 	}
 }
 
-// oldest returns the report that is due and its age.
-func (r *report) oldest(now time.Time) (wire.Status, bool) {
-	r.mu.Lock()
-	defer r.mu.Unlock()
-	if len(r.past) == 0 {
+// oldest returns the oldest report that is kept, with its age. It reports false if
+// there is none.
+func (h *reportHistory) oldest(now time.Time) (wire.Status, bool) {
+	h.mu.Lock()
+	defer h.mu.Unlock()
+	if len(h.reports) == 0 {
 		return wire.Status{}, false
 	}
-	status := r.past[0].status
-	status.AgeMs = now.Sub(r.past[0].at).Milliseconds()
+	status := h.reports[0].status
+	status.AgeMs = now.Sub(h.reports[0].at).Milliseconds()
 	return status, true
 }
 
-// lagged returns the report that callers get.
-func (e *Engine) lagged() wire.Status {
-	if status, ok := e.report.oldest(time.Now()); ok {
+// laggedStatus returns the load report that is ReportLag old.
+func (e *Engine) laggedStatus() wire.Status {
+	if status, ok := e.reports.oldest(time.Now()); ok {
 		return status
 	}
 	return e.Status()
--- a/stand/internal/engine/serve.go
+++ b/stand/internal/engine/serve.go
@@ -13,23 +13,23 @@
 	"fuchsiashelf.dev/stand/token"
 )
 
-// Routes adds the calls of an engine.
+// Routes adds the routes of an engine.
 func (e *Engine) Routes(h *server.Hertz) {
-	e.start()
+	e.init()
 	h.POST("/v1/generate", e.generate)
 	h.POST("/v1/steps", e.steps)
-	h.POST("/v1/orders", e.order)
+	h.POST("/v1/orders", e.postOrder)
 	h.GET("/v1/orders", func(_ context.Context, c *app.RequestContext) {
 		c.JSON(200, e.orders.list())
 	})
 	h.GET("/v1/status", func(ctx context.Context, c *app.RequestContext) {
-		if e.thawed(ctx) == nil {
-			c.JSON(200, e.lagged())
+		if e.waitUnfrozen(ctx) == nil {
+			c.JSON(200, e.laggedStatus())
 		}
 	})
 }
 
-// Control adds the calls of the control listener.
+// Control adds the routes of the control listener.
 func (e *Engine) Control(h *server.Hertz) {
 	e.Faults.Routes(h)
 	h.GET("/counts", func(_ context.Context, c *app.RequestContext) {
@@ -38,115 +38,116 @@
 }
 
 func (e *Engine) generate(ctx context.Context, c *app.RequestContext) {
-	var ask wire.Request
-	if err := json.Unmarshal(c.Request.Body(), &ask); err != nil || len(ask.Chain) == 0 {
+	var req wire.Request
+	if err := json.Unmarshal(c.Request.Body(), &req); err != nil || len(req.Chain) == 0 {
 		c.String(400, "bad request: %v", err)
 		return
 	}
-	if e.thawed(ctx) != nil {
+	if e.waitUnfrozen(ctx) != nil {
 		return
 	}
-	first := step{Request: ask.RequestID, Attempt: ask.Attempt, Prompt: ask.Prompt}
+	first := step{Request: req.RequestID, Attempt: req.Attempt, Prompt: req.Prompt}
 	if err := e.admit(&first); err != nil {
 		c.Header(wire.NotRunHeader, wire.Leaving)
 		c.String(503, wire.Leaving)
 		return
 	}
-	e.count.inFlight.Add(1)
-	defer e.count.inFlight.Add(-1)
+	e.counts.inFlight.Add(1)
+	defer e.counts.inFlight.Add(-1)
 	c.Header("Content-Type", "application/x-ndjson")
 	c.Response.HijackWriter(resp.NewChunkedBodyWriter(&c.Response, c.GetWriter()))
-	a := &answer{Engine: e, ask: &ask, w: writer{c}}
-	if err := a.run(ctx); err != nil {
-		e.count.cancelled.Add(1)
+	s := &tokenStream{Engine: e, req: &req, w: frameWriter{c}}
+	if err := s.run(ctx); err != nil {
+		e.counts.cancelled.Add(1)
 	}
 }
 
-// answer is one stream of tokens.
-type answer struct {
+// tokenStream is the token stream of one request.
+type tokenStream struct {
 	*Engine
-	ask *wire.Request
-	w   writer
-	// pair is set while this stream is swapped with another.
-	pair *side
+	req *wire.Request
+	w   frameWriter
+	// peer is set while this stream is swapped with another.
+	peer *swapPeer
 }
 
-// run streams the answer. It fails only if the reader has left.
-func (a *answer) run(ctx context.Context) error {
-	if _, on := a.Faults.Active(SwapStreams); on {
-		a.pair = a.swap.join(ctx)
-	}
-	if a.pair != nil {
-		defer close(a.pair.left)
-	}
-	sent := len(a.ask.Sent)
-	read := len(strings.Fields(a.ask.Prompt)) + sent
-	for index := sent; index < a.ask.Max; index++ {
-		if a.closes(index - sent) {
+// run streams the answer. It fails only if the client disconnected.
+func (s *tokenStream) run(ctx context.Context) error {
+	if _, active := s.Faults.Active(SwapStreams); active {
+		s.peer = s.swap.join(ctx)
+	}
+	if s.peer != nil {
+		defer close(s.peer.done)
+	}
+	sent := len(s.req.Sent)
+	read := len(strings.Fields(s.req.Prompt)) + sent
+	for index := sent; index < s.req.Max; index++ {
+		if s.truncates(index - sent) {
 			return nil
 		}
-		out, err := a.Engine.run(ctx, step{
-			Request: a.ask.RequestID, Attempt: a.ask.Attempt, Index: index, Prompt: a.ask.Prompt,
-			Priority: a.ask.Priority, Read: read, State: token.Start(a.ask.Prompt, index), Rest: a.ask.Chain,
+		out, err := s.Engine.run(ctx, step{
+			Request: s.req.RequestID, Attempt: s.req.Attempt, Index: index, Prompt: s.req.Prompt,
+			Priority: s.req.Priority, Read: read, State: token.Start(s.req.Prompt, index), Rest: s.req.Chain,
 		})
 		if ctx.Err() != nil {
 			return ctx.Err()
 		}
 		if err != nil {
-			f := a.blame(err)
-			return a.send(ctx, wire.Frame{Fail: &wire.Failure{Server: f.Server, Message: f.What, Refused: f.Refused}})
+			failure := s.asFailure(err)
+			return s.send(ctx, wire.Frame{Fail: &wire.Failure{Server: failure.Server, Message: failure.Message, Refused: failure.Refused}})
 		}
 		read = 0
-		if err := a.send(ctx, wire.Frame{Index: index, Token: out.State.Token(), Spans: out.Spans}); err != nil {
+		if err := s.send(ctx, wire.Frame{Index: index, Token: out.State.Token(), Spans: out.Spans}); err != nil {
 			return err
 		}
 	}
-	if _, on := a.Faults.Trigger(OmitEnd); on {
+	if _, active := s.Faults.Trigger(OmitEnd); active {
 		return nil
 	}
-	return a.send(ctx, wire.Frame{End: true, Count: a.ask.Max})
+	return s.send(ctx, wire.Frame{End: true, Count: s.req.Max})
 }
 
-// send writes a frame of this answer, or what a fault makes of it.
-func (a *answer) send(ctx context.Context, f wire.Frame) error {
-	f.Request, f.Attempt = a.ask.RequestID, a.ask.Attempt
-	if a.pair != nil {
-		f = a.pair.trade(ctx, f)
+// send writes a frame of this stream, changed by the faults of streams.
+func (s *tokenStream) send(ctx context.Context, f wire.Frame) error {
+	f.Request, f.Attempt = s.req.RequestID, s.req.Attempt
+	if s.peer != nil {
+		f = s.peer.exchange(ctx, f)
 	}
-	if err := a.strays(a.w, f); err != nil {
+	if err := s.writeExtraFrames(s.w, f); err != nil {
 		return err
 	}
-	return a.w.write(&f)
+	return s.w.write(&f)
 }
 
+// steps runs one token for the previous stage of a chain.
 func (e *Engine) steps(ctx context.Context, c *app.RequestContext) {
 	var s step
 	if err := json.Unmarshal(c.Request.Body(), &s); err != nil || len(s.Rest) == 0 {
 		c.String(400, "bad step: %v", err)
 		return
 	}
-	if e.thawed(ctx) != nil {
+	if e.waitUnfrozen(ctx) != nil {
 		return
 	}
-	e.count.inFlight.Add(1)
-	defer e.count.inFlight.Add(-1)
+	e.counts.inFlight.Add(1)
+	defer e.counts.inFlight.Add(-1)
 	err := e.admit(&s)
 	if err != nil {
-		c.JSON(502, e.blame(err))
+		c.JSON(502, e.asFailure(err))
 		return
 	}
 	out, err := e.run(ctx, s)
 	if err != nil {
-		c.JSON(502, e.blame(err))
+		c.JSON(502, e.asFailure(err))
 		return
 	}
 	c.JSON(200, out)
 }
 
-// writer writes frames, each at once.
-type writer struct{ c *app.RequestContext }
+// frameWriter writes frames and flushes each one.
+type frameWriter struct{ c *app.RequestContext }
 
-func (w writer) write(f *wire.Frame) error {
+func (w frameWriter) write(f *wire.Frame) error {
 	line, err := json.Marshal(f)
 	if err != nil {
 		return err
--- a/stand/internal/engine/step.go
+++ b/stand/internal/engine/step.go
@@ -15,108 +15,111 @@
 	"fuchsiashelf.dev/stand/token"
 )
 
-// maxIdle bounds the idle connections kept to one server.
+// maxIdle is the most idle connections kept to one server.
 const maxIdle = 256
 
-var handOn = &http.Client{Transport: &http.Transport{
+var stepClient = &http.Client{Transport: &http.Transport{
 	DialContext:         (&net.Dialer{Timeout: time.Second}).DialContext,
 	MaxIdleConnsPerHost: maxIdle,
 }}
 
-// step is what one server hands on to the next for one token.
+// step is one token on its way through a chain. Each stage sends it to the next,
+// and the last one returns it.
 type step struct {
 	Request string `json:"request"`
 	Attempt int    `json:"attempt"`
 	Index   int    `json:"index"`
 	Prompt  string `json:"prompt"`
-	// Priority is that of the request.
+	// Priority is the priority of the request.
 	Priority int `json:"priority,omitempty"`
-	// Read is how many words and tokens are read before this token.
+	// Read is the number of words and tokens to prefill before this token.
 	Read  int          `json:"read"`
 	State token.State  `json:"state"`
 	Rest  []wire.Stage `json:"rest"`
 	Spans []wire.Span  `json:"spans"`
 }
 
-// failure is an error of a server of the chain.
-type failure struct {
+// stepFailure is an error of one server of a chain, in the response of /v1/steps.
+type stepFailure struct {
 	Server  string `json:"server"`
-	What    string `json:"what"`
+	Message string `json:"what"`
 	Refused bool   `json:"refused"`
 }
 
-func (f *failure) Error() string {
-	return f.Server + ": " + f.What
+func (f *stepFailure) Error() string {
+	return f.Server + ": " + f.Message
 }
 
-// blame returns the failure that an error is, or makes one of this server.
-func (e *Engine) blame(err error) *failure {
-	var f *failure
-	if errors.As(err, &f) {
-		return f
+// asFailure returns the stepFailure in an error, or wraps the error in one of this
+// server.
+func (e *Engine) asFailure(err error) *stepFailure {
+	var failure *stepFailure
+	if errors.As(err, &failure) {
+		return failure
 	}
-	return &failure{Server: e.Name, What: err.Error()}
+	return &stepFailure{Server: e.Name, Message: err.Error()}
 }
 
-// admit takes the chain of a step, or refuses it.
+// admit accepts the chain of a step, unless the fault Refuse triggers for a new
+// chain.
 func (e *Engine) admit(s *step) error {
 	key := chainKey{s.Request, s.Attempt}
 	now := time.Now()
-	if e.known.has(key, now) {
+	if e.accepted.touch(key, now) {
 		return nil
 	}
-	if _, on := e.Faults.Trigger(Refuse); on {
-		e.count.refused.Add(1)
-		return &failure{e.Name, wire.Leaving, true}
+	if _, active := e.Faults.Trigger(Refuse); active {
+		e.counts.refused.Add(1)
+		return &stepFailure{e.Name, wire.Leaving, true}
 	}
-	e.known.add(key, now)
-	e.count.took(s.Prompt)
+	e.accepted.add(key, now)
+	e.counts.countChain(s.Prompt)
 	return nil
 }
 
-// run spends the time of one token, folds the engine's layers into the state
-// and hands on to the rest of the chain.
+// run waits for a batch step, applies the engine's layers to the state and forwards
+// the step to the rest of the chain.
 func (e *Engine) run(ctx context.Context, s step) (step, error) {
 	stage := s.Rest[0]
 	if stage.First < e.First || stage.End > e.End {
-		return s, &failure{Server: e.Name, What: fmt.Sprintf("holds layers %d to %d", e.First, e.End)}
+		return s, &stepFailure{Server: e.Name, Message: fmt.Sprintf("holds layers %d to %d", e.First, e.End)}
 	}
-	if err := e.strike(ctx, &s); err != nil {
+	if err := e.applyFaults(ctx, &s); err != nil {
 		return s, err
 	}
-	arrived := time.Now()
-	began, err := e.batch.run(ctx, e.Capacity, &turn{
-		extra: time.Duration(s.Read) * e.PrefillTime, priority: s.Priority,
+	queuedAt := time.Now()
+	startedAt, err := e.batch.run(ctx, e.Capacity, &batchItem{
+		prefillTime: time.Duration(s.Read) * e.PrefillTime, priority: s.Priority,
 	}, e.tokenTime)
 	if err != nil {
 		return s, err
 	}
-	if err := e.thawed(ctx); err != nil {
+	if err := e.waitUnfrozen(ctx); err != nil {
 		return s, err
 	}
-	e.count.runs.Add(1)
+	e.counts.runs.Add(1)
 	first, end := stage.First, stage.End
-	if _, on := e.Faults.Trigger(OmitLastLayer); on {
+	if _, active := e.Faults.Trigger(OmitLastLayer); active {
 		end--
 	}
 	s.State = s.State.Apply(first, end)
 	s.Rest = s.Rest[1:]
 	s.Spans = append(s.Spans, wire.Span{
 		Server: e.Name, First: first, End: end,
-		RunUs: time.Since(began).Microseconds(), WaitUs: began.Sub(arrived).Microseconds(),
+		RunUs: time.Since(startedAt).Microseconds(), WaitUs: startedAt.Sub(queuedAt).Microseconds(),
 	})
 	if len(s.Rest) == 0 {
 		return s, nil
 	}
-	return e.next(ctx, s)
+	return e.forward(ctx, s)
 }
 
-// next hands a step on over the link to the next server.
-func (e *Engine) next(ctx context.Context, s step) (step, error) {
-	to := s.Rest[0]
-	delay := e.links.delay(to.Server, e.LinkDelay)
-	if delay == cut {
-		// A cut link swallows what is sent; nobody is told.
+// forward sends a step over the link to the next server and returns the response.
+func (e *Engine) forward(ctx context.Context, s step) (step, error) {
+	next := s.Rest[0]
+	delay := e.links.delay(next.Server, e.LinkDelay)
+	if delay == linkDownDelay {
+		// A link that is down drops the step without an error.
 		<-ctx.Done()
 		return s, ctx.Err()
 	}
@@ -126,26 +129,26 @@
 	if err != nil {
 		return s, err
 	}
-	url := "http://" + to.Address + "/v1/steps"
+	url := "http://" + next.Address + "/v1/steps"
 	req, err := http.NewRequestWithContext(ctx, http.MethodPost, url, bytes.NewReader(body))
 	if err != nil {
 		return s, err
 	}
-	resp, err := handOn.Do(req)
+	resp, err := stepClient.Do(req)
 	if err != nil {
-		return s, &failure{Server: to.Server, What: err.Error()}
+		return s, &stepFailure{Server: next.Server, Message: err.Error()}
 	}
 	defer resp.Body.Close()
 	if resp.StatusCode != http.StatusOK {
-		f := &failure{}
-		if json.NewDecoder(resp.Body).Decode(f) != nil {
-			f = &failure{Server: to.Server, What: resp.Status}
+		failure := &stepFailure{}
+		if json.NewDecoder(resp.Body).Decode(failure) != nil {
+			failure = &stepFailure{Server: next.Server, Message: resp.Status}
 		}
-		return s, f
+		return s, failure
 	}
 	var out step
 	if err := json.NewDecoder(resp.Body).Decode(&out); err != nil {
-		return s, &failure{Server: to.Server, What: err.Error()}
+		return s, &stepFailure{Server: next.Server, Message: err.Error()}
 	}
 	return out, nil
 }
--- a/stand/internal/engine/swap.go
+++ b/stand/internal/engine/swap.go
@@ -7,66 +7,66 @@
 	wire "fuchsiashelf.dev/parts/engine"
 )
 
-// swap pairs streams, so that each gets the other's frames.
-type swap struct {
-	mu    sync.Mutex
-	alone *side
+// streamSwap pairs streams that send each other's frames.
+type streamSwap struct {
+	mu      sync.Mutex
+	waiting *swapPeer
 }
 
-// side is one stream of a pair.
-type side struct {
-	// in takes the frames of the other stream.
+// swapPeer is one of two paired streams.
+type swapPeer struct {
+	// in receives the frames of the other stream.
 	in chan wire.Frame
 	// paired is closed once other is set.
 	paired chan struct{}
-	// left is closed when the stream has ended.
-	left  chan struct{}
-	other *side
+	// done is closed when the stream has ended.
+	done  chan struct{}
+	other *swapPeer
 }
 
-// join waits until another stream joins, or the context ends.
-func (s *swap) join(ctx context.Context) *side {
+// join waits until another stream joins. It returns nil if the context ends first.
+func (s *streamSwap) join(ctx context.Context) *swapPeer {
 	s.mu.Lock()
-	mine := &side{in: make(chan wire.Frame, 1), paired: make(chan struct{}), left: make(chan struct{})}
-	if other := s.alone; other != nil {
-		s.alone = nil
-		mine.other, other.other = other, mine
-		close(mine.paired)
+	peer := &swapPeer{in: make(chan wire.Frame, 1), paired: make(chan struct{}), done: make(chan struct{})}
+	if other := s.waiting; other != nil {
+		s.waiting = nil
+		peer.other, other.other = other, peer
+		close(peer.paired)
 		close(other.paired)
 		s.mu.Unlock()
-		return mine
+		return peer
 	}
-	s.alone = mine
+	s.waiting = peer
 	s.mu.Unlock()
 	select {
-	case <-mine.paired:
-		return mine
+	case <-peer.paired:
+		return peer
 	case <-ctx.Done():
 		s.mu.Lock()
-		if s.alone == mine {
-			s.alone = nil
+		if s.waiting == peer {
+			s.waiting = nil
 		}
 		s.mu.Unlock()
 		return nil
 	}
 }
 
-// trade gives the other stream a frame and returns one of its own. When the
-// other has ended, the stream goes on with its own.
-func (s *side) trade(ctx context.Context, mine wire.Frame) wire.Frame {
+// exchange passes a frame to the other stream and returns a frame of the other
+// stream. Once the other has ended, it returns the stream's own frame.
+func (p *swapPeer) exchange(ctx context.Context, own wire.Frame) wire.Frame {
 	select {
-	case s.other.in <- mine:
-	case <-s.other.left:
-		return mine
+	case p.other.in <- own:
+	case <-p.other.done:
+		return own
 	case <-ctx.Done():
-		return mine
+		return own
 	}
 	select {
-	case theirs := <-s.in:
-		return theirs
-	case <-s.other.left:
-		return mine
+	case received := <-p.in:
+		return received
+	case <-p.other.done:
+		return own
 	case <-ctx.Done():
-		return mine
+		return own
 	}
 }
--- a/stand/internal/object/fault.go
+++ b/stand/internal/object/fault.go
@@ -13,50 +13,51 @@
 	"fuchsiashelf.dev/stand/inject"
 )
 
-// The faults of the store. Those of writes strike only keys that start with
+// The faults of the store. The faults of writes apply only to keys that start with
 // the fault's value, so that a test can lose one write among many.
 const (
-	// Outage: every call fails with 503.
+	// Outage: every call is answered with 503.
 	Outage inject.Kind = "outage"
-	// Slow: every call takes the given time longer.
+	// Slow: every call is delayed by the duration that is the value.
 	Slow inject.Kind = "slow"
-	// DropReply: the write takes effect and the connection is closed without
-	// an answer.
+	// DropReply: the write takes effect and the connection is closed without a
+	// response.
 	DropReply inject.Kind = "drop"
 	// DropWrite: the connection is closed before the write takes effect.
 	DropWrite inject.Kind = "lose"
-	// HoldReply: the write takes effect and its answer waits until the faults are
-	// cleared. The counts tell under "held" how many were held.
+	// HoldReply: the write takes effect and its response waits until the faults
+	// are cleared. GET /counts counts held responses as "held".
 	HoldReply inject.Kind = "hold"
-	// StaleReads: reads are answered with the value before the newest, as by a
-	// replica that was restored from an older copy.
+	// StaleReads: reads return the value before the newest, like a replica that
+	// was restored from an older copy.
 	StaleReads inject.Kind = "old"
-	// BreakWatches: waiting watches are cut off.
+	// BreakWatches: the connections of pending watches are closed.
 	BreakWatches inject.Kind = "break"
-	// Disconnect: calls of the entry hosts in the value, separated by commas, have
-	// their connection closed.
+	// Disconnect: calls and pending watches of the entry hosts in the value, a
+	// comma-separated list of names, have their connection closed.
 	Disconnect inject.Kind = "cut"
 )
 
-// guard counts a call and applies the faults that all calls share.
-func (f *Server) guard(kind string, limit *limit, next app.HandlerFunc) app.HandlerFunc {
+// wrap returns a handler that counts a call, and applies the rate limit and the
+// faults of all calls before next.
+func (s *Server) wrap(kind string, limit *rateLimit, next app.HandlerFunc) app.HandlerFunc {
 	return func(ctx context.Context, c *app.RequestContext) {
-		f.Store.CountCall(kind, entry(c))
-		if f.isCut(c) {
-			hangUp(c)
+		s.Store.CountCall(kind, entryHost(c))
+		if s.isDisconnected(c) {
+			closeConn(c)
 			return
 		}
 		if !limit.allow() {
-			f.Store.CountCall("limited", entry(c))
+			s.Store.CountCall("limited", entryHost(c))
 			c.Header("Retry-After", "1")
 			c.String(429, "over the rate")
 			return
 		}
-		if slow, on := f.Faults.Active(Slow); on {
-			more, _ := time.ParseDuration(slow.Value)
-			wait.For(ctx, more)
+		if slow, active := s.Faults.Active(Slow); active {
+			delay, _ := time.ParseDuration(slow.Value)
+			wait.For(ctx, delay)
 		}
-		if _, on := f.Faults.Active(Outage); on {
+		if _, active := s.Faults.Active(Outage); active {
 			c.String(503, "outage")
 			return
 		}
@@ -64,33 +65,35 @@
 	}
 }
 
-// entry names the entry host that makes a call, if it says so.
-func entry(c *app.RequestContext) string {
+// entryHost returns the name of the calling entry host, or "" if the call has
+// none.
+func entryHost(c *app.RequestContext) string {
 	return string(c.GetHeader(store.EntryHeader))
 }
 
-func (f *Server) isCut(c *app.RequestContext) bool {
-	cut, on := f.Faults.Active(Disconnect)
-	return on && slices.Contains(strings.Split(cut.Value, ","), entry(c))
+// isDisconnected reports whether Disconnect applies to the calling entry host.
+func (s *Server) isDisconnected(c *app.RequestContext) bool {
+	disconnect, active := s.Faults.Active(Disconnect)
+	return active && slices.Contains(strings.Split(disconnect.Value, ","), entryHost(c))
 }
 
-// strikes uses a fault of writes up if it is meant for the key.
-func (f *Server) strikes(kind inject.Kind, key string) bool {
-	_, hit := f.Faults.TriggerIf(kind, func(value string) bool { return strings.HasPrefix(key, value) })
-	return hit
+// triggerFor triggers a fault of writes if it applies to the key.
+func (s *Server) triggerFor(kind inject.Kind, key string) bool {
+	_, triggered := s.Faults.TriggerIf(kind, func(value string) bool { return strings.HasPrefix(key, value) })
+	return triggered
 }
 
-// disturbed reports whether a waiting watch is to be cut off.
-func (f *Server) disturbed(c *app.RequestContext) bool {
-	if f.isCut(c) {
+// breaksWatch reports whether the connection of a pending watch is to be closed.
+func (s *Server) breaksWatch(c *app.RequestContext) bool {
+	if s.isDisconnected(c) {
 		return true
 	}
-	_, broken := f.Faults.Trigger(BreakWatches)
-	return broken
+	_, triggered := s.Faults.Trigger(BreakWatches)
+	return triggered
 }
 
-// hangUp closes the connection without an answer.
-func hangUp(c *app.RequestContext) {
+// closeConn closes the connection without a response.
+func closeConn(c *app.RequestContext) {
 	_ = c.GetConn().Close()
 	c.Abort()
 }
--- a/stand/internal/object/limit.go
+++ b/stand/internal/object/limit.go
@@ -2,18 +2,18 @@
 
 import "golang.org/x/time/rate"
 
-// limit refuses calls beyond a rate. A nil limit refuses none.
-type limit struct{ *rate.Limiter }
+// rateLimit limits the rate of calls. A nil rateLimit allows every call.
+type rateLimit struct{ *rate.Limiter }
 
-// newLimit returns a limit of calls a second with a burst of a tenth of a
-// second's worth; zero means no limit.
-func newLimit(perSecond int) *limit {
+// newRateLimit returns a limit of calls per second with a burst of a tenth of that
+// number, at least 1. Zero means no limit.
+func newRateLimit(perSecond int) *rateLimit {
 	if perSecond <= 0 {
 		return nil
 	}
-	return &limit{rate.NewLimiter(rate.Limit(perSecond), max(1, perSecond/10))}
+	return &rateLimit{rate.NewLimiter(rate.Limit(perSecond), max(1, perSecond/10))}
 }
 
-func (l *limit) allow() bool {
+func (l *rateLimit) allow() bool {
 	return l == nil || l.Allow()
 }
--- a/stand/internal/object/object.go
+++ b/stand/internal/object/object.go
@@ -1,4 +1,4 @@
-// Package object is a stand-in for the platform's object API and host list.
+// Package object implements a stand-in for the platform's object API and host list.
 package object
 
 import (
@@ -14,21 +14,21 @@
 // Store holds objects and hosts in memory. The zero value is not ready; use
 // New.
 type Store struct {
-	mu      sync.Mutex
-	version uint64
-	objects map[string]store.Object
-	gone    map[string]uint64
-	former  map[string]store.Object
-	copied  *backup
-	hosts   map[string]host.Host
-	hostRev uint64
-	wake    chan struct{}
-	calls   map[string]int
-	byEntry map[string]map[string]int
-}
-
-// backup is a copy of all objects.
-type backup struct {
+	mu           sync.Mutex
+	version      uint64
+	objects      map[string]store.Object
+	deleted      map[string]uint64
+	previous     map[string]store.Object
+	snapshot     *snapshot
+	hosts        map[string]host.Host
+	hostRevision uint64
+	changed      chan struct{}
+	calls        map[string]int
+	callsByEntry map[string]map[string]int
+}
+
+// snapshot is a copy of all objects.
+type snapshot struct {
 	version uint64
 	objects map[string]store.Object
 }
@@ -36,17 +36,17 @@
 // New returns an empty store.
 func New() *Store {
 	return &Store{
-		objects: map[string]store.Object{},
-		gone:    map[string]uint64{},
-		former:  map[string]store.Object{},
-		hosts:   map[string]host.Host{},
-		wake:    make(chan struct{}),
-		calls:   map[string]int{},
-		byEntry: map[string]map[string]int{},
+		objects:      map[string]store.Object{},
+		deleted:      map[string]uint64{},
+		previous:     map[string]store.Object{},
+		hosts:        map[string]host.Host{},
+		changed:      make(chan struct{}),
+		calls:        map[string]int{},
+		callsByEntry: map[string]map[string]int{},
 	}
 }
 
-// CountCall counts one call of a kind from an entry host; the name may be empty.
+// CountCall counts one call of a kind from an entry host, whose name may be empty.
 func (s *Store) CountCall(kind, entry string) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
@@ -54,36 +54,36 @@
 	if entry == "" {
 		return
 	}
-	if s.byEntry[entry] == nil {
-		s.byEntry[entry] = map[string]int{}
+	if s.callsByEntry[entry] == nil {
+		s.callsByEntry[entry] = map[string]int{}
 	}
-	s.byEntry[entry][kind]++
+	s.callsByEntry[entry][kind]++
 }
 
-// CallsBy returns how often each entry host made each kind of call.
+// CallsBy returns the number of calls by entry host and kind.
 func (s *Store) CallsBy() map[string]map[string]int {
 	s.mu.Lock()
 	defer s.mu.Unlock()
-	out := map[string]map[string]int{}
-	for entry, kinds := range s.byEntry {
-		out[entry] = maps.Clone(kinds)
+	calls := map[string]map[string]int{}
+	for entry, kinds := range s.callsByEntry {
+		calls[entry] = maps.Clone(kinds)
 	}
-	return out
+	return calls
 }
 
-// Calls returns how often each kind of call was made.
+// Calls returns the number of calls by kind.
 func (s *Store) Calls() map[string]int {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	return maps.Clone(s.calls)
 }
 
-// Previous returns the value that an object had before its newest one, or the
-// newest if there was none before.
+// Previous returns an object as it was before its newest write, or as it is now if
+// there was one write only.
 func (s *Store) Previous(key string) store.Object {
 	s.mu.Lock()
 	defer s.mu.Unlock()
-	if o, ok := s.former[key]; ok {
+	if o, ok := s.previous[key]; ok {
 		return o
 	}
 	return s.objects[key]
@@ -93,20 +93,20 @@
 func (s *Store) Snapshot() {
 	s.mu.Lock()
 	defer s.mu.Unlock()
-	s.copied = &backup{version: s.version, objects: maps.Clone(s.objects)}
+	s.snapshot = &snapshot{version: s.version, objects: maps.Clone(s.objects)}
 }
 
-// Restore puts the copy back, its version counter included, as a platform
-// does that lost its newest data. It reports whether there is a copy.
+// Restore goes back to the snapshot and its version counter, like a platform that
+// lost its newest data. It reports whether there is a snapshot.
 func (s *Store) Restore() bool {
 	s.mu.Lock()
 	defer s.mu.Unlock()
-	if s.copied == nil {
+	if s.snapshot == nil {
 		return false
 	}
-	s.version, s.objects = s.copied.version, maps.Clone(s.copied.objects)
-	s.gone, s.former = map[string]uint64{}, map[string]store.Object{}
-	s.signal()
+	s.version, s.objects = s.snapshot.version, maps.Clone(s.snapshot.objects)
+	s.deleted, s.previous = map[string]uint64{}, map[string]store.Object{}
+	s.notify()
 	return true
 }
 
@@ -117,8 +117,9 @@
 	return s.objects[key]
 }
 
-// Put writes an object if it still has the given version. It returns the
-// version after the call and whether the write took effect.
+// Put writes an object if its version is the given one; zero means that it must
+// not exist. It returns the version after the call and whether the write took
+// effect.
 func (s *Store) Put(key string, value []byte, version uint64) (uint64, bool) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
@@ -127,15 +128,16 @@
 	}
 	s.version++
 	if old, ok := s.objects[key]; ok {
-		s.former[key] = old
+		s.previous[key] = old
 	}
 	s.objects[key] = store.Object{Key: key, Version: s.version, Value: slices.Clone(value)}
-	delete(s.gone, key)
-	s.signal()
+	delete(s.deleted, key)
+	s.notify()
 	return s.version, true
 }
 
-// Delete removes an object if it still has the given version.
+// Delete removes an object if its version is the given one. Its results are those
+// of Put.
 func (s *Store) Delete(key string, version uint64) (uint64, bool) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
@@ -145,13 +147,14 @@
 	}
 	s.version++
 	delete(s.objects, key)
-	s.gone[key] = s.version
-	s.signal()
+	s.deleted[key] = s.version
+	s.notify()
 	return s.version, true
 }
 
-// ChangesSince returns the objects under a prefix that changed after a version. A
-// removed object is in it with no value and the version of its removal.
+// ChangesSince returns the objects under a prefix that changed after a version, and
+// a channel that is closed by the next change. A removed object has no value and
+// the version of its removal; after version 0 removed objects are omitted.
 func (s *Store) ChangesSince(prefix string, after uint64) (store.Changes, <-chan struct{}) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
@@ -161,7 +164,7 @@
 			changes.Objects = append(changes.Objects, o)
 		}
 	}
-	for key, version := range s.gone {
+	for key, version := range s.deleted {
 		if after > 0 && strings.HasPrefix(key, prefix) && version > after {
 			changes.Objects = append(changes.Objects, store.Object{Key: key, Version: version})
 		}
@@ -169,7 +172,7 @@
 	slices.SortFunc(changes.Objects, func(a, b store.Object) int {
 		return strings.Compare(a.Key, b.Key)
 	})
-	return changes, s.wake
+	return changes, s.changed
 }
 
 // SetHost adds or changes a host.
@@ -177,8 +180,8 @@
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	s.hosts[h.Name] = h
-	s.hostRev++
-	s.signal()
+	s.hostRevision++
+	s.notify()
 }
 
 // DeleteHost removes a host.
@@ -186,25 +189,26 @@
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	delete(s.hosts, name)
-	s.hostRev++
-	s.signal()
+	s.hostRevision++
+	s.notify()
 }
 
-// Hosts returns the host list.
+// Hosts returns the host list and a channel that is closed by the next change.
 func (s *Store) Hosts() (host.List, <-chan struct{}) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
-	list := host.List{Revision: s.hostRev, Hosts: []host.Host{}}
+	list := host.List{Revision: s.hostRevision, Hosts: []host.Host{}}
 	for _, h := range s.hosts {
 		list.Hosts = append(list.Hosts, h)
 	}
 	slices.SortFunc(list.Hosts, func(a, b host.Host) int {
 		return strings.Compare(a.Name, b.Name)
 	})
-	return list, s.wake
+	return list, s.changed
 }
 
-func (s *Store) signal() {
-	close(s.wake)
-	s.wake = make(chan struct{})
+// notify wakes all that wait for a change. The caller holds the mutex.
+func (s *Store) notify() {
+	close(s.changed)
+	s.changed = make(chan struct{})
 }
--- a/stand/internal/object/face_test.go
+++ b/stand/internal/object/serve_test.go
@@ -15,27 +15,27 @@
 	"fuchsiashelf.dev/stand/inject"
 )
 
-// serve runs a store on a free port and returns a client of entry e1.
-func serve(t *testing.T, f *Server) *store.Client {
+// serve runs a store on a free port and returns a client for entry host e1.
+func serve(t *testing.T, s *Server) *store.Client {
 	listener, err := net.Listen("tcp", "127.0.0.1:0")
 	qt.Assert(t, err, qt.IsNil)
-	s := &httpd.Server{Listener: listener}
-	s.Init()
-	f.Store, f.Faults = New(), &inject.Set{}
-	f.Routes(s.Hertz)
+	httpServer := &httpd.Server{Listener: listener}
+	httpServer.Init()
+	s.Store, s.Faults = New(), &inject.Set{}
+	s.Routes(httpServer.Hertz)
 	ctx, stop := context.WithCancel(context.Background())
-	ended := make(chan error)
-	go func() { ended <- s.Run(ctx, time.Second) }()
+	done := make(chan error)
+	go func() { done <- httpServer.Run(ctx, time.Second) }()
 	t.Cleanup(func() {
-		f.Faults.Clear()
+		s.Faults.Clear()
 		stop()
-		<-ended
+		<-done
 	})
 	return &store.Client{Address: listener.Addr().String(), Entry: "e1"}
 }
 
-// Each fault of a write either has an effect or has none, and the writer
-// gets an error with the verdict that its own side can know.
+// A failed write may have taken effect. The verdict of the client's error must not
+// claim more than the client can know.
 func TestWriteFaults(t *testing.T) {
 	for _, test := range []struct {
 		fault   inject.Fault
@@ -48,71 +48,72 @@
 		{inject.Fault{Kind: Disconnect, Value: "e0,e1"}, false, fault.MayHaveRun},
 	} {
 		t.Run(string(test.fault.Kind), func(t *testing.T) {
-			f := &Server{}
-			client := serve(t, f)
-			f.Faults.Add(test.fault)
+			s := &Server{}
+			client := serve(t, s)
+			s.Faults.Add(test.fault)
 			_, err := client.Put(t.Context(), "k/1", []byte("v"), 0)
 			qt.Assert(t, fault.As(err).Verdict, qt.Equals, test.verdict)
-			qt.Assert(t, f.Store.Get("k/1").Version > 0, qt.Equals, test.effect)
+			qt.Assert(t, s.Store.Get("k/1").Version > 0, qt.Equals, test.effect)
 		})
 	}
 }
 
-// A fault of writes is meant for some keys; writes of other keys neither
-// suffer from it nor use it up.
-func TestFaultOfOtherKeys(t *testing.T) {
-	f := &Server{}
-	client := serve(t, f)
-	f.Faults.Add(inject.Fault{Kind: DropWrite, Value: "k/", Count: 1})
+// A fault of writes applies to the keys with its prefix only. Writes of other keys
+// succeed and don't decrement its count.
+func TestWriteFaultAppliesToItsPrefixOnly(t *testing.T) {
+	s := &Server{}
+	client := serve(t, s)
+	s.Faults.Add(inject.Fault{Kind: DropWrite, Value: "k/", Count: 1})
 	_, err := client.Put(t.Context(), "other", []byte("v"), 0)
 	qt.Assert(t, err, qt.IsNil)
 	_, err = client.Put(t.Context(), "k/1", []byte("v"), 0)
 	qt.Assert(t, err, qt.IsNotNil)
 }
 
-// Calls beyond the rate are refused without effect.
-func TestRates(t *testing.T) {
-	f := &Server{Writes: 1}
-	client := serve(t, f)
+// Calls beyond the rate limit are refused without effect and counted.
+func TestRateLimit(t *testing.T) {
+	s := &Server{Writes: 1}
+	client := serve(t, s)
 	_, err := client.Put(t.Context(), "k", []byte("v"), 0)
 	qt.Assert(t, err, qt.IsNil)
 	_, err = client.Put(t.Context(), "l", []byte("v"), 0)
 	qt.Assert(t, fault.As(err).Verdict, qt.Equals, fault.NotRun)
-	qt.Assert(t, f.Store.Calls()["limited"], qt.Equals, 1)
-	qt.Assert(t, f.Store.CallsBy()["e1"]["put"], qt.Equals, 2)
+	qt.Assert(t, s.Store.Calls()["limited"], qt.Equals, 1)
+	qt.Assert(t, s.Store.CallsBy()["e1"]["put"], qt.Equals, 2)
 }
 
-// A cut entry loses the watch that it is waiting in, and others don't.
-func TestCutEndsWatch(t *testing.T) {
-	f := &Server{}
-	client := serve(t, f)
-	got := make(chan error)
+// Disconnecting an entry host closes the connection of its pending watch at once,
+// not only those of its later calls.
+func TestDisconnectEndsWatch(t *testing.T) {
+	s := &Server{}
+	client := serve(t, s)
+	watchErr := make(chan error)
 	go func() {
 		_, err := client.Watch(context.Background(), "k", 0)
-		got <- err
+		watchErr <- err
 	}()
-	for f.Store.Calls()["list"] == 0 {
+	for s.Store.Calls()["list"] == 0 {
 		runtime.Gosched()
 	}
-	f.Faults.Add(inject.Fault{Kind: Disconnect, Value: "e1"})
-	qt.Assert(t, <-got, qt.IsNotNil)
+	s.Faults.Add(inject.Fault{Kind: Disconnect, Value: "e1"})
+	qt.Assert(t, <-watchErr, qt.IsNotNil)
 }
 
-// Former values and restored copies carry the older version.
-func TestOlder(t *testing.T) {
-	f := &Server{}
-	client := serve(t, f)
+// Stale reads and a restored snapshot return the older value with its version.
+func TestStaleReadsAndRestore(t *testing.T) {
+	s := &Server{}
+	client := serve(t, s)
 	first, err := client.Put(t.Context(), "k", []byte("1"), 0)
 	qt.Assert(t, err, qt.IsNil)
-	f.Store.Snapshot()
+	s.Store.Snapshot()
 	_, err = client.Put(t.Context(), "k", []byte("2"), first)
 	qt.Assert(t, err, qt.IsNil)
-	f.Faults.Add(inject.Fault{Kind: StaleReads})
+	s.Faults.Add(inject.Fault{Kind: StaleReads})
 	o, err := client.Get(t.Context(), "k")
 	qt.Assert(t, err, qt.IsNil)
 	qt.Assert(t, string(o.Value), qt.Equals, "1")
-	f.Faults.Clear()
-	qt.Assert(t, f.Store.Restore(), qt.IsTrue)
+	s.Faults.Clear()
+	qt.Assert(t, s.Store.Restore(), qt.IsTrue)
 	o, err = client.Get(t.Context(), "k")
 	qt.Assert(t, err, qt.IsNil)
 	qt.Assert(t, o.Version, qt.Equals, first)
--- a/stand/internal/plain/fault.go
+++ b/stand/internal/plain/fault.go
@@ -11,86 +11,86 @@
 	"fuchsiashelf.dev/stand/inject"
 )
 
-// The faults of a plain service. Those without a time strike as a call
-// comes in.
+// The faults of a plain service. Where nothing else is said, they apply when a
+// call arrives.
 const (
-	// Refuse: the call is refused with Not-Run; the value is the reason.
+	// Refuse: the call is refused with the Not-Run header; the value is the reason.
 	Refuse inject.Kind = "refuse"
-	// CloseConn: the connection is closed before the call takes effect, as a
-	// server does that closes an idle connection while the call is written.
+	// CloseConn: the connection is closed before the call takes effect, like a
+	// server that closes an idle connection while the call is being written.
 	CloseConn inject.Kind = "close"
-	// DropReply: the call takes effect and the connection is closed
-	// unanswered.
+	// DropReply: the call takes effect and the connection is closed without a
+	// response.
 	DropReply inject.Kind = "drop"
-	// HoldReply: the call takes effect and its answer waits until the faults are
+	// HoldReply: the call takes effect and its response waits until the faults are
 	// cleared.
 	HoldReply inject.Kind = "hold"
-	// Freeze: calls wait without effect while the fault is on.
+	// Freeze: calls wait without effect while the fault is active.
 	Freeze inject.Kind = "freeze"
-	// Exit: the process ends with the call.
+	// Exit: the process exits when a call arrives, before it takes effect.
 	Exit inject.Kind = "die"
-	// Slow: the answer takes the given time longer.
+	// Slow: the response is delayed by the duration that is the value.
 	Slow inject.Kind = "slow"
 )
 
-// deadStatus is the exit status of a process that Die has ended.
-const deadStatus = 3
+// exitStatus is the status that the fault Exit exits with.
+const exitStatus = 3
 
-// before applies the faults that come before the effect. It reports whether
-// the call ends there.
-func (s *Service) before(ctx context.Context, c *app.RequestContext) bool {
-	if f, hit := s.Faults.Trigger(Refuse); hit {
-		why := f.Value
-		if why == "" {
-			why = "leaving"
+// beforeCall applies the faults that come before the call takes effect. It reports
+// whether the call ends there.
+func (s *Service) beforeCall(ctx context.Context, c *app.RequestContext) bool {
+	if f, triggered := s.Faults.Trigger(Refuse); triggered {
+		reason := f.Value
+		if reason == "" {
+			reason = "leaving"
 		}
-		c.Header(wire.NotRunHeader, why)
-		c.String(503, "%s", why)
+		c.Header(wire.NotRunHeader, reason)
+		c.String(503, "%s", reason)
 		return true
 	}
-	if _, hit := s.Faults.Trigger(CloseConn); hit {
-		hangUp(c)
+	if _, triggered := s.Faults.Trigger(CloseConn); triggered {
+		closeConn(c)
 		return true
 	}
-	if _, hit := s.Faults.Trigger(Exit); hit {
-		os.Exit(deadStatus)
+	if _, triggered := s.Faults.Trigger(Exit); triggered {
+		os.Exit(exitStatus)
 	}
 	s.Faults.WaitInactive(ctx, Freeze)
 	return false
 }
 
-// after applies the faults that come between the effect and the answer. It
-// reports whether the call ends there.
-func (s *Service) after(ctx context.Context, c *app.RequestContext) bool {
+// afterCall applies the faults that come between the effect of the call and its
+// response. It reports whether the call ends there.
+func (s *Service) afterCall(ctx context.Context, c *app.RequestContext) bool {
 	released := s.Faults.Cleared()
-	if _, hit := s.Faults.Trigger(HoldReply); hit {
-		wait(ctx, released)
+	if _, triggered := s.Faults.Trigger(HoldReply); triggered {
+		waitReleased(ctx, released)
 	}
-	if f, hit := s.Faults.Trigger(Slow); hit {
-		d, _ := time.ParseDuration(f.Value)
-		timer := time.NewTimer(d)
+	if f, triggered := s.Faults.Trigger(Slow); triggered {
+		delay, _ := time.ParseDuration(f.Value)
+		timer := time.NewTimer(delay)
 		defer timer.Stop()
 		select {
 		case <-timer.C:
 		case <-ctx.Done():
 		}
 	}
-	if _, hit := s.Faults.Trigger(DropReply); hit {
-		hangUp(c)
+	if _, triggered := s.Faults.Trigger(DropReply); triggered {
+		closeConn(c)
 		return true
 	}
 	return false
 }
 
-func wait(ctx context.Context, released <-chan struct{}) {
+func waitReleased(ctx context.Context, released <-chan struct{}) {
 	select {
 	case <-released:
 	case <-ctx.Done():
 	}
 }
 
-// hangUp closes the connection without an answer.
-func hangUp(c *app.RequestContext) {
+// closeConn closes the connection without a response.
+func closeConn(c *app.RequestContext) {
 	_ = c.GetConn().Close()
 	c.Abort()
 }
--- a/stand/internal/plain/plain.go
+++ b/stand/internal/plain/plain.go
@@ -1,5 +1,5 @@
-// Package plain is a stand-in for a plain service, such as a booking service
-// whose calls may not be repeated. It counts each call by its id.
+// Package plain implements a stand-in for a plain service, such as a booking
+// service whose calls must not be repeated. It counts the calls with each id.
 package plain
 
 import (
@@ -13,18 +13,18 @@
 	"fuchsiashelf.dev/stand/inject"
 )
 
-// Service is one stand-in. Set the exported fields before its first request.
+// Service is one plain service. Set the exported fields before its first request.
 type Service struct {
 	Name   string
 	Faults *inject.Set
-	// Deduplicate refuses a call whose id has run before.
+	// Deduplicate makes the service refuse a call whose id has run before.
 	Deduplicate bool
 
 	mu     sync.Mutex
 	counts map[string]int
 }
 
-// reply is the body of an answer: what the service received.
+// reply is the response body. It echoes the request.
 type reply struct {
 	Server string `json:"server"`
 	Method string `json:"method"`
@@ -39,7 +39,7 @@
 	h.Any("/*path", s.call)
 }
 
-// Control adds the calls of the control listener.
+// Control adds the routes of the control listener.
 func (s *Service) Control(h *server.Hertz) {
 	s.Faults.Routes(h)
 	h.GET("/counts", func(_ context.Context, c *app.RequestContext) {
@@ -47,9 +47,8 @@
 	})
 }
 
-// Counts returns how often the call with each id ran, by "team/id", or by
-// the id alone when the call names no team. Calls without an id are counted
-// under the empty one.
+// Counts returns the number of calls by "team/id", or by id for calls without a
+// team. Calls without an id are counted under the empty id.
 func (s *Service) Counts() map[string]int {
 	s.mu.Lock()
 	defer s.mu.Unlock()
@@ -57,16 +56,16 @@
 }
 
 func (s *Service) call(ctx context.Context, c *app.RequestContext) {
-	if s.before(ctx, c) {
+	if s.beforeCall(ctx, c) {
 		return
 	}
 	id := string(c.GetHeader("Idempotency-Key"))
-	n, ok := s.count(string(c.GetHeader(TeamHeader)), id)
+	n, ok := s.countCall(string(c.GetHeader(TeamHeader)), id)
 	if !ok {
 		c.String(409, "id %s has run before", id)
 		return
 	}
-	if s.after(ctx, c) {
+	if s.afterCall(ctx, c) {
 		return
 	}
 	c.JSON(200, reply{
@@ -79,11 +78,12 @@
 	})
 }
 
-// TeamHeader names the team of a call that an entry host passes on.
+// TeamHeader is the header in which an entry host forwards the caller's team.
 const TeamHeader = "Fuchsia-Team"
 
-// count counts a call. It reports false if the guard refuses it.
-func (s *Service) count(team, id string) (int, bool) {
+// countCall counts a call and returns the count of its id. It reports false if
+// Deduplicate refuses the call.
+func (s *Service) countCall(team, id string) (int, bool) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	key := id
--- a/stand/prog/prog.go
+++ b/stand/prog/prog.go
@@ -1,5 +1,5 @@
-// Package prog is the program fsstand: stand-ins for what lies outside the
-// system, one role a process.
+// Package prog implements the program fsstand. Each process is a stand-in for one
+// external dependency of the system: the object API, an engine or a plain service.
 package prog
 
 import (
@@ -23,14 +23,14 @@
 	"fuchsiashelf.dev/stand/internal/plain"
 )
 
-// role is what a stand-in serves.
+// role registers the service routes and the control routes of a stand-in.
 type role interface {
 	Routes(h *server.Hertz)
 	Control(h *server.Hertz)
 }
 
-// grace is how long a stand-in waits for requests in flight when it stops.
-const grace = 200 * time.Millisecond
+// shutdownTimeout is how long a stopping stand-in waits for requests in flight.
+const shutdownTimeout = 200 * time.Millisecond
 
 // Main runs the program until the context ends and returns its exit status.
 func Main(ctx context.Context, args []string, _ io.Reader, stdout, stderr io.Writer) int {
@@ -65,62 +65,63 @@
 	return []ff.Option{ff.WithEnvVarPrefix("FSSTAND")}
 }
 
-// shell holds the settings that all roles share.
-type shell struct {
+// common holds the settings that all roles have.
+type common struct {
 	name, listen, control string
 	stdout                io.Writer
 }
 
-func (s *shell) register(fs *flag.FlagSet) {
-	fs.StringVar(&s.name, "name", "stand", "name of this backend server")
-	fs.StringVar(&s.listen, "listen", "127.0.0.1:0", "address to serve on")
-	fs.StringVar(&s.control, "control", "127.0.0.1:0", "address for switching faults")
+func (c *common) register(fs *flag.FlagSet) {
+	fs.StringVar(&c.name, "name", "stand", "name of this backend server")
+	fs.StringVar(&c.listen, "listen", "127.0.0.1:0", "address to serve on")
+	fs.StringVar(&c.control, "control", "127.0.0.1:0", "address for switching faults")
 }
 
-// serve runs a role on both listeners and says where on standard output.
-func (s *shell) serve(ctx context.Context, r role) error {
-	front, err := net.Listen("tcp", s.listen)
+// serve runs a role on its service and control listeners and prints their addresses
+// to standard output.
+func (c *common) serve(ctx context.Context, r role) error {
+	serviceListener, err := net.Listen("tcp", c.listen)
 	if err != nil {
 		return err
 	}
-	back, err := net.Listen("tcp", s.control)
+	controlListener, err := net.Listen("tcp", c.control)
 	if err != nil {
 		return err
 	}
-	serve := &httpd.Server{Listener: front}
-	serve.Init()
-	r.Routes(serve.Hertz)
-	control := &httpd.Server{Listener: back}
+	service := &httpd.Server{Listener: serviceListener}
+	service.Init()
+	r.Routes(service.Hertz)
+	control := &httpd.Server{Listener: controlListener}
 	control.Init()
 	r.Control(control.Hertz)
-	fmt.Fprintf(s.stdout, "ready serve=%s control=%s\n", front.Addr(), back.Addr())
-	failed := make(chan error, 2)
-	go func() { failed <- serve.Run(ctx, grace) }()
-	go func() { failed <- control.Run(ctx, grace) }()
-	return errors.Join(<-failed, <-failed)
+	fmt.Fprintf(c.stdout, "ready serve=%s control=%s\n", serviceListener.Addr(), controlListener.Addr())
+	errs := make(chan error, 2)
+	go func() { errs <- service.Run(ctx, shutdownTimeout) }()
+	go func() { errs <- control.Run(ctx, shutdownTimeout) }()
+	return errors.Join(<-errs, <-errs)
 }
 
 func storeCommand(stdout, stderr io.Writer) *ffcli.Command {
-	s := &shell{stdout: stdout}
+	c := &common{stdout: stdout}
 	fs := flags("fsstand store", stderr)
-	s.register(fs)
-	f := &object.Server{Store: object.New(), Faults: &inject.Set{}}
-	fs.IntVar(&f.Writes, "writes", 0, "writes a second that it takes; 0 means any number")
-	fs.IntVar(&f.Reads, "reads", 0, "reads a second that it takes, each wait counted once; 0 means any number")
-	fs.DurationVar(&f.HostLag, "host-lag", 0, "how far the host list lags behind")
+	c.register(fs)
+	objects := &object.Server{Store: object.New(), Faults: &inject.Set{}}
+	fs.IntVar(&objects.Writes, "writes", 0, "writes a second that it takes; 0 means any number")
+	fs.IntVar(&objects.Reads, "reads", 0, "reads a second that it takes, each wait counted once; 0 means any number")
+	fs.DurationVar(&objects.HostLag, "host-lag", 0, "how far the host list lags behind")
 	return &ffcli.Command{
 		Name: "store", ShortUsage: "fsstand store [flags]", FlagSet: fs, Options: options(),
 		ShortHelp: "the platform's object API and host list",
 		Exec: func(ctx context.Context, _ []string) error {
-			return s.serve(ctx, f)
+			return c.serve(ctx, objects)
 		},
 	}
 }
 
 func engineCommand(stdout, stderr io.Writer) *ffcli.Command {
-	s := &shell{stdout: stdout}
+	c := &common{stdout: stdout}
 	fs := flags("fsstand engine", stderr)
-	s.register(fs)
+	c.register(fs)
 	e := &engine.Engine{Faults: &inject.Set{}}
 	fs.StringVar(&e.Model, "model", "lotus", "model whose layers it holds")
 	fs.IntVar(&e.First, "first", 0, "first layer")
@@ -141,25 +142,25 @@
 			if e.Links, err = engine.ParseLinks(*links); err != nil {
 				return fmt.Errorf("-links: %w", err)
 			}
-			e.Name = s.name
-			go e.Run(ctx)
-			return s.serve(ctx, e)
+			e.Name = c.name
+			go e.RecordReports(ctx)
+			return c.serve(ctx, e)
 		},
 	}
 }
 
 func plainCommand(stdout, stderr io.Writer) *ffcli.Command {
-	s := &shell{stdout: stdout}
+	c := &common{stdout: stdout}
 	fs := flags("fsstand plain", stderr)
-	s.register(fs)
+	c.register(fs)
 	p := &plain.Service{Faults: &inject.Set{}}
 	fs.BoolVar(&p.Deduplicate, "guard", false, "refuse an id that has run before")
 	return &ffcli.Command{
 		Name: "plain", ShortUsage: "fsstand plain [flags]", FlagSet: fs, Options: options(),
 		ShortHelp: "a plain service",
 		Exec: func(ctx context.Context, _ []string) error {
-			p.Name = s.name
-			return s.serve(ctx, p)
+			p.Name = c.name
+			return c.serve(ctx, p)
 		},
 	}
 }
--- a/stand/token/token.go
+++ b/stand/token/token.go
@@ -1,8 +1,8 @@
-// Package token derives the tokens that the stand-in engines generate.
+// Package token computes the tokens that the stand-in engines generate.
 //
-// Each layer folds its number into a running state, and the state after the
-// last layer is the token. So a layer that is left out, doubled, out of order
-// or wrong changes the token, and a test compares answers with [Answer].
+// Each layer hashes its number into a running state, and the state after the
+// last layer is the token. A layer that is omitted, repeated, out of order or
+// wrong changes the token, and a test compares answers with [Answer].
 package token
 
 import (
@@ -11,15 +11,15 @@
 	"github.com/cespare/xxhash/v2"
 )
 
-// State is the activation that servers hand on to each other.
+// State is the activation that each stage passes to the next.
 type State uint64
 
-// Start returns the state before the first layer for one token of an answer.
+// Start returns the state before the first layer for the token at an index.
 func Start(prompt string, index int) State {
 	return State(xxhash.Sum64String(fmt.Sprintf("%s\x00%d", prompt, index)))
 }
 
-// Apply folds the layers [first, end) into the state.
+// Apply runs the layers [first, end) and returns the new state.
 func (s State) Apply(first, end int) State {
 	const prime = 1099511628211
 	for layer := first; layer < end; layer++ {
@@ -29,12 +29,12 @@
 	return s
 }
 
-// Token returns the token of a state that has passed all layers.
+// Token returns the token of a state after the last layer.
 func (s State) Token() string {
 	return fmt.Sprintf("%016x", uint64(s))
 }
 
-// Answer returns the tokens of a whole answer.
+// Answer returns the tokens of a complete answer.
 func Answer(prompt string, layers, count int) []string {
 	tokens := make([]string, count)
 	for i := range tokens {
