--- a/load/cmd/fsload/main.go
+++ b/load/cmd/fsload/main.go
@@ -1,4 +1,4 @@
-// Command fsload loads the system and measures it.
+// Command fsload generates load on the system and measures its responses.
 package main
 
 import (
--- a/load/internal/call/call.go
+++ b/load/internal/call/call.go
@@ -1,4 +1,4 @@
-// Package call makes the calls of a load run and judges their answers.
+// Package call makes the calls of a load run and checks their answers.
 package call
 
 import (
@@ -10,60 +10,61 @@
 	"fuchsiashelf.dev/load/internal/plan"
 )
 
-// Result says what became of a call.
+// Result classifies the outcome of a call.
 type Result uint8
 
-// The grades.
+// The results of calls.
 const (
-	// Complete: the caller got its own whole and correct answer.
+	// Complete: the caller got its own complete and correct answer.
 	Complete Result = iota
-	// Refused: an error came and no part of an answer.
+	// Refused: an error came instead of an answer.
 	Refused
-	// Failed: an error came after a part of the answer.
+	// Failed: an error event came in the stream of an answer.
 	Failed
-	// Lost: the connection ended with neither an answer nor an error.
+	// Lost: the connection ended without a complete answer or an error.
 	Lost
-	// Wrong: an answer came that is not the caller's own whole one.
+	// Wrong: the answer is incorrect, too short or another caller's.
 	Wrong
 )
 
-// Outcome is what became of one call.
+// Outcome is the outcome of one call.
 type Outcome struct {
 	Result Result
-	// Code and Verdict are those of an error.
+	// Code and Verdict are the code and verdict of an error.
 	Code, Verdict string
 	// Entry is the entry host that was called.
 	Entry string
 }
 
-// TokenObserver is told of each token as it arrives.
+// TokenObserver is notified of each token as it arrives.
 type TokenObserver interface {
 	Token(at time.Time)
 }
 
 // Caller makes calls. Set the exported fields before first use.
 type Caller struct {
-	// Entries are callers' addresses of entry hosts; calls go round them.
+	// Entries are the callers' addresses of entry hosts, called round-robin.
 	Entries []string
-	// Service is the model service asked for.
+	// Service is the model service to call.
 	Service string
-	// Layers is the number of layers of the model, to check tokens with.
+	// Layers is the number of layers of the model, to check tokens with; zero
+	// means no check.
 	Layers int
 	// Plain describes the plain calls.
 	Plain Plain
-	// Timeout bounds one call.
+	// Timeout is the longest duration of one call.
 	Timeout time.Duration
 }
 
 // Plain describes the plain calls of a run.
 type Plain struct {
 	Method, URI string
-	// ID says that each call carries an id of its own.
+	// ID sends a unique idempotency key with each call.
 	ID bool
 }
 
-// maxIdle bounds the idle connections kept to one entry host. It lies above
-// the open calls of any run here, so that a call seldom has to dial.
+// maxIdle is the most idle connections kept to one entry host. It is the default of
+// -max-open, so that a call seldom has to dial.
 const maxIdle = 4096
 
 var client = &http.Client{Transport: &http.Transport{
@@ -73,22 +74,23 @@
 	DisableCompression:  true,
 }}
 
-// Do makes the call of a shot and judges the answer.
-func (c *Caller) Do(ctx context.Context, shot plan.Arrival, watch TokenObserver) Outcome {
+// Do makes the call of an arrival and checks the answer.
+func (c *Caller) Do(ctx context.Context, arrival plan.Arrival, observer TokenObserver) Outcome {
 	ctx, cancel := context.WithTimeout(ctx, c.Timeout)
 	defer cancel()
-	entry := c.Entries[shot.Serial%len(c.Entries)]
-	var o Outcome
-	if shot.Plain {
-		o = c.plain(ctx, entry, shot, watch)
+	entry := c.Entries[arrival.Serial%len(c.Entries)]
+	var outcome Outcome
+	if arrival.Plain {
+		outcome = c.plain(ctx, entry, arrival, observer)
 	} else {
-		o = c.generate(ctx, entry, shot, watch)
+		outcome = c.generate(ctx, entry, arrival, observer)
 	}
-	o.Entry = entry
-	return o
+	outcome.Entry = entry
+	return outcome
 }
 
-// bearer returns the bearer token of a team in the stand-in book of teams.
-func bearer(team string) string {
+// authorization returns the Authorization header of a team. Sessions configure the
+// API token "token-TEAM" for each team.
+func authorization(team string) string {
 	return "Bearer token-" + team
 }
--- a/load/internal/call/call_test.go
+++ b/load/internal/call/call_test.go
@@ -19,9 +19,10 @@
 
 const layers = 24
 
-type watch struct{ tokens int }
+// tokenCounter is a call.TokenObserver that counts tokens.
+type tokenCounter struct{ tokens int }
 
-func (w *watch) Token(time.Time) { w.tokens++ }
+func (c *tokenCounter) Token(time.Time) { c.tokens++ }
 
 func events(lines ...string) string {
 	return strings.Join(lines, "\n\n") + "\n\n"
@@ -31,13 +32,13 @@
 	return "event: " + kind + "\ndata: " + data
 }
 
-// Answers that are late, crossed or cut look like answers. The load run must
-// not take any of them for goodput, or its figures hide the very failures
-// that callers suffer.
-func TestAnswersAreJudged(t *testing.T) {
-	right := token.Answer("p", layers, 2)
+// A truncated answer, or one with wrong or repeated tokens, looks like a valid
+// stream. The load run must not count it as goodput, or its report would hide
+// failures.
+func TestIncorrectAnswersAreDetected(t *testing.T) {
+	correct := token.Answer("p", layers, 2)
 	tokens := []string{}
-	for i, text := range right {
+	for i, text := range correct {
 		tokens = append(tokens, event("token", fmt.Sprintf(`{"index":%d,"token":%q}`, i, text)))
 	}
 	end := event("end", `{"count":2}`)
@@ -46,11 +47,11 @@
 		status     int
 		want       call.Outcome
 	}{
-		{"whole", events(tokens[0], tokens[1], end), 200, call.Outcome{Result: call.Complete}},
-		{"cut", events(tokens[0], tokens[1]), 200, call.Outcome{Result: call.Lost}},
+		{"complete", events(tokens[0], tokens[1], end), 200, call.Outcome{Result: call.Complete}},
+		{"truncated", events(tokens[0], tokens[1]), 200, call.Outcome{Result: call.Lost}},
 		{"short", events(tokens[0], event("end", `{"count":1}`)), 200, call.Outcome{Result: call.Wrong}},
-		{"crossed", events(event("token", `{"index":0,"token":"x"}`), tokens[1], end), 200, call.Outcome{Result: call.Wrong}},
-		{"doubled", events(tokens[0], tokens[0], tokens[1], end), 200, call.Outcome{Result: call.Wrong}},
+		{"wrong token", events(event("token", `{"index":0,"token":"x"}`), tokens[1], end), 200, call.Outcome{Result: call.Wrong}},
+		{"repeated", events(tokens[0], tokens[0], tokens[1], end), 200, call.Outcome{Result: call.Wrong}},
 		{
 			"failed", events(tokens[0], event("error", `{"code":"server-failed","verdict":"may-have-run"}`)), 200,
 			call.Outcome{Result: call.Failed, Code: "server-failed", Verdict: "may-have-run"},
@@ -70,19 +71,19 @@
 			defer s.Close()
 			entry := s.Listener.Addr().String()
 			caller := &call.Caller{Entries: []string{entry}, Service: "assist", Layers: layers, Timeout: time.Minute}
-			got := caller.Do(context.Background(), plan.Arrival{Team: "cantata", Prompt: "p", Tokens: 2}, &watch{})
+			got := caller.Do(context.Background(), plan.Arrival{Team: "cantata", Prompt: "p", Tokens: 2}, &tokenCounter{})
 			test.want.Entry = entry
 			c.Assert(got, qt.Equals, test.want)
 		})
 	}
 }
 
-func TestPlainAnswersOfAnotherCallerAreWrong(t *testing.T) {
+func TestPlainResponseOfAnotherCallerIsWrong(t *testing.T) {
 	c := qt.New(t)
-	mine := true
+	own := true
 	s := httptest.NewServer(http.HandlerFunc(func(w http.ResponseWriter, r *http.Request) {
 		body, _ := io.ReadAll(r.Body)
-		if !mine {
+		if !own {
 			body = []byte("another")
 		}
 		fmt.Fprintf(w, `{"body":%q}`, body)
@@ -92,8 +93,8 @@
 		Entries: []string{s.Listener.Addr().String()}, Timeout: time.Minute,
 		Plain: call.Plain{Method: http.MethodPost, URI: "/booking/x", ID: true},
 	}
-	shot := plan.Arrival{Plain: true, Team: "cantata", Serial: 3}
-	c.Assert(caller.Do(context.Background(), shot, &watch{}).Result, qt.Equals, call.Complete)
-	mine = false
-	c.Assert(caller.Do(context.Background(), shot, &watch{}).Result, qt.Equals, call.Wrong)
+	arrival := plan.Arrival{Plain: true, Team: "cantata", Serial: 3}
+	c.Assert(caller.Do(context.Background(), arrival, &tokenCounter{}).Result, qt.Equals, call.Complete)
+	own = false
+	c.Assert(caller.Do(context.Background(), arrival, &tokenCounter{}).Result, qt.Equals, call.Wrong)
 }
--- a/load/internal/call/generate.go
+++ b/load/internal/call/generate.go
@@ -15,14 +15,14 @@
 	"fuchsiashelf.dev/stand/token"
 )
 
-// body is a model request.
-type body struct {
+// generateRequest is the body of a model request.
+type generateRequest struct {
 	Service string `json:"service"`
 	Prompt  string `json:"prompt"`
 	Max     int    `json:"max"`
 }
 
-// event is the data of any event of an answer.
+// event is the data of an event of any type, and the body of an error response.
 type event struct {
 	Index   int    `json:"index"`
 	Token   string `json:"token"`
@@ -31,52 +31,53 @@
 	Verdict string `json:"verdict"`
 }
 
-func (c *Caller) generate(ctx context.Context, entry string, shot plan.Arrival, watch TokenObserver) Outcome {
-	value, err := json.Marshal(body{c.Service, shot.Prompt, shot.Tokens})
+// generate makes a model call.
+func (c *Caller) generate(ctx context.Context, entry string, arrival plan.Arrival, observer TokenObserver) Outcome {
+	encoded, err := json.Marshal(generateRequest{c.Service, arrival.Prompt, arrival.Tokens})
 	if err != nil {
 		return Outcome{Result: Lost, Code: err.Error()}
 	}
 	url := "http://" + entry + "/v1/generate"
-	req, err := http.NewRequestWithContext(ctx, http.MethodPost, url, bytes.NewReader(value))
+	req, err := http.NewRequestWithContext(ctx, http.MethodPost, url, bytes.NewReader(encoded))
 	if err != nil {
 		return Outcome{Result: Lost, Code: err.Error()}
 	}
-	req.Header.Set("Authorization", bearer(shot.Team))
+	req.Header.Set("Authorization", authorization(arrival.Team))
 	resp, err := client.Do(req)
 	if err != nil {
 		return Outcome{Result: Lost}
 	}
 	defer resp.Body.Close()
 	if resp.StatusCode != http.StatusOK {
-		return refused(resp)
+		return readRefusal(resp)
 	}
-	r := &reading{shot: shot, layers: c.Layers, watch: watch}
+	r := &answerReader{arrival: arrival, layers: c.Layers, observer: observer}
 	return r.read(resp.Body)
 }
 
-// refused reads the error of an answer that has no token.
-func refused(resp *http.Response) Outcome {
+// readRefusal reads an error response.
+func readRefusal(resp *http.Response) Outcome {
 	var e event
-	value, err := io.ReadAll(resp.Body)
-	if err != nil || json.Unmarshal(value, &e) != nil || e.Code == "" {
+	data, err := io.ReadAll(resp.Body)
+	if err != nil || json.Unmarshal(data, &e) != nil || e.Code == "" {
 		return Outcome{Result: Lost}
 	}
 	return Outcome{Result: Refused, Code: e.Code, Verdict: e.Verdict}
 }
 
-// reading is the state of an answer under way.
-type reading struct {
-	shot   plan.Arrival
-	layers int
-	watch  TokenObserver
+// answerReader reads and checks one streamed answer.
+type answerReader struct {
+	arrival  plan.Arrival
+	layers   int
+	observer TokenObserver
 
-	tokens int
-	done   bool
-	out    Outcome
+	tokens  int
+	done    bool
+	outcome Outcome
 }
 
-// read follows the events until the answer ends.
-func (r *reading) read(stream io.Reader) Outcome {
+// read reads events until the answer ends.
+func (r *answerReader) read(stream io.Reader) Outcome {
 	resp := &protocol.Response{}
 	resp.Header.SetContentType("text/event-stream")
 	resp.SetBodyStream(stream, -1)
@@ -90,13 +91,13 @@
 		if err := events.Read(e); err != nil {
 			return Outcome{Result: Lost}
 		}
-		r.take(e)
+		r.handle(e)
 	}
-	return r.out
+	return r.outcome
 }
 
-// take judges one event. Nothing that comes after the end is looked at.
-func (r *reading) take(e *sse.Event) {
+// handle checks one event. Events after the end are not read.
+func (r *answerReader) handle(e *sse.Event) {
 	var data event
 	if err := json.Unmarshal(e.Data, &data); err != nil {
 		r.end(Outcome{Result: Wrong})
@@ -104,13 +105,13 @@
 	}
 	switch e.Type {
 	case "token":
-		r.watch.Token(time.Now())
-		if data.Index != r.tokens || !r.right(data) {
+		r.observer.Token(time.Now())
+		if data.Index != r.tokens || !r.isCorrect(data) {
 			r.end(Outcome{Result: Wrong})
 		}
 		r.tokens++
 	case "end":
-		if data.Count != r.shot.Tokens || r.tokens != r.shot.Tokens {
+		if data.Count != r.arrival.Tokens || r.tokens != r.arrival.Tokens {
 			r.end(Outcome{Result: Wrong})
 			return
 		}
@@ -120,15 +121,15 @@
 	}
 }
 
-// right compares a token with the one that all layers give.
-func (r *reading) right(data event) bool {
+// isCorrect compares a token with the token that all layers compute.
+func (r *answerReader) isCorrect(data event) bool {
 	if r.layers == 0 {
 		return true
 	}
-	return token.Start(r.shot.Prompt, data.Index).Apply(0, r.layers).Token() == data.Token
+	return token.Start(r.arrival.Prompt, data.Index).Apply(0, r.layers).Token() == data.Token
 }
 
-func (r *reading) end(o Outcome) {
+func (r *answerReader) end(o Outcome) {
 	r.done = true
-	r.out = o
+	r.outcome = o
 }
--- a/load/internal/call/plain.go
+++ b/load/internal/call/plain.go
@@ -12,23 +12,24 @@
 	"fuchsiashelf.dev/load/internal/plan"
 )
 
-// echo is the part of a plain stand-in's answer that tells whose it is.
+// echo is the part of a plain response that shows whose request it answers.
 type echo struct {
 	Body string `json:"body"`
 }
 
-func (c *Caller) plain(ctx context.Context, entry string, shot plan.Arrival, watch TokenObserver) Outcome {
-	mark := fmt.Sprintf("call %d of %s", shot.Serial, shot.Team)
+// plain makes a plain call.
+func (c *Caller) plain(ctx context.Context, entry string, arrival plan.Arrival, observer TokenObserver) Outcome {
+	want := fmt.Sprintf("call %d of %s", arrival.Serial, arrival.Team)
 	url := "http://" + entry + c.Plain.URI
-	req, err := http.NewRequestWithContext(ctx, c.Plain.Method, url, strings.NewReader(mark))
+	req, err := http.NewRequestWithContext(ctx, c.Plain.Method, url, strings.NewReader(want))
 	if err != nil {
 		return Outcome{Result: Lost, Code: err.Error()}
 	}
-	// A body that cannot be read twice keeps net/http from resending.
+	// Without GetBody net/http can't send the request a second time.
 	req.GetBody = nil
-	req.Header.Set("Authorization", bearer(shot.Team))
+	req.Header.Set("Authorization", authorization(arrival.Team))
 	if c.Plain.ID {
-		req.Header.Set("Idempotency-Key", fmt.Sprintf("load-%d-%d", time.Now().UnixNano(), shot.Serial))
+		req.Header.Set("Idempotency-Key", fmt.Sprintf("load-%d-%d", time.Now().UnixNano(), arrival.Serial))
 	}
 	resp, err := client.Do(req)
 	if err != nil {
@@ -36,15 +37,15 @@
 	}
 	defer resp.Body.Close()
 	if resp.StatusCode != http.StatusOK {
-		return refused(resp)
+		return readRefusal(resp)
 	}
 	var got echo
-	value, err := io.ReadAll(resp.Body)
+	body, err := io.ReadAll(resp.Body)
 	if err != nil {
 		return Outcome{Result: Lost}
 	}
-	watch.Token(time.Now())
-	if json.Unmarshal(value, &got) != nil || got.Body != mark {
+	observer.Token(time.Now())
+	if json.Unmarshal(body, &got) != nil || got.Body != want {
 		return Outcome{Result: Wrong}
 	}
 	return Outcome{Result: Complete}
--- a/load/internal/plan/mix.go
+++ b/load/internal/plan/mix.go
@@ -13,15 +13,15 @@
 	Weight float64
 }
 
-// Mix is a set of alternatives that are drawn by weight.
+// Mix is a set of choices that are drawn by weight.
 type Mix []Choice
 
-// ParseMix reads "cantata:10,lyra:1"; a part without a weight weighs 1.
+// ParseMix parses "cantata:10,lyra:1". The default weight is 1.
 func ParseMix(text string) (Mix, error) {
 	var m Mix
 	for part := range strings.SplitSeq(text, ",") {
-		name, weight, weighed := strings.Cut(part, ":")
-		if !weighed {
+		name, weight, found := strings.Cut(part, ":")
+		if !found {
 			weight = "1"
 		}
 		value, err := strconv.ParseFloat(weight, 64)
@@ -33,17 +33,17 @@
 	return m, nil
 }
 
-func (m Mix) draw(r *rand.Rand) string {
+func (m Mix) draw(rng *rand.Rand) string {
 	total := 0.0
-	for _, p := range m {
-		total += p.Weight
+	for _, choice := range m {
+		total += choice.Weight
 	}
-	at := r.Float64() * total
-	for _, p := range m {
-		if at < p.Weight {
-			return p.Name
+	pick := rng.Float64() * total
+	for _, choice := range m {
+		if pick < choice.Weight {
+			return choice.Name
 		}
-		at -= p.Weight
+		pick -= choice.Weight
 	}
 	return m[len(m)-1].Name
 }
@@ -54,19 +54,19 @@
 	tokens map[string]int
 }
 
-// ParseSizes reads "16" or "16:3,64:1".
+// ParseSizes parses "16" or "16:3,64:1".
 func ParseSizes(text string) (Sizes, error) {
 	mix, err := ParseMix(text)
 	if err != nil {
 		return Sizes{}, err
 	}
 	s := Sizes{mix: mix, tokens: map[string]int{}}
-	for _, p := range mix {
-		n, err := strconv.Atoi(p.Name)
+	for _, choice := range mix {
+		n, err := strconv.Atoi(choice.Name)
 		if err != nil || n < 1 {
-			return Sizes{}, fmt.Errorf("tokens: %q is not a number above 0", p.Name)
+			return Sizes{}, fmt.Errorf("tokens: %q is not a number above 0", choice.Name)
 		}
-		s.tokens[p.Name] = n
+		s.tokens[choice.Name] = n
 	}
 	return s, nil
 }
--- a/load/internal/plan/plan_test.go
+++ b/load/internal/plan/plan_test.go
@@ -21,7 +21,7 @@
 	return &plan.Plan{Seed: 7, Ramp: ramp, Duration: 100 * time.Second, Teams: teams, Sizes: sizes, Prompts: 5}
 }
 
-func TestShotsRepeatWithTheSeed(t *testing.T) {
+func TestArrivalsRepeatWithTheSeed(t *testing.T) {
 	c := qt.New(t)
 	p := newPlan(c, "20")
 	first, second := slices.Collect(p.Arrivals()), slices.Collect(p.Arrivals())
@@ -30,24 +30,25 @@
 	c.Assert(slices.Collect(p.Arrivals()), qt.Not(qt.DeepEquals), first)
 }
 
-func TestShotsFollowRateAndWeights(t *testing.T) {
+func TestArrivalsFollowRateAndWeights(t *testing.T) {
 	c := qt.New(t)
 	p := newPlan(c, "0s:0,100s:40")
-	shots := slices.Collect(p.Arrivals())
-	half := slices.IndexFunc(shots, func(s plan.Arrival) bool { return s.At > 50*time.Second })
-	// A ramp from 0 to 40 sends 2,000, a quarter of them in the first half.
-	c.Assert(len(shots) > 1850 && len(shots) < 2150, qt.IsTrue, qt.Commentf("%d", len(shots)))
+	arrivals := slices.Collect(p.Arrivals())
+	half := slices.IndexFunc(arrivals, func(a plan.Arrival) bool { return a.At > 50*time.Second })
+	// A ramp from 0 to 40 per second gives 2,000 arrivals in 100 s, a quarter of
+	// them in the first half.
+	c.Assert(len(arrivals) > 1850 && len(arrivals) < 2150, qt.IsTrue, qt.Commentf("%d", len(arrivals)))
 	c.Assert(half > 420 && half < 580, qt.IsTrue, qt.Commentf("%d", half))
-	small := 0
-	for _, s := range shots {
-		if s.Team == "lyra" {
-			small++
+	lyraCount := 0
+	for _, a := range arrivals {
+		if a.Team == "lyra" {
+			lyraCount++
 		}
 	}
-	c.Assert(small > 140 && small < 225, qt.IsTrue, qt.Commentf("%d", small))
+	c.Assert(lyraCount > 140 && lyraCount < 225, qt.IsTrue, qt.Commentf("%d", lyraCount))
 }
 
-func TestShotsAreBounded(t *testing.T) {
+func TestLimitBoundsArrivals(t *testing.T) {
 	c := qt.New(t)
 	p := newPlan(c, "1000")
 	p.Limit = 17
@@ -72,7 +73,7 @@
 	})
 }
 
-func TestBadPlansAreRefused(t *testing.T) {
+func TestInvalidSettingsAreRefused(t *testing.T) {
 	c := qt.New(t)
 	for _, text := range []string{"", "x", "-1", "5s:1,5s:2", "5s:1,2s:3", "q:1"} {
 		_, err := plan.ParseRamp(text)
--- a/load/internal/plan/ramp.go
+++ b/load/internal/plan/ramp.go
@@ -7,22 +7,23 @@
 	"time"
 )
 
-// Point is the arrival rate at one moment, in requests per second.
+// Point is the arrival rate at one time, in requests per second.
 type Point struct {
 	At   time.Duration
 	Rate float64
 }
 
-// Ramp is an arrival rate that changes linearly from point to point. Before
-// the first point and after the last it stays as it is there.
+// Ramp is an arrival rate that is interpolated linearly between points. Before the
+// first point and after the last the rate is constant.
 type Ramp []Point
 
-// ParseRamp reads "200" or "0s:100,10s:200,20s:50".
+// ParseRamp parses a constant rate, as in "200", or points, as in
+// "0s:100,10s:200,20s:50".
 func ParseRamp(text string) (Ramp, error) {
 	var r Ramp
 	for part := range strings.SplitSeq(text, ",") {
-		at, rate, timed := strings.Cut(part, ":")
-		if !timed {
+		at, rate, found := strings.Cut(part, ":")
+		if !found {
 			at, rate = "0s", part
 		}
 		p, err := parsePoint(at, rate)
@@ -49,7 +50,7 @@
 	return Point{At: when, Rate: value}, nil
 }
 
-// Rate returns the rate at a moment.
+// Rate returns the rate at a time.
 func (r Ramp) Rate(at time.Duration) float64 {
 	for i, p := range r {
 		if at >= p.At {
@@ -59,8 +60,8 @@
 			return p.Rate
 		}
 		before := r[i-1]
-		part := float64(at-before.At) / float64(p.At-before.At)
-		return before.Rate + part*(p.Rate-before.Rate)
+		fraction := float64(at-before.At) / float64(p.At-before.At)
+		return before.Rate + fraction*(p.Rate-before.Rate)
 	}
 	if len(r) == 0 {
 		return 0
--- a/load/internal/stats/tally_test.go
+++ b/load/internal/stats/recorder_test.go
@@ -12,33 +12,32 @@
 	"fuchsiashelf.dev/load/internal/stats"
 )
 
-var began = time.Unix(1000, 0)
+var startedAt = time.Unix(1000, 0)
 
 func at(ms int) time.Time {
-	return began.Add(time.Duration(ms) * time.Millisecond)
+	return startedAt.Add(time.Duration(ms) * time.Millisecond)
 }
 
-func newTally() *stats.Recorder {
+func newRecorder() *stats.Recorder {
 	t := &stats.Recorder{Warmup: time.Second, Duration: 3 * time.Second, Tick: 500 * time.Millisecond}
-	t.Start(began)
+	t.Start(startedAt)
 	return t
 }
 
-func shot(ms int) plan.Arrival {
+func arrival(ms int) plan.Arrival {
 	return plan.Arrival{At: time.Duration(ms) * time.Millisecond, Team: "cantata", Tokens: 2}
 }
 
-// A sender that falls behind sends a call late. The caller of a real service
-// would have waited all that time, so the time counts from the moment when
-// the call was meant to be sent.
-func TestTimesCountFromTheIntendedSend(t *testing.T) {
+// When the sender falls behind, a call is sent late. Its latency must include that
+// delay, or the report would omit the longest waits (coordinated omission).
+func TestLatencyCountsFromScheduledSend(t *testing.T) {
 	c := qt.New(t)
-	sums := newTally()
-	s := sums.Open(shot(1500), at(1900))
+	recorder := newRecorder()
+	s := recorder.Open(arrival(1500), at(1900))
 	s.Token(at(2000))
 	s.Token(at(2030))
 	s.Close(call.Outcome{Result: call.Complete}, at(2040))
-	r := sums.Report()
+	r := recorder.Report()
 	c.Assert(r.First.Max > 499 && r.First.Max < 501, qt.IsTrue, qt.Commentf("%v", r.First))
 	c.Assert(r.Late.Max > 399 && r.Late.Max < 401, qt.IsTrue)
 	c.Assert(r.Gap.Max > 29 && r.Gap.Max < 31, qt.IsTrue)
@@ -46,52 +45,53 @@
 	c.Assert(r.TokensPerSecond, qt.Equals, 1.0)
 }
 
-// An answer that breaks off after some tokens is worth nothing to its caller,
-// so its tokens are no goodput.
-func TestOnlyWholeAnswersAreGoodput(t *testing.T) {
+// An answer that fails after some tokens is useless to its caller, so its tokens
+// must not count as goodput.
+func TestOnlyCompleteAnswersAreGoodput(t *testing.T) {
 	c := qt.New(t)
-	sums := newTally()
-	s := sums.Open(shot(1500), at(1500))
+	recorder := newRecorder()
+	s := recorder.Open(arrival(1500), at(1500))
 	s.Token(at(1600))
 	s.Close(call.Outcome{Result: call.Failed, Code: "server-failed", Verdict: "may-have-run"}, at(1700))
-	sums.Open(shot(1600), at(1600)).Close(
+	recorder.Open(arrival(1600), at(1600)).Close(
 		call.Outcome{Result: call.Refused, Code: "overloaded", Verdict: "not-run"}, at(1601))
-	r := sums.Report()
+	r := recorder.Report()
 	c.Assert(r.TokensPerSecond, qt.Equals, 0.0)
 	c.Assert(r.Failed, qt.Equals, 1)
 	c.Assert(r.Refused, qt.Equals, 1)
 	c.Assert(r.Codes, qt.DeepEquals, map[string]int{"server-failed may-have-run": 1, "overloaded not-run": 1})
 }
 
-func TestWarmUpIsNotCounted(t *testing.T) {
+func TestWarmupIsNotMeasured(t *testing.T) {
 	c := qt.New(t)
-	sums := newTally()
-	s := sums.Open(shot(900), at(900))
+	recorder := newRecorder()
+	s := recorder.Open(arrival(900), at(900))
 	s.Token(at(950))
 	s.Token(at(1050))
 	s.Close(call.Outcome{Result: call.Complete}, at(1100))
-	r := sums.Report()
+	r := recorder.Report()
 	c.Assert(r.Offered, qt.Equals, 0)
 	c.Assert(r.TokensPerSecond, qt.Equals, 0.5)
 	c.Assert(r.Series[1].Tokens, qt.Equals, 1)
 	c.Assert(r.Series[2].Tokens, qt.Equals, 1)
 }
 
-func TestFaultsShowTheNextTokenOfOpenStreams(t *testing.T) {
+func TestFaultImpactCoversOpenStreams(t *testing.T) {
 	c := qt.New(t)
-	sums := newTally()
-	open, dead, later := sums.Open(shot(1000), at(1000)), sums.Open(shot(1000), at(1000)), sums.Open(shot(2100), at(2100))
+	recorder := newRecorder()
+	open, ended, later := recorder.Open(arrival(1000), at(1000)), recorder.Open(arrival(1000), at(1000)),
+		recorder.Open(arrival(2100), at(2100))
 	open.Token(at(1990))
-	dead.Token(at(1990))
-	sums.Fault("2s kill", at(2000))
+	ended.Token(at(1990))
+	recorder.Fault("2s kill", at(2000))
 	open.Token(at(2080))
 	open.Token(at(2090))
-	dead.Close(call.Outcome{Result: call.Lost}, at(2200))
+	ended.Close(call.Outcome{Result: call.Lost}, at(2200))
 	later.Token(at(2110))
 	later.Token(at(2120))
-	r := sums.Report()
+	r := recorder.Report()
 	c.Assert(r.Faults, qt.DeepEquals, []stats.FaultImpact{{
-		What: "2s kill", AtMs: 2000, NextMs: []float64{80}, Ended: 1,
+		Fault: "2s kill", AtMs: 2000, NextMs: []float64{80}, Ended: 1,
 	}})
 	var text strings.Builder
 	r.Text(&text)
--- a/load/internal/stats/report.go
+++ b/load/internal/stats/report.go
@@ -8,7 +8,7 @@
 	"github.com/HdrHistogram/hdrhistogram-go"
 )
 
-// Quantiles summarises a distribution, in milliseconds.
+// Quantiles summarizes a distribution, in milliseconds.
 type Quantiles struct {
 	Count int64   `json:"count"`
 	P50   float64 `json:"p50"`
@@ -17,27 +17,27 @@
 	Max   float64 `json:"max"`
 }
 
-// Summary are the figures of a group of calls.
+// Summary holds the results of a group of calls.
 type Summary struct {
-	// Offered counts the calls sent; the next five add up to it, but for
-	// calls that were still open when the run was given up.
+	// Offered counts the calls sent. It is the sum of the next five, except for
+	// calls that are still open.
 	Offered  int `json:"offered"`
 	Complete int `json:"whole"`
 	Refused  int `json:"refused"`
 	Failed   int `json:"failed"`
 	Lost     int `json:"lost"`
 	Wrong    int `json:"wrong"`
-	// CompletePerSecond and TokensPerSecond are the goodput: whole and correct
+	// CompletePerSecond and TokensPerSecond are the goodput: complete and correct
 	// answers, and the tokens of such answers.
 	CompletePerSecond float64 `json:"wholePerSecond"`
 	TokensPerSecond   float64 `json:"tokensPerSecond"`
-	// First is the time to the first token, from the intended send time.
+	// First is the time from the scheduled send to the first token.
 	First Quantiles `json:"first"`
 	// Gap is the time between two tokens of a stream.
 	Gap Quantiles `json:"gap"`
-	// Plain is the time to the answer of a plain call.
+	// Plain is the time to the response of a plain call.
 	Plain Quantiles `json:"plain"`
-	// Total is the time to the end of a whole answer.
+	// Total is the time to the end of a complete answer.
 	Total Quantiles `json:"total"`
 	// Refusal is the time to a refusal.
 	Refusal Quantiles `json:"refusal"`
@@ -45,14 +45,16 @@
 	Codes map[string]int `json:"codes,omitempty"`
 }
 
-// FaultImpact tells what a fault did to the streams that were open.
+// FaultImpact is the effect of a fault on the streams that were open.
 type FaultImpact struct {
-	What string `json:"what"`
-	// AtMs is when the fault began, from the start of the run.
+	// Fault is the fault as chaos.Fault prints it.
+	Fault string `json:"what"`
+	// AtMs is when the fault was injected, from the start of the run.
 	AtMs float64 `json:"atMs"`
-	// NextMs are the times to the next token of each stream, ascending.
+	// NextMs are the times from the fault to the next token of each stream,
+	// ascending.
 	NextMs []float64 `json:"nextMs"`
-	// Ended counts streams that got no further token.
+	// Ended counts the streams that failed without another token.
 	Ended int `json:"ended"`
 }
 
@@ -63,21 +65,23 @@
 	Tokens   int     `json:"tokens"`
 	Complete int     `json:"whole"`
 	Refused  int     `json:"refused"`
-	Bad      int     `json:"bad"`
-	// FirstP50 and FirstP95 are of the calls that were meant to be sent in
-	// this tick, in milliseconds.
+	// Bad counts failed, lost and wrong answers.
+	Bad int `json:"bad"`
+	// FirstP50 and FirstP95 are quantiles of the time to the first token of the
+	// calls scheduled in this row, in milliseconds.
 	FirstP50 float64 `json:"firstP50"`
 	FirstP95 float64 `json:"firstP95"`
 }
 
 // Report is the result of a run.
 type Report struct {
-	// Seconds is the length of the part that is counted.
+	// Seconds is the length of the measured part of the run, without the warm-up.
 	Seconds float64 `json:"seconds"`
 	Summary
-	// Skipped counts shots not sent, since too many calls were open.
+	// Skipped counts the arrivals that were not sent because too many calls were
+	// open.
 	Skipped int `json:"skipped"`
-	// Late is how late the sender itself was.
+	// Late is the delay from the scheduled send to the actual one.
 	Late   Quantiles          `json:"late"`
 	Teams  map[string]Summary `json:"teams"`
 	Faults []FaultImpact      `json:"faults,omitempty"`
@@ -89,59 +93,60 @@
 	return float64(d) / float64(time.Millisecond)
 }
 
-func spread(h *hdrhistogram.Histogram) Quantiles {
+func quantiles(h *hdrhistogram.Histogram) Quantiles {
 	at := func(q float64) float64 { return float64(h.ValueAtQuantile(q)) / 1000 }
 	return Quantiles{
 		Count: h.TotalCount(), P50: at(50), P95: at(95), P99: at(99), Max: float64(h.Max()) / 1000,
 	}
 }
 
-func (g *group) figures(seconds float64) Summary {
+func (g *group) summary(seconds float64) Summary {
 	return Summary{
-		Offered: g.offered, Complete: g.whole, Refused: g.refused,
+		Offered: g.offered, Complete: g.complete, Refused: g.refused,
 		Failed: g.failed, Lost: g.lost, Wrong: g.wrong,
-		CompletePerSecond: float64(g.whole) / seconds,
+		CompletePerSecond: float64(g.complete) / seconds,
 		TokensPerSecond:   float64(g.tokens) / seconds,
-		First:             spread(g.first), Gap: spread(g.gap),
-		Plain: spread(g.plain), Total: spread(g.total), Refusal: spread(g.refusal),
+		First:             quantiles(g.first), Gap: quantiles(g.gap),
+		Plain: quantiles(g.plain), Total: quantiles(g.total), Refusal: quantiles(g.refusal),
 		Codes: maps.Clone(g.codes),
 	}
 }
 
-// Report returns the figures so far.
-func (t *Recorder) Report() *Report {
-	t.mu.Lock()
-	defer t.mu.Unlock()
-	seconds := (t.Duration - t.Warmup).Seconds()
-	r := &Report{
-		Seconds: seconds, Summary: t.all.figures(seconds), Skipped: t.skipped,
-		Late: spread(t.late), Teams: map[string]Summary{}, TickMs: ms(t.Tick),
+// Report returns the results so far.
+func (r *Recorder) Report() *Report {
+	r.mu.Lock()
+	defer r.mu.Unlock()
+	seconds := (r.Duration - r.Warmup).Seconds()
+	report := &Report{
+		Seconds: seconds, Summary: r.all.summary(seconds), Skipped: r.skipped,
+		Late: quantiles(r.late), Teams: map[string]Summary{}, TickMs: ms(r.Tick),
 	}
-	for name, g := range t.teams {
-		r.Teams[name] = g.figures(seconds)
+	for name, g := range r.teams {
+		report.Teams[name] = g.summary(seconds)
 	}
-	for _, f := range t.faults {
-		r.Faults = append(r.Faults, f.stallsOf(t.began))
+	for _, f := range r.faults {
+		report.Faults = append(report.Faults, f.impact(r.startedAt))
 	}
-	for i := range t.ticks {
-		r.Series = append(r.Series, t.ticks[i].row(time.Duration(i)*t.Tick))
+	for i := range r.buckets {
+		report.Series = append(report.Series, r.buckets[i].sample(time.Duration(i)*r.Tick))
 	}
-	return r
+	return report
 }
 
-func (f *fault) stallsOf(began time.Time) FaultImpact {
-	s := FaultImpact{What: f.what, AtMs: ms(f.at.Sub(began)), Ended: f.ended, NextMs: []float64{}}
+// impact returns the effect of the fault, with times from the start of the run.
+func (f *openFault) impact(startedAt time.Time) FaultImpact {
+	impact := FaultImpact{Fault: f.name, AtMs: ms(f.at.Sub(startedAt)), Ended: f.ended, NextMs: []float64{}}
 	for _, d := range slices.Sorted(slices.Values(f.stalls)) {
-		s.NextMs = append(s.NextMs, ms(d))
+		impact.NextMs = append(impact.NextMs, ms(d))
 	}
-	return s
+	return impact
 }
 
-func (r *tick) row(at time.Duration) Sample {
+func (b *bucket) sample(at time.Duration) Sample {
 	return Sample{
-		AtMs: ms(at), Offered: r.offered, Tokens: r.tokens, Complete: r.whole,
-		Refused: r.refused, Bad: r.bad,
-		FirstP50: float64(r.first.ValueAtQuantile(50)) / 1000,
-		FirstP95: float64(r.first.ValueAtQuantile(95)) / 1000,
+		AtMs: ms(at), Offered: b.offered, Tokens: b.tokens, Complete: b.complete,
+		Refused: b.refused, Bad: b.bad,
+		FirstP50: float64(b.first.ValueAtQuantile(50)) / 1000,
+		FirstP95: float64(b.first.ValueAtQuantile(95)) / 1000,
 	}
 }
--- a/load/prog/prog.go
+++ b/load/prog/prog.go
@@ -1,5 +1,5 @@
-// Package prog is the program fsload: it loads the system with open-loop
-// arrivals and measures it.
+// Package prog implements the program fsload, an open-loop load generator that
+// checks and measures every answer.
 package prog
 
 import (
@@ -16,8 +16,8 @@
 	"fuchsiashelf.dev/parts/boot"
 )
 
-// Main runs the program and returns its exit status. The status is 1 if an
-// answer was wrong, since no load excuses that.
+// Main runs the program and returns its exit status. The status is 1 if any answer
+// was wrong, whatever the load.
 func Main(ctx context.Context, args []string, _ io.Reader, stdout, stderr io.Writer) int {
 	if boot.PrintVersion("fsload", args, stdout) {
 		return 0
@@ -30,7 +30,7 @@
 		fmt.Fprintln(stderr, err)
 		return boot.ExitUsage
 	}
-	report, err := s.run(stderr).Do(ctx)
+	report, err := s.newRun(stderr).Do(ctx)
 	if err == nil {
 		err = s.write(report, stdout)
 	}
@@ -44,7 +44,7 @@
 	return 0
 }
 
-// write writes the report, and the time series into its file.
+// write writes the report to stdout and the time series to its file.
 func (s *settings) write(r *stats.Report, stdout io.Writer) error {
 	if s.series != "" {
 		if err := writeSeries(s.series, r); err != nil {
@@ -58,7 +58,7 @@
 	return nil
 }
 
-// writeSeries writes CSV or, to a file named *.json, JSON.
+// writeSeries writes the time series as JSON if the name ends in .json, else as CSV.
 func writeSeries(name string, r *stats.Report) (err error) {
 	file, err := os.Create(name)
 	if err != nil {
--- a/load/prog/prog_test.go
+++ b/load/prog/prog_test.go
@@ -16,7 +16,8 @@
 	"fuchsiashelf.dev/load/prog"
 )
 
-func TestSettingsAreCheckedTogether(t *testing.T) {
+// One run reports every invalid flag, not only the first.
+func TestAllInvalidSettingsAreReported(t *testing.T) {
 	c := qt.New(t)
 	var stderr strings.Builder
 	status := prog.Main(context.Background(), []string{
@@ -29,19 +30,19 @@
 	}
 }
 
-// Refusals under load are part of a run, and no failure of it; each of them
-// is in the report with its code and verdict.
+// Refusals don't make the run fail; each is counted in the report by code and
+// verdict.
 func TestRunWritesReportAndSeries(t *testing.T) {
 	c := qt.New(t)
-	s := httptest.NewServer(http.HandlerFunc(func(w http.ResponseWriter, _ *http.Request) {
+	server := httptest.NewServer(http.HandlerFunc(func(w http.ResponseWriter, _ *http.Request) {
 		w.WriteHeader(http.StatusServiceUnavailable)
 		_, _ = io.WriteString(w, `{"code":"overloaded","verdict":"not-run"}`)
 	}))
-	defer s.Close()
+	defer server.Close()
 	series := filepath.Join(c.TempDir(), "series.csv")
 	var stdout strings.Builder
 	status := prog.Main(context.Background(), []string{
-		"-entries", s.Listener.Addr().String(), "-rate", "2000", "-max-requests", "20", "-warm", "0s",
+		"-entries", server.Listener.Addr().String(), "-rate", "2000", "-max-requests", "20", "-warm", "0s",
 		"-duration", "100ms", "-o", "json", "-series", series,
 	}, nil, &stdout, io.Discard)
 	c.Assert(status, qt.Equals, 0)
--- a/load/prog/settings.go
+++ b/load/prog/settings.go
@@ -18,7 +18,7 @@
 	"fuchsiashelf.dev/load/internal/stats"
 )
 
-// settings are the settings of one run.
+// settings holds the settings of one run.
 type settings struct {
 	entries, rate, teams, tokens, format, series string
 	faults                                       faults
@@ -28,7 +28,7 @@
 	caller                                       call.Caller
 }
 
-// faults is a flag that may be given more than once.
+// faults is the value of the -fault flag, which may be repeated.
 type faults []chaos.Fault
 
 // String implements flag.Value.
@@ -38,18 +38,18 @@
 
 // Set implements flag.Value.
 func (f *faults) Set(text string) error {
-	s, err := chaos.Parse(text)
-	*f = append(*f, s)
+	fault, err := chaos.Parse(text)
+	*f = append(*f, fault)
 	return err
 }
 
-// prefix is the prefix of the environment variables.
-const prefix = "FSLOAD"
+// envPrefix is the prefix of the environment variables that set flags.
+const envPrefix = "FSLOAD"
 
 func parse(args []string, stderr io.Writer) (*settings, error) {
 	s := &settings{}
 	fs := s.flags(stderr)
-	if err := ff.Parse(fs, args, ff.WithEnvVarPrefix(prefix)); err != nil {
+	if err := ff.Parse(fs, args, ff.WithEnvVarPrefix(envPrefix)); err != nil {
 		return nil, err
 	}
 	return s, s.check()
@@ -84,57 +84,57 @@
 	return fs
 }
 
-// maxTicks bounds the time series of a run.
+// maxTicks is the most rows of a time series.
 const maxTicks = 100_000
 
-// check reads what the flags hold and lists all faults.
+// check parses and validates the flags. Its error lists all invalid flags.
 func (s *settings) check() error {
-	var list []error
-	bad := func(name, format string, args ...any) {
-		list = append(list, fmt.Errorf("-%s: %s", name, fmt.Sprintf(format, args...)))
+	var errs []error
+	addError := func(name, format string, args ...any) {
+		errs = append(errs, fmt.Errorf("-%s: %s", name, fmt.Sprintf(format, args...)))
 	}
-	take := func(name string, err error) {
+	checkError := func(name string, err error) {
 		if err != nil {
-			bad(name, "%v", err)
+			addError(name, "%v", err)
 		}
 	}
 	var err error
 	s.caller.Entries = strings.Split(s.entries, ",")
 	for _, address := range s.caller.Entries {
 		if _, _, err := net.SplitHostPort(address); err != nil {
-			bad("entries", "%q is not host:port", address)
+			addError("entries", "%q is not host:port", address)
 		}
 	}
 	s.plan.Ramp, err = plan.ParseRamp(s.rate)
-	take("rate", err)
+	checkError("rate", err)
 	s.plan.Teams, err = plan.ParseMix(s.teams)
-	take("teams", err)
+	checkError("teams", err)
 	s.plan.Sizes, err = plan.ParseSizes(s.tokens)
-	take("tokens", err)
+	checkError("tokens", err)
 	if s.plan.Duration <= 0 || s.warm < 0 || s.warm >= s.plan.Duration {
-		bad("duration", "must be above 0 and above -warm")
+		addError("duration", "must be above 0 and above -warm")
 	}
 	if s.tick <= 0 || s.plan.Duration/max(s.tick, 1) > maxTicks {
-		bad("tick", "gives no rows, or more than %d", maxTicks)
+		addError("tick", "gives no rows, or more than %d", maxTicks)
 	}
 	if s.plan.PlainShare < 0 || s.plan.PlainShare > 1 {
-		bad("plain-share", "%v is not from 0 to 1", s.plan.PlainShare)
+		addError("plain-share", "%v is not from 0 to 1", s.plan.PlainShare)
 	}
 	if s.maxOpen < 1 {
-		bad("max-open", "%d is not above 0", s.maxOpen)
+		addError("max-open", "%d is not above 0", s.maxOpen)
 	}
 	if s.format != "text" && s.format != "json" {
-		bad("o", "%q is neither text nor json", s.format)
+		addError("o", "%q is neither text nor json", s.format)
 	}
-	return errors.Join(list...)
+	return errors.Join(errs...)
 }
 
-func (s *settings) run(log io.Writer) *runner.Run {
+func (s *settings) newRun(log io.Writer) *runner.Run {
 	s.caller.Timeout = s.timeout
 	return &runner.Run{
 		Plan: &s.plan, Caller: &s.caller,
-		Tally:  &stats.Recorder{Warmup: s.warm, Duration: s.plan.Duration, Tick: s.tick},
-		Faults: s.faults, MaxOpen: s.maxOpen, Drain: s.drain,
+		Recorder: &stats.Recorder{Warmup: s.warm, Duration: s.plan.Duration, Tick: s.tick},
+		Faults:   s.faults, MaxOpen: s.maxOpen, Drain: s.drain,
 		Progress: s.progress, Log: log,
 	}
 }
