--- a/entry/stream/active.go
+++ b/entry/stream/active.go
@@ -15,24 +15,24 @@
 type activeStream struct {
 	job    *call.Job
 	cancel context.CancelCauseFunc
-	// reserveRestart reserves another attempt of the request on another chain, and
-	// reports whether its route and the retry budget allow one. Nil means that none
-	// is allowed.
+	// reserveRestart reserves an attempt of the request on another chain, and reports
+	// whether its route and the retry budget allow one. Nil means that they do not.
 	reserveRestart func() bool
-	// lastActivity is the time of the last event or reroute, and meanGap the
-	// mean gap between two events, in nanoseconds.
+	// lastActivity is the time of the last event or reroute, in Unix nanoseconds, and
+	// meanGap the mean gap between two events, in nanoseconds.
 	lastActivity, meanGap atomic.Int64
-	started               atomic.Bool
+	// started is set by the first event.
+	started atomic.Bool
 
 	mu           sync.Mutex
 	chain        router.Chain
 	releaseChain func()
 	rerouting    bool
 	ended        bool
-	// lastReroute is when another chain was last searched for.
-	lastReroute time.Time
-	// drainedFrom is the address of the server that the stream was last rerouted
-	// around because of a drain.
+	// lastSearch is when the last search for another chain ended.
+	lastSearch time.Time
+	// drainedFrom is the address of the last server that the stream was rerouted
+	// around because the server drains or is about to load layers.
 	drainedFrom string
 }
 
@@ -73,9 +73,9 @@
 }
 
 // overdue reports whether the time since the last event exceeds both the timeout of
-// a short probe and the mean gap. A stream that had an event during the probe works;
-// a stream whose next event is not due yet must not be rerouted because of a lost
-// probe.
+// a short probe and the mean gap. An event during the probe shows that the stream is
+// still served, and a stream whose next event is not due yet must not be rerouted
+// because of a lost probe.
 func (s *activeStream) overdue(now time.Time) bool {
 	return s.silence(now) > max(probe.MinTimeout, time.Duration(s.meanGap.Load()))
 }
@@ -91,7 +91,6 @@
 	return list
 }
 
-// currentChain returns the chain.
 func (s *activeStream) currentChain() router.Chain {
 	s.mu.Lock()
 	defer s.mu.Unlock()
@@ -111,10 +110,10 @@
 	return s.chain[0].Server.Address
 }
 
-// switchChain reserves another chain for the stream. The response to an order to
-// reroute may arrive after the end of the stream; a reservation made then would
-// never be released.
-func (s *activeStream) switchChain(ledger *router.LoadTracker, chain router.Chain) {
+// switchChain releases the chain of the stream and reserves another one. It does
+// nothing once the stream has ended, because the response to an order to reroute may
+// arrive later, and a reservation made then would never be released.
+func (s *activeStream) switchChain(load *router.LoadTracker, chain router.Chain) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	if s.ended {
@@ -122,7 +121,7 @@
 	}
 	s.releaseChain()
 	s.chain = chain
-	s.releaseChain = ledger.Reserve(chain, totalTokens(s.job))
+	s.releaseChain = load.Reserve(chain, totalTokens(s.job))
 }
 
 func totalTokens(job *call.Job) int {
--- a/entry/stream/active_test.go
+++ b/entry/stream/active_test.go
@@ -16,14 +16,14 @@
 // was in flight: it would never be released, and after hours of such streams every
 // request would be refused.
 func TestEndedStreamReservesNothing(t *testing.T) {
-	ledger := &router.LoadTracker{}
-	m := &Monitor{Load: ledger}
+	load := &router.LoadTracker{}
+	m := &Monitor{Load: load}
 	chain := router.Chain{{Server: &fleet.Server{ID: "i-1"}, First: 0, End: 4}}
 	j := &call.Job{Request: &call.Request{PromptTokens: 10, TokensHint: 5}, Route: testRoute, Service: &route.Service{Engine: &route.Engine{}}}
 	_, cancel := context.WithCancelCause(context.Background())
 	stream := m.add(j, chain, cancel, nil)
-	qt.Assert(t, ledger.Used("i-1"), qt.Equals, router.Usage{TokenLayers: 60, Requests: 1, Starts: 1})
+	qt.Assert(t, load.Used("i-1"), qt.Equals, router.Usage{TokenLayers: 60, Requests: 1, Starts: 1})
 	m.remove(stream)
-	stream.switchChain(ledger, chain)
-	qt.Assert(t, ledger.Used("i-1"), qt.Equals, router.Usage{})
+	stream.switchChain(load, chain)
+	qt.Assert(t, load.Used("i-1"), qt.Equals, router.Usage{})
 }
--- a/entry/stream/choose.go
+++ b/entry/stream/choose.go
@@ -17,14 +17,14 @@
 	return q
 }
 
-// startDelay returns the cost, in seconds, of starting a chain at a server where
-// requests wait or fail.
+// startDelay returns the cost, in seconds, of the waits and failures to be expected
+// if a chain starts at a server.
 func (f *Forwarder) startDelay(job *call.Job, id string) float64 {
 	return router.StartCost(f.Monitor.StartLatency.Wait(id, time.Now()), firstEventTarget(job.Route)) + f.Failures.ExpectedDelay(id)
 }
 
 // chooseChain returns a chain for the next attempt. A request for which there is no
-// room now is queued, or refused at once if the queue is full.
+// capacity now is queued, or refused at once if the queue is full.
 func (r *request) chooseChain(ctx context.Context) (router.Chain, *fault.Error) {
 	if r.headerSent {
 		return r.chooseRestartChain(ctx)
@@ -38,13 +38,14 @@
 	if waiter == nil {
 		return r.findOrRefuse(retryAfter)
 	}
-	chain, e := r.waitForRoom(ctx, waiter)
+	chain, e := r.waitForCapacity(ctx, waiter)
 	r.Queue.Remove(waiter, chain != nil, time.Now())
 	return chain, e
 }
 
-// findOrRefuse finds room that the queued requests cannot use, because they are
-// larger or have tried its servers, and otherwise refuses the request at once.
+// findOrRefuse returns a chain if there is capacity that the queued requests cannot
+// use, because they are larger or avoid its servers. Otherwise it refuses the request
+// at once.
 func (r *request) findOrRefuse(retryAfter time.Duration) (router.Chain, *fault.Error) {
 	chain, e := r.findChain()
 	if chain == nil && e == nil {
@@ -66,19 +67,19 @@
 		if e == nil {
 			e = overloaded(0)
 		}
-		if !time.Now().Add(roomPollInterval).Before(deadline) {
+		if !time.Now().Add(capacityPollInterval).Before(deadline) {
 			return nil, e
 		}
 		select {
 		case <-ctx.Done():
 			return nil, e
-		case <-time.After(roomPollInterval):
+		case <-time.After(capacityPollInterval):
 		}
 	}
 }
 
-// findChain returns a chain with room. Neither a chain nor an error means that there
-// is no room now.
+// findChain returns a chain with free capacity. It returns neither a chain nor an
+// error if there is none now.
 func (r *request) findChain() (router.Chain, *fault.Error) {
 	q := r.chainQuery(r.job)
 	q.Avoid = r.avoid
@@ -92,8 +93,8 @@
 	return nil, nil
 }
 
-// pickChain returns the cheapest chain. It crosses failure domains only if their
-// link has room for the prompt.
+// pickChain returns the cheapest chain. The chain crosses failure domains only if
+// their link has capacity for the prompt.
 func (r *request) pickChain(q *router.Query) router.Chain {
 	chain := q.Pick()
 	if chain != nil && !r.Monitor.reserveTransfer(r.job, chain.Crossings()) {
@@ -104,10 +105,10 @@
 	return chain
 }
 
-// waitForRoom waits in the queue until there is room.
-func (r *request) waitForRoom(ctx context.Context, waiter *prio.Waiter) (router.Chain, *fault.Error) {
+// waitForCapacity waits in the queue until there is capacity for the request.
+func (r *request) waitForCapacity(ctx context.Context, waiter *prio.Waiter) (router.Chain, *fault.Error) {
 	deadline := time.Now().Add(min(maxQueueWait(r.job.Route), r.job.Remaining()/2))
-	for time.Now().Add(roomPollInterval).Before(deadline) {
+	for time.Now().Add(capacityPollInterval).Before(deadline) {
 		if r.Queue.AtHead(waiter) {
 			if chain, e := r.findChain(); chain != nil || e != nil {
 				return chain, e
@@ -116,7 +117,7 @@
 		select {
 		case <-ctx.Done():
 			return nil, &fault.Error{Code: fault.Cancelled, Verdict: fault.NotRun, Message: "ended while it waited for room"}
-		case <-time.After(roomPollInterval):
+		case <-time.After(capacityPollInterval):
 		}
 	}
 	return nil, overloaded(0)
@@ -126,8 +127,8 @@
 	return &fault.Error{Code: fault.Overloaded, Verdict: fault.NotRun, Message: "no server has room", RetryAfter: max(retryAfter, minRetryAfter)}
 }
 
-// findSuspectedChain returns a chain that may contain suspected servers, for when no
-// other holds all layers: a suspicion may be wrong.
+// findSuspectedChain returns a chain that may contain suspected servers. It is used
+// if no other chain holds all layers, because a suspicion may be wrong.
 func (r *request) findSuspectedChain(q *router.Query) (router.Chain, *fault.Error) {
 	q.AllowSuspected, q.Overcommit = true, false
 	if chain := q.Pick(); chain != nil {
--- a/entry/stream/events.go
+++ b/entry/stream/events.go
@@ -10,19 +10,20 @@
 // from there.
 type eventFilter struct {
 	pending []byte
-	// lastID is the number of the last forwarded event, as text.
+	// lastID is the ID of the last event that the caller has.
 	lastID string
 	// count is the number of forwarded events.
 	count int
-	// resumed drops events up to lastID, which the caller already has.
+	// resumed is set if the stream continues after lastID. Events up to there are
+	// dropped, because the caller already has them.
 	resumed bool
-	// skipped is set if a restarted stream skipped an event.
+	// skipped is set if a resumed stream left out the event after lastID.
 	skipped bool
 }
 
 var eventDelimiter = []byte("\n\n")
 
-// maxEventBytes bounds an event whose end has not been read yet.
+// maxEventBytes bounds the size of an event whose end has not been read yet.
 const maxEventBytes = 1 << 20
 
 // add appends bytes of the stream and returns the whole events in them that the
@@ -76,7 +77,8 @@
 	return err == nil && lastErr == nil && n <= last
 }
 
-// follows reports whether an event directly follows the last one.
+// follows reports whether an event directly follows the last one. IDs that are not
+// numbers cannot be compared and count as following.
 func (e *eventFilter) follows(id string) bool {
 	n, err := strconv.ParseInt(id, 10, 64)
 	last, lastErr := strconv.ParseInt(e.lastID, 10, 64)
--- a/entry/stream/failure.go
+++ b/entry/stream/failure.go
@@ -14,19 +14,19 @@
 	"fuchsiashelf.dev/parts/fleet"
 )
 
-// errorResponse is an error that a server responded with.
+// errorResponse is the error response of a server.
 type errorResponse struct {
 	header http.Header
 	status int
 	body   []byte
 }
 
-// handleRefusal records the refusal of a server that did not run the request, and
-// returns its error.
-func (r *request) handleRefusal(first string, reply call.Reply) *fault.Error {
+// handleRefusal records that a server refused the request and did not run it, and
+// returns the error of the attempt.
+func (r *request) handleRefusal(firstAddress string, reply call.Reply) *fault.Error {
 	address := reply.RefusedBy
 	if address == "" {
-		address = first
+		address = firstAddress
 	}
 	r.avoid[address] = true
 	server := ""
@@ -36,8 +36,9 @@
 			r.Monitor.Broadcast()
 		}
 	}
-	if address != first {
-		// The server may be saturated or dead: the first server does not say which.
+	if address != firstAddress {
+		// The server may be saturated or may have failed: the first server does not
+		// say which.
 		r.Monitor.Probe(address, "the first server refused a request because of this server")
 	}
 	r.Log.Info("stream: refused by a server", "request", r.job.ID, "status", reply.Status, "server", server, "address", address, "first", r.out.Server)
@@ -45,7 +46,7 @@
 }
 
 // handleServerError keeps the error response of a server. It is delivered if no
-// other chain succeeds before the caller has received any of a response.
+// other attempt succeeds and the caller has no header yet.
 func (r *request) handleServerError(resp *conns.Response, reply call.Reply) *fault.Error {
 	body, err := io.ReadAll(io.LimitReader(resp, readBufferSize))
 	r.avoid[resp.Request.URL.Host] = true
@@ -84,8 +85,9 @@
 	return e
 }
 
-// avoidFailedServer avoids the first server of a failed attempt, and probes it
-// unless the attempt was ended by this entry host.
+// avoidFailedServer avoids the first server of a failed attempt, unless the caller
+// left or the deadline passed. It probes the server, unless this entry host ended the
+// attempt.
 func (r *request) avoidFailedServer(ctx context.Context, address string, e *fault.Error) {
 	if call.CallerGone(ctx) || errors.Is(context.Cause(ctx), context.DeadlineExceeded) {
 		return
@@ -97,8 +99,8 @@
 	}
 }
 
-// shouldRetry reports whether another chain is tried. It withdraws the retry from
-// the retry budget, unless the monitor has reserved it.
+// shouldRetry reports whether the request is sent again on another chain. It
+// withdraws the retry from the retry budget, unless the monitor has reserved it.
 func (r *request) shouldRetry(ctx context.Context, e *fault.Error) bool {
 	if ctx.Err() != nil || e.Code == fault.Cancelled || r.Monitor.Crashes.Blocked(r.job.Fingerprint, time.Now()) {
 		return false
@@ -119,9 +121,10 @@
 	return allowed
 }
 
-// restartReservation returns a function that reserves another attempt after the one
-// on a first server. The monitor ends an attempt only if another one is reserved:
-// otherwise the caller could be left with a truncated response.
+// restartReservation returns a function that reserves the attempt after the one that
+// starts at the given server. The monitor calls it before it ends an attempt that
+// could still continue: without a further attempt the caller would be left with a
+// truncated response.
 func (r *request) restartReservation(first *fleet.Server) func() bool {
 	servers := append(slices.Clone(r.mayHaveRun), first)
 	sends := r.out.Sends + 1
@@ -137,15 +140,16 @@
 	}
 }
 
-// canAttempt reports whether the request may be sent once more after the given
-// number of sends, if the given servers may have run it.
+// canAttempt reports whether a request may be sent once more after the given number
+// of sends, if the given servers may have run it.
 func (r *request) canAttempt(servers []*fleet.Server, sends int) bool {
-	return sends <= maxSends && r.countAttempts(servers) < r.job.Route.Attempts
+	return sends <= maxResends && r.countAttempts(servers) < r.job.Route.Attempts
 }
 
 // countAttempts returns how many of the servers that may have run the request count
-// towards the attempts of its route: those that are still alive. An attempt on a
-// server that died does not count.
+// towards the attempts that its route allows: those that are still listed and not
+// suspected. An attempt on a server that crashed or is suspected does not count, so
+// another may replace it.
 func (r *request) countAttempts(servers []*fleet.Server) int {
 	view := r.State.View()
 	n := 0
@@ -158,10 +162,10 @@
 	return n
 }
 
-// maxSends bounds the chains that one request is sent to, refusals included.
-const maxSends = 3
+// maxResends bounds how often one request is sent again, also after refusals.
+const maxResends = 3
 
-// finishFailed ends a request that is not tried again.
+// finishFailed ends a request that is not sent again.
 func (r *request) finishFailed(ctx context.Context, e *fault.Error) call.Outcome {
 	final := *e
 	final.Verdict = r.verdict.Weaken(e.Verdict)
--- a/entry/stream/failures.go
+++ b/entry/stream/failurerate.go
@@ -25,7 +25,7 @@
 	rates map[string]*health.FailureRate
 }
 
-// Record records the outcome of a response.
+// Record records whether a response of a server failed.
 func (f *Failures) Record(id string, failed bool, now time.Time) {
 	f.mu.Lock()
 	defer f.mu.Unlock()
@@ -43,8 +43,8 @@
 	rate.Record(failed, now)
 }
 
-// ExpectedDelay returns the expected cost, in seconds, of failures if a chain starts
-// at a server.
+// ExpectedDelay returns the cost, in seconds, of the failures to be expected if a
+// chain starts at a server.
 func (f *Failures) ExpectedDelay(id string) float64 {
 	f.mu.Lock()
 	defer f.mu.Unlock()
@@ -55,7 +55,7 @@
 	return failureCostSeconds * rate.At(time.Now())
 }
 
-// Expire removes servers that have not failed for a long time.
+// Expire removes the servers whose failure rate has become negligible.
 func (f *Failures) Expire(now time.Time) {
 	f.mu.Lock()
 	defer f.mu.Unlock()
--- a/entry/stream/forwarder.go
+++ b/entry/stream/forwarder.go
@@ -30,28 +30,29 @@
 
 const (
 	// minRetryAfter is the shortest Retry-After of a request that was refused for
-	// lack of room.
+	// lack of capacity.
 	minRetryAfter = 700 * time.Millisecond
 	// loadRetryAfter is the Retry-After while layers are missing: loading them takes
 	// one to two seconds.
 	loadRetryAfter = 2 * time.Second
 	// maxIdleReuse is the longest idle time of a connection that is reused.
 	maxIdleReuse = 3 * time.Second
-	// readBufferSize is the size of a buffer that holds several events.
+	// readBufferSize is the size of a buffer that holds several events. It also bounds
+	// the body of an error response.
 	readBufferSize = 4 << 10
-	// roomPollInterval is the polling interval of a request that waits for room.
-	roomPollInterval = 20 * time.Millisecond
+	// capacityPollInterval is the polling interval of a request that waits for
+	// capacity.
+	capacityPollInterval = 20 * time.Millisecond
 )
 
 // Forwarder forwards requests. Set the exported fields before use.
 type Forwarder struct {
-	Codec   call.Codec
-	Pool    *conns.Pool
-	State   *state.Local
-	Load    *router.LoadTracker
-	Monitor *Monitor
-	Queue   *prio.Queue
-	// Failures holds the failure rates of servers.
+	Codec       call.Codec
+	Pool        *conns.Pool
+	State       *state.Local
+	Load        *router.LoadTracker
+	Monitor     *Monitor
+	Queue       *prio.Queue
 	Failures    *Failures
 	LocalDomain domain.Name
 	Log         *slog.Logger
@@ -59,7 +60,7 @@
 	RetryBudget func(service string) *retry.WindowBudget
 }
 
-// request is a request that is being forwarded, over all its attempts.
+// request is a request in flight, with the state of all its attempts.
 type request struct {
 	*Forwarder
 	job    *call.Job
@@ -69,7 +70,8 @@
 	// headerSent is set once the caller has the header of the response.
 	headerSent bool
 	// avoid holds the addresses of servers that failed or refused this request.
-	avoid   map[string]bool
+	avoid map[string]bool
+	// verdict combines the verdicts of the attempts that failed.
 	verdict fault.Verdict
 	// mayHaveRun holds the servers that may have run the request.
 	mayHaveRun []*fleet.Server
@@ -78,11 +80,12 @@
 	budget          *retry.WindowBudget
 	// lastEventAt is when the last event was sent to the caller.
 	lastEventAt time.Time
-	// serverError is the error response of a server that failed.
+	// serverError is the last error response of a server.
 	serverError *errorResponse
 }
 
-// Serve forwards a request and responds to the caller.
+// Serve forwards a request, on several chains in turn if need be, and responds to
+// the caller.
 func (f *Forwarder) Serve(ctx context.Context, w http.ResponseWriter, job *call.Job) call.Outcome {
 	budget := f.RetryBudget(job.Service.Name)
 	budget.Record(time.Now())
@@ -179,7 +182,8 @@
 	}
 }
 
-// sendHeader sends the header of the first response to the caller.
+// sendHeader sends the header of a response to the caller, unless an earlier attempt
+// has sent one.
 func (r *request) sendHeader(resp *conns.Response) {
 	if r.headerSent {
 		return
--- a/entry/stream/monitor.go
+++ b/entry/stream/monitor.go
@@ -23,16 +23,17 @@
 	// maxSweepDelay is the interval between two sweeps above which silence is
 	// attributed to this entry host, not to servers.
 	maxSweepDelay = 40 * time.Millisecond
-	// silentGaps is the time without an event, in mean gaps of the stream, after
-	// which its servers are probed, if it is longer than the fraction of the longest
-	// gap that is on time. Where all streams are slow, the probes are left for
-	// servers that died.
+	// silentGaps is the number of mean gaps without an event after which the servers
+	// of a stream are probed, if that is longer than silentTimeout. The number of
+	// probes is limited, and where all streams are slow, enough of them must be left
+	// for the servers that failed.
 	silentGaps = 2
 	// entryPropagation is how long a restarted server is avoided. By then its entry
 	// shows that it holds no layers.
 	entryPropagation = 1500 * time.Millisecond
-	// suspectProbeInterval and maxSuspectProbes bound the probes of a suspected
-	// server: together they last longer than its entry.
+	// suspectProbeInterval is the interval between probes of a suspected server, and
+	// maxSuspectProbes their number: they go on for longer than the entry of a failed
+	// server exists.
 	suspectProbeInterval = 500 * time.Millisecond
 	maxSuspectProbes     = 30
 	// remoteProbeInterval is the interval between probes of a suspected server of
@@ -42,29 +43,31 @@
 	// probes gets a long one: on a lossy link all of them may have been lost.
 	reprobeDelay = 100 * time.Millisecond
 	// drainInterval is the interval between two streams that are rerouted around a
-	// draining server. The new chain reads all tokens of each again, which delays
-	// the streams there.
+	// draining server. All tokens of each stream are read again on its new chain,
+	// which delays the other streams there.
 	drainInterval = 200 * time.Millisecond
-	// moveInterval is the same for a server that is about to load layers that no
-	// other server of its failure domain holds.
-	moveInterval = 50 * time.Millisecond
-	// healthyProbeInterval limits the probes of a server that answered the last one:
-	// a saturated server is reported with each request that it refuses.
+	// reloadDrainInterval is the same for a server that is about to load layers that
+	// no other server of its failure domain holds.
+	reloadDrainInterval = 50 * time.Millisecond
+	// healthyProbeInterval is the shortest interval between probes of a server that
+	// answered the last one: each refusal of a saturated server requests a probe.
 	healthyProbeInterval = 500 * time.Millisecond
-	// rerouteInterval is the interval between two searches for another chain for a
-	// stream. Each may cost an order for every server that turns out to be
-	// saturated.
-	rerouteInterval = 150 * time.Millisecond
+	// searchInterval is the shortest interval between two searches for another chain
+	// for a stream. Each search may cost one order for every server that turns out to
+	// be saturated.
+	searchInterval = 150 * time.Millisecond
 	// maxReroutes bounds the chains that are tried in one search.
 	maxReroutes = 3
 )
 
-// Causes of an attempt that this entry host ends.
 var (
+	// Causes for which this entry host ends an attempt.
 	errFirstServerDead = errors.New("stream: the first server does not answer")
 	errSilent          = errors.New("stream: silent for too long")
 	errNoChain         = errors.New("stream: no other way behind the first server")
-	errHostDelayed     = errors.New("stream: this entry host lagged")
+	// errHostDelayed is the error of a probe that is inconclusive, because this entry
+	// host was delayed meanwhile.
+	errHostDelayed = errors.New("stream: this entry host lagged")
 )
 
 // Monitor monitors the streams in progress. Set the exported fields before Run.
@@ -76,15 +79,15 @@
 	StartLatency *router.StartLatency
 	LocalDomain  domain.Name
 	Log          *slog.Logger
-	// Crashes counts the servers that died under each request.
+	// Crashes counts the servers that crashed under each request.
 	Crashes *poison.Counter
 	// Broadcast sends a new suspicion or a long wait to other entry hosts.
 	Broadcast func()
 
 	// EntryHosts returns the number of entry hosts, including this one.
 	EntryHosts func() int
-	// DropConns closes the idle connections to an address. Connections that were
-	// lost without a reset would make a live server look dead.
+	// DropConns closes the idle connections to an address. A connection that was lost
+	// without a reset would make a live server seem not to answer.
 	DropConns func(address string)
 
 	mu      sync.Mutex
@@ -93,20 +96,20 @@
 	// long an answer may take.
 	probes  probe.Scheduler
 	timeout probe.Timeout
-	// linkBudget limits the responses that are rerouted across failure domains.
+	// linkBudget limits the transfers of prompts between failure domains.
 	linkBudget router.LinkBudget
-	// probing holds the addresses of the servers that are being probed.
+	// probing holds the addresses of the servers that probeSuspect is probing.
 	probing map[string]bool
-	// lastAnswer holds when a probed server last answered.
+	// lastAnswer holds when a probed server last answered, by address.
 	lastAnswer map[string]time.Time
 	// failedRequests holds the requests that failed on a probed server, by the ID of
-	// the server, until it is known whether the server died.
+	// the server, until it is known whether the server crashed.
 	failedRequests map[string]map[poison.Fingerprint]bool
 	// lastDrain is when a stream was last rerouted around a draining server.
 	lastDrain time.Time
-	// lastSweep is the time of the last sweep, and lastDelay when a sweep was last
-	// late.
-	lastSweep, lastDelay time.Time
+	// lastSweep is the time of the last sweep, and lastLateSweep that of the last one
+	// that was delayed.
+	lastSweep, lastLateSweep time.Time
 }
 
 func (m *Monitor) add(job *call.Job, chain router.Chain, cancel context.CancelCauseFunc, reserveRestart func() bool) *activeStream {
@@ -165,19 +168,19 @@
 	defer m.mu.Unlock()
 	delayed := !m.lastSweep.IsZero() && now.Sub(m.lastSweep) > maxSweepDelay
 	if delayed {
-		m.lastDelay = now
+		m.lastLateSweep = now
 	}
 	m.lastSweep = now
-	silent := false
+	anyLate := false
 	for stream := range m.streams {
 		silence := stream.silence(now)
 		if stream.started.Load() && silence > restartTimeout(stream.job.Route) {
 			stream.cancel(errSilent)
 		}
-		silent = silent || silence > time.Duration(stream.meanGap.Load())
+		anyLate = anyLate || silence > time.Duration(stream.meanGap.Load())
 	}
 	maps.DeleteFunc(m.lastAnswer, func(_ string, at time.Time) bool { return now.Sub(at) > healthyProbeInterval })
-	if !silent || delayed {
+	if !anyLate || delayed {
 		return
 	}
 	streams := make([]probe.Stream, 0, len(m.streams))
@@ -191,8 +194,8 @@
 	}
 }
 
-// probeSilent probes a server of a silent stream. If it does not answer, the streams
-// that use it are rerouted or restarted.
+// probeSilent probes a server of a silent stream. If the server does not answer, the
+// streams that use it are rerouted or restarted.
 func (m *Monitor) probeSilent(ctx context.Context, address string) {
 	report, err := m.fetchReport(ctx, address, m.probeTimeout())
 	if errors.Is(err, errHostDelayed) {
@@ -223,9 +226,9 @@
 	return m.timeout.Current()
 }
 
-// fetchReport asks a server for its report. The error is errHostDelayed if this
-// entry host was delayed during the request, so that the missing answer says nothing
-// about the server.
+// fetchReport asks a server for its report. If the server does not answer while this
+// entry host is delayed, the error is errHostDelayed: nothing follows about the
+// server, unless it refused the connection.
 func (m *Monitor) fetchReport(ctx context.Context, address string, timeout time.Duration) (call.Report, error) {
 	ctx, cancel := context.WithTimeout(ctx, timeout)
 	defer cancel()
@@ -238,16 +241,16 @@
 		m.timeout.Record(elapsed, timeout <= m.timeout.Current())
 		return report, err
 	}
-	delayed := probe.Stalled(timeout, elapsed) || m.lastDelay.After(start) || !m.lastSweep.IsZero() && time.Since(m.lastSweep) > maxSweepDelay
+	delayed := probe.Stalled(timeout, elapsed) || m.lastLateSweep.After(start) || !m.lastSweep.IsZero() && time.Since(m.lastSweep) > maxSweepDelay
 	if delayed && probeOutcome(err) != probe.Exited {
 		return report, errHostDelayed
 	}
 	return report, err
 }
 
-// handleReport applies the report of a server: it evacuates a server that has
-// restarted, records its slowness, and reroutes the streams that it reports as
-// stalled.
+// handleReport handles the report of a server. It reroutes all streams around a
+// server that has restarted; otherwise it records the slowdown of the server and
+// reroutes the streams that the server reports as stalled.
 func (m *Monitor) handleReport(address string, report call.Report) {
 	now := time.Now()
 	s := m.State.View().ByAddress(address)
@@ -266,10 +269,11 @@
 	m.rerouteStalled(address, report.Stalled)
 }
 
-// evacuate reroutes streams around a server that does not answer, and restarts those
-// of which it is the first. A server that is only unreachable from here may still
-// serve its peers, and a server that is ending may close its port before it has
-// served its last stream, so streams that still get events stay.
+// evacuate reroutes streams around a server that does not answer or has restarted,
+// and restarts those of which it is the first server. Streams that still get events
+// stay on a server that is unreachable from here, because its peers may still reach
+// it, and on a first server in any case, because a server that shuts down may close
+// its port before its last stream ends.
 func (m *Monitor) evacuate(address string, outcome probe.State) {
 	now := time.Now()
 	var affected []*activeStream
--- a/entry/stream/monitor_test.go
+++ b/entry/stream/monitor_test.go
@@ -24,20 +24,21 @@
 
 // fakeEngines is an engine client that answers from memory.
 type fakeEngines struct {
-	// reportErrors holds the errors of requests for a report, by address.
+	// reportErrors holds the errors of Report, by address.
 	reportErrors map[string]error
-	// startedAt holds the start times that reports contain, by address.
+	// startedAt holds the start times in the reports, by address.
 	startedAt map[string]time.Time
-	// results holds the results of reroutes, by request, where they differ from a
-	// started order.
+	// results holds the results of Reroute, by request. The default is OrderStarted.
 	results map[string]call.OrderResult
-	// block, if set, blocks reroutes until it is closed.
+	// block, if set, blocks Reroute until it is closed.
 	block chan struct{}
 
-	mu       sync.Mutex
+	mu sync.Mutex
+	// rerouted holds the last chain passed to Reroute, by request.
 	rerouted map[string]router.Chain
-	ordered  chan struct{}
-	// timeouts holds the timeout of each request for a report.
+	// ordered receives a value for each call of Reroute.
+	ordered chan struct{}
+	// timeouts holds the timeout of each call of Report.
 	timeouts []time.Duration
 }
 
@@ -74,7 +75,7 @@
 // testLayers is the number of layers of the model in these tests.
 const testLayers = 12
 
-// fakeDecoder decodes the servers of a test.
+// fakeDecoder holds the servers of a test by ID.
 type fakeDecoder map[string]fleet.Server
 
 func (d fakeDecoder) Table([]byte) (*route.Table, error) {
@@ -85,8 +86,8 @@
 	return d[id], nil
 }
 
-// newMonitor returns a monitor over a first server, a middle server, and others that
-// hold the same layers as the middle one.
+// newMonitor returns a monitor whose state holds a first server, a middle server, and
+// the given number of others that hold the same layers as the middle one.
 func newMonitor(engines *fakeEngines, others int) (*Monitor, fakeDecoder) {
 	engines.rerouted = map[string]router.Chain{}
 	engines.ordered = make(chan struct{}, 16)
@@ -129,11 +130,11 @@
 	return stream
 }
 
-// Guards against streams that wait for their own silence timeout, or for the later
-// report of the first server, after a server of their chains has died. One silent
+// Guards against streams that wait for their own silence timeout, or even for the
+// report of the first server, after a server of their chains has crashed. One silent
 // stream is enough: its servers are probed, one refuses the connection, and all
 // streams are rerouted around it.
-func TestAllStreamsAreReroutedAroundGoneServer(t *testing.T) {
+func TestAllStreamsAreReroutedAroundExitedServer(t *testing.T) {
 	e := &fakeEngines{reportErrors: map[string]error{"middle": syscall.ECONNREFUSED}}
 	m, servers := newMonitor(e, 1)
 	m.addStream(servers, "silent", silentTimeout(testRoute)+time.Millisecond)
@@ -159,10 +160,10 @@
 	qt.Assert(t, e.rerouted["r"].String(), qt.Equals, "first=0-4 other-0=4-12")
 }
 
-// Guards against a gap of over a second after another entry host finds a server
-// dead: once a local probe confirms it, the streams that use the server must be
-// rerouted without waiting for their silence timeout and the next probe.
-func TestStreamsAreReroutedWhenPeerFindsServerDead(t *testing.T) {
+// Guards against a gap of over a second after another entry host suspects a server.
+// Once a probe from here confirms the suspicion, the streams that use the server must
+// be rerouted without waiting for their silence timeout and the next probe.
+func TestStreamsAreReroutedWhenPeerSuspectsServer(t *testing.T) {
 	e := &fakeEngines{reportErrors: map[string]error{"middle": syscall.ECONNREFUSED}}
 	m, servers := newMonitor(e, 1)
 	m.addStream(servers, "r", 0)
@@ -171,9 +172,9 @@
 	qt.Assert(t, e.rerouted["r"].String(), qt.Equals, "first=0-4 other-0=4-12")
 }
 
-// Guards against a single long probe of a server that another entry host suspects:
-// it takes longer than callers wait, and requests are sent to the server meanwhile.
-// Two short probes are enough; one may be lost.
+// Guards against one long probe of a server that another entry host suspects. It
+// would take longer than callers wait, and requests would be sent to the server
+// meanwhile. Two short probes are enough; one may be lost.
 func TestSuspectReportedByPeerGetsShortProbes(t *testing.T) {
 	e := &fakeEngines{reportErrors: map[string]error{"middle": context.DeadlineExceeded}}
 	m, servers := newMonitor(e, 1)
@@ -184,8 +185,8 @@
 	e.mu.Lock()
 	defer e.mu.Unlock()
 	qt.Assert(t, e.timeouts, qt.HasLen, probe.FailureThreshold)
-	for _, wait := range e.timeouts {
-		qt.Check(t, wait <= probe.MinTimeout, qt.IsTrue, qt.Commentf("%v", wait))
+	for _, timeout := range e.timeouts {
+		qt.Check(t, timeout <= probe.MinTimeout, qt.IsTrue, qt.Commentf("%v", timeout))
 	}
 }
 
@@ -204,8 +205,8 @@
 }
 
 // Guards against rerouting streams because of one lost probe. A stream with an event
-// every 80 ms, whose last event came 50 ms ago, is not due yet: nothing says that
-// the server is dead, and a reroute would read all its tokens again.
+// every 80 ms, whose last event came 50 ms ago, is not due yet: nothing shows that
+// the server has failed, and after a reroute all tokens would be read again.
 func TestStreamsWithinMeanGapStay(t *testing.T) {
 	e := &fakeEngines{}
 	m, servers := newMonitor(e, 1)
@@ -220,7 +221,7 @@
 
 // Guards against ending streams on a first server that is shutting down: it accepts
 // no more connections but still serves the streams that it has.
-func TestActiveStreamsStayOnEndingFirstServer(t *testing.T) {
+func TestActiveStreamsStayOnFirstServerThatShutsDown(t *testing.T) {
 	e := &fakeEngines{}
 	m, servers := newMonitor(e, 1)
 	active, silent := m.addStream(servers, "comes", 0), m.addStream(servers, "silent", silentTimeout(testRoute)+time.Millisecond)
@@ -231,9 +232,9 @@
 	qt.Assert(t, ended, qt.DeepEquals, []string{"silent"})
 }
 
-// Guards against many streams moving from a dead server to the same alternative.
-// They choose within a millisecond, while nothing shows that the first order will
-// make its server read a whole prompt; the last stream would wait for all others.
+// Guards against many streams moving from a failed server to the same alternative.
+// They choose within a millisecond, before the load of that server shows that the
+// first stream makes it read a whole prompt; the last one would wait for all others.
 func TestReroutedStreamsSpreadOverServers(t *testing.T) {
 	e := &fakeEngines{reportErrors: map[string]error{"middle": syscall.ECONNREFUSED}, block: make(chan struct{})}
 	m, servers := newMonitor(e, 2)
@@ -253,7 +254,7 @@
 
 // Guards against streams that block the load of missing layers: a server that is to
 // load them waits for the streams that use the layers it gives up. Streams on a
-// server that only gives up replicated layers must stay: otherwise all their tokens
+// server that only gives up replicated layers must stay, because all their tokens
 // would be read again for nothing.
 func TestStreamsAreDrainedOnlyForMissingLayers(t *testing.T) {
 	e := &fakeEngines{}
@@ -269,9 +270,9 @@
 	qt.Assert(t, e.rerouted["r"].String(), qt.Equals, "first=0-4 other-0=4-12")
 }
 
-// Guards against a deadlock after the death of a server of a chain: the next server
-// of the chain is ordered to load its layers and waits for a stream that uses the
-// layers it gives up, while the stream waits for the layers of the dead server.
+// Guards against a deadlock after a server of a chain has crashed: the next server of
+// the chain is ordered to load the missing layers and waits for a stream that uses
+// the layers it gives up, while the stream waits for the missing layers.
 func TestStreamBlockingALoadRestarts(t *testing.T) {
 	e := &fakeEngines{reportErrors: map[string]error{"middle": syscall.ECONNREFUSED}}
 	m, servers := newMonitor(e, 0)
@@ -287,7 +288,7 @@
 	stream.cancel = func(cause error) { ended <- cause }
 	m.rerouteStream(stream, "middle")
 	qt.Assert(t, ended, qt.HasLen, 0)
-	stream.lastReroute = time.Time{}
+	stream.lastSearch = time.Time{}
 	m.State.Assign(state.Assignment{ID: "next", First: 4, End: 10, Until: time.Now().Add(time.Hour)}, time.Now())
 	m.rerouteStream(stream, "middle")
 	qt.Assert(t, <-ended, qt.Equals, errNoChain)
@@ -295,7 +296,7 @@
 
 // Guards against retries that use up the retry budget shared by all entry hosts on a
 // request that no server completes. A route allows two attempts on servers that stay
-// alive; an attempt on a server that died does not count.
+// alive; an attempt on a server that crashed or is suspected does not count.
 func TestOnlyLiveServersCountAsAttempts(t *testing.T) {
 	m, servers := newMonitor(&fakeEngines{}, 1)
 	first, middle := servers["first"], servers["middle"]
@@ -308,9 +309,9 @@
 	qt.Assert(t, r.countAttempts(r.mayHaveRun), qt.Equals, 1)
 }
 
-// Guards against suspecting a plain server that responds to a probe without a
-// report. It would be avoided for two seconds, and the few others would refuse
-// requests that it could have served.
+// Guards against suspecting a server of a plain service because it responds to a
+// probe without a report. It would be avoided for two seconds, and the few others
+// would refuse requests that it could have served.
 func TestServerWithoutReportIsNotSuspected(t *testing.T) {
 	e := &fakeEngines{reportErrors: map[string]error{"middle": &call.NoReportError{Status: 400}}}
 	m, _ := newMonitor(e, 1)
--- a/entry/stream/probe.go
+++ b/entry/stream/probe.go
@@ -12,14 +12,14 @@
 	"fuchsiashelf.dev/parts/probe"
 )
 
-// Probe checks whether a server that seems to have failed still answers. If it does
-// not, it is suspected, and probed again until it answers or its entry is gone.
+// Probe probes a server that seems to have failed. If the server does not answer, it
+// is suspected, and probed again until it answers or its entry is gone.
 func (m *Monitor) Probe(address, reason string) {
 	m.probeServer(address, reason, link{})
 }
 
 // ProbeFor is like Probe for a server that failed while it ran a request. If the
-// server died, the crash is recorded against the request.
+// server crashed, the crash is recorded against the request.
 func (m *Monitor) ProbeFor(job *call.Job, address, reason string) {
 	s := m.State.View().ByAddress(address)
 	if s == nil {
@@ -37,14 +37,14 @@
 	m.probeServer(address, reason, link{})
 }
 
-// resolveFailures ends the probe of a server. If the server died, the crash is
-// recorded against all requests that failed on it.
-func (m *Monitor) resolveFailures(id string, died bool, now time.Time) {
+// resolveFailedRequests removes the requests that failed on a server, once it is
+// known whether the server crashed. A crash is recorded against each of them.
+func (m *Monitor) resolveFailedRequests(id string, crashed bool, now time.Time) {
 	m.mu.Lock()
 	fingerprints := m.failedRequests[id]
 	delete(m.failedRequests, id)
 	m.mu.Unlock()
-	if !died {
+	if !crashed {
 		return
 	}
 	for fingerprint := range fingerprints {
@@ -52,12 +52,12 @@
 	}
 }
 
-// probeServer starts to probe a server, unless it has answered recently or is being
-// probed already. via is the link over which another server of a chain waits for
-// this one, if any. If the server answers this entry host and the link connects two
-// failure domains, the link is marked as broken. Without the probe, a crash of the
-// server would look the same, and no chain could cross to the domain that holds its
-// layers.
+// probeServer starts to probe a server, unless the server has answered recently or is
+// being probed already. via is the link over which another server of a chain waits
+// for this one, if any. If the server answers this entry host and the link connects
+// two failure domains, these are marked as unreachable from each other. Without the
+// probe, a crash of the server would be taken for a broken link, and no chain could
+// cross to the domain that holds the layers.
 func (m *Monitor) probeServer(address, reason string, via link) {
 	s := m.State.View().ByAddress(address)
 	if s == nil {
@@ -71,8 +71,8 @@
 	}
 }
 
-// claimProbe reports whether the caller is to probe a server. Each server is probed
-// by one goroutine at a time.
+// claimProbe marks a server as being probed. It reports false if another goroutine
+// probes the server already.
 func (m *Monitor) claimProbe(address string) bool {
 	m.mu.Lock()
 	defer m.mu.Unlock()
@@ -86,8 +86,8 @@
 	return true
 }
 
-// suspect avoids a server that did not answer probes, and probes it again until it
-// answers or its entry is gone.
+// suspect marks a server that did not answer probes as suspected, and probes it again
+// until it answers or its entry is gone.
 func (m *Monitor) suspect(address, reason string, err error) {
 	s := m.State.View().ByAddress(address)
 	if s == nil {
@@ -99,12 +99,12 @@
 	}
 }
 
-// markSuspected records that a server did not answer. It reports whether the entry
-// of the server still exists.
+// markSuspected marks a server that did not answer as suspected. It reports whether
+// the entry of the server still exists.
 func (m *Monitor) markSuspected(id, address, reason string, err error, now time.Time) bool {
-	// Only a process that has ended refuses connections at once. A server behind a
-	// broken link does not answer either, but no request caused that.
-	m.resolveFailures(id, probeOutcome(err) == probe.Exited, now)
+	// Only a process that has ended refuses connections. A server behind a broken link
+	// does not answer either, but no request caused that.
+	m.resolveFailedRequests(id, probeOutcome(err) == probe.Exited, now)
 	if s := m.State.View().ByAddress(address); s == nil || s.ID != id {
 		return false
 	}
@@ -115,10 +115,9 @@
 	return true
 }
 
-// probeSuspect probes a server until it answers or its entry is gone. The first
-// probes, up to the number of misses that count as dead, have a short timeout: until
-// the death is known, requests are sent to the server, and no other server loads its
-// layers.
+// probeSuspect probes a server until it answers or its entry is gone. The timeout is
+// short for the first probes, as many as must fail before the server is suspected:
+// until then requests are sent to the server, and no other server loads its layers.
 func (m *Monitor) probeSuspect(id, address, reason string, via link) {
 	defer func() {
 		m.mu.Lock()
@@ -161,8 +160,8 @@
 }
 
 // probeInterval returns the interval between probes of a suspected server. Every
-// entry host probes on its own, so servers of other failure domains that serve none
-// of its streams are probed only as often as it takes to keep them suspected.
+// entry host probes the server, so one of another failure domain that serves none of
+// the streams here is probed only as often as it takes to keep it suspected.
 func (m *Monitor) probeInterval(address string) time.Duration {
 	s := m.State.View().ByAddress(address)
 	if s == nil || s.Domain == m.LocalDomain {
@@ -178,8 +177,7 @@
 	return remoteProbeInterval
 }
 
-// probeOnce asks a server for its report. A response without a report counts as an
-// answer.
+// probeOnce sends one probe. A response without a report counts as an answer.
 func (m *Monitor) probeOnce(address string, timeout time.Duration) error {
 	if _, err := m.fetchReport(context.Background(), address, timeout); !isAlive(err) {
 		return err
@@ -190,7 +188,7 @@
 // markHealthy ends the suspicion of a server that answered.
 func (m *Monitor) markHealthy(id, address string, now time.Time) {
 	m.State.ClearSuspicion(id, now)
-	m.resolveFailures(id, false, now)
+	m.resolveFailedRequests(id, false, now)
 	m.mu.Lock()
 	defer m.mu.Unlock()
 	if m.lastAnswer == nil {
--- a/entry/stream/probe_test.go
+++ b/entry/stream/probe_test.go
@@ -7,7 +7,7 @@
 	qt "github.com/frankban/quicktest"
 )
 
-// Guards against every entry host of all failure domains probing each dead server
+// Guards against every entry host of all failure domains probing each failed server
 // twice a second.
 func TestRemoteServersAreProbedLessOften(t *testing.T) {
 	m, servers := newMonitor(&fakeEngines{}, 0)
--- a/entry/stream/reroute.go
+++ b/entry/stream/reroute.go
@@ -10,7 +10,8 @@
 	"fuchsiashelf.dev/parts/router"
 )
 
-// rerouteStalled reroutes the streams that a first server reports as stalled.
+// rerouteStalled reroutes the streams that their first server reports as stalled, and
+// probes the servers that they wait for.
 func (m *Monitor) rerouteStalled(address string, stalled []call.Stalled) {
 	waitsFor := map[string]string{}
 	for _, s := range stalled {
@@ -35,7 +36,8 @@
 // another.
 type link struct{ from, to domain.Name }
 
-// linkTo returns the link over which a server of the stream's chain is reached.
+// linkTo returns the link from the previous server of the chain to the given one, or
+// the zero link if there is no previous server.
 func (s *activeStream) linkTo(address string) link {
 	s.mu.Lock()
 	defer s.mu.Unlock()
@@ -47,16 +49,16 @@
 	return link{}
 }
 
-// rerouteStream changes the chain of one stream. It runs once at a time for each. A
-// stream without an alternative chain behind its first server restarts on another
-// one if it can. Otherwise it stays as it is: the servers that it waits for are
-// probed again soon, when an alternative may exist.
+// rerouteStream changes the chain of a stream, unless it is doing so already. If no
+// alternative chain behind the first server takes the stream, the stream restarts if
+// it can. Otherwise it stays as it is: the servers that it waits for are probed again
+// soon, and by then an alternative may exist.
 func (m *Monitor) rerouteStream(stream *activeStream, failed string) {
 	stream.mu.Lock()
 	chain := stream.chain
-	if stream.rerouting || !chain.Has(failed) || time.Since(stream.lastReroute) < rerouteInterval {
-		// The report is outdated: the stream has another chain already, or none was
-		// found a moment ago.
+	if stream.rerouting || !chain.Has(failed) || time.Since(stream.lastSearch) < searchInterval {
+		// The stream is being rerouted, has another chain already, or found none a
+		// moment ago.
 		stream.mu.Unlock()
 		return
 	}
@@ -65,7 +67,7 @@
 	defer func() {
 		stream.mu.Lock()
 		stream.rerouting = false
-		stream.lastReroute = time.Now()
+		stream.lastSearch = time.Now()
 		stream.mu.Unlock()
 	}()
 	avoid := map[string]bool{failed: true}
@@ -73,22 +75,22 @@
 		return
 	}
 	started := stream.started.Load()
-	restart := !started || m.blocksLoad(stream, chain) || m.reserveLocalRestart(stream, chain, avoid)
+	restart := !started || m.blocksLoad(stream, chain) || m.reserveSingleDomainRestart(stream, chain, avoid)
 	m.Log.Info("watch: no other way", "request", stream.job.ID, "failed", failed, "began", started, "restart", restart, "silence", stream.silence(time.Now()))
 	if restart {
 		stream.cancel(errNoChain)
 	}
 }
 
-// tryReroute orders alternative chains behind the first server of a stream, and
-// reports whether the stream continues on one.
+// tryReroute orders the first server of a stream to use one alternative chain after
+// another, and reports whether the stream continues on one.
 func (m *Monitor) tryReroute(stream *activeStream, chain router.Chain, avoid map[string]bool) bool {
 	for range maxReroutes {
 		next := m.alternativeChain(stream, chain, avoid)
 		if next == nil || !m.reserveTransfer(stream.job, next.Crossings()-chain.Crossings()) {
 			return false
 		}
-		// The chain is reserved before it is ordered: many streams leave a dead
+		// The chain is reserved before it is ordered: many streams leave a failed
 		// server at the same moment, and would all choose the same alternative.
 		stream.switchChain(m.Load, next)
 		result, refusedBy := m.orderReroute(stream, next)
@@ -105,11 +107,11 @@
 	return false
 }
 
-// reserveLocalRestart reports whether a stream can restart on a chain within one
+// reserveSingleDomainRestart reports whether a stream can restart on a chain within one
 // failure domain, and reserves an attempt for it. Loading the missing layers takes
-// longer than the longest gap that is on time, and the link between domains carries
-// few prompts in that time; reading the tokens again needs neither.
-func (m *Monitor) reserveLocalRestart(stream *activeStream, chain router.Chain, avoid map[string]bool) bool {
+// longer than the maximum gap of the route, and the link between domains carries few
+// prompts in that time; reading the tokens again on such a chain needs neither.
+func (m *Monitor) reserveSingleDomainRestart(stream *activeStream, chain router.Chain, avoid map[string]bool) bool {
 	if stream.reserveRestart == nil {
 		return false
 	}
@@ -120,8 +122,8 @@
 }
 
 // blocksLoad reports whether a stalled stream keeps a server from loading the layers
-// that this stream and others wait for: the server first lets all requests that use
-// the layers it gives up end, but this stream would never end.
+// that this stream and others wait for. The server starts to load once all requests
+// that use the layers it gives up have ended, but this stream would never end.
 func (m *Monitor) blocksLoad(stream *activeStream, chain router.Chain) bool {
 	s := drainingServer(m.State.View(), chain)
 	return s != nil && s.AwaitsReload && stream.silent(time.Now())
@@ -129,7 +131,7 @@
 
 // reserveTransfer reserves the transfer of a request's prompt over the link between
 // failure domains, for the given number of crossings. It reports whether the link
-// has room for it.
+// has the capacity for it.
 func (m *Monitor) reserveTransfer(job *call.Job, crossings int) bool {
 	if crossings <= 0 {
 		return true
@@ -165,7 +167,7 @@
 }
 
 // orderReroute orders the first server of a stream to use another chain. If a server
-// of that chain cannot take part, its address is returned.
+// of that chain refuses to take part, refusedBy is its address.
 func (m *Monitor) orderReroute(stream *activeStream, next router.Chain) (result call.OrderResult, refusedBy string) {
 	ctx, cancel := context.WithTimeout(context.Background(), call.OrderTimeout)
 	defer cancel()
@@ -178,9 +180,9 @@
 	return result, refusedBy
 }
 
-// drainStreams reroutes streams around a server that is draining, before it closes
-// them, and around a server that loads missing layers once they have ended. Streams
-// that use a server which only gives up replicated layers are left to end.
+// drainStreams reroutes a stream around a server that is draining, before the server
+// closes the stream, or around one that waits for the stream to end before it loads
+// missing layers. A stream stays on a server that only gives up replicated layers.
 func (m *Monitor) drainStreams(now time.Time) {
 	view := m.State.View()
 	m.mu.Lock()
@@ -201,17 +203,17 @@
 	}
 }
 
-// drainIntervalFor returns the interval between two streams that are rerouted around
-// a server.
+// drainIntervalFor returns the interval before the next stream is rerouted around a
+// server.
 func drainIntervalFor(s *fleet.Server) time.Duration {
 	if s.AwaitsReload {
-		return moveInterval
+		return reloadDrainInterval
 	}
 	return drainInterval
 }
 
-// drainingServer returns a server of a chain, other than the first, that the stream
-// should leave, or nil.
+// drainingServer returns a server of a chain, other than the first, that drains or
+// waits to unload layers that the chain uses, or nil if there is none.
 func drainingServer(view *fleet.View, chain router.Chain) *fleet.Server {
 	for _, stage := range chain[1:] {
 		s := view.ByAddress(stage.Server.Address)
--- a/entry/stream/reroute_test.go
+++ b/entry/stream/reroute_test.go
@@ -34,7 +34,7 @@
 }
 
 // Guards against a stream that waits a second or longer for layers to be loaded
-// while it could restart in another failure domain at once.
+// although it could restart in another failure domain at once.
 func TestStreamRestartsInAnotherDomain(t *testing.T) {
 	for _, allowed := range []bool{true, false} {
 		m, servers := newMonitorWithoutReplica(&fakeEngines{})
@@ -47,8 +47,8 @@
 	}
 }
 
-// Guards against ending an attempt when there is no chain for another one: the
-// stream might have continued.
+// Guards against ending an attempt although there is no chain for another one: the
+// stream could have continued later.
 func TestStreamStaysWithoutAlternativeChain(t *testing.T) {
 	m, servers := newMonitor(&fakeEngines{}, 0)
 	stream := m.addStream(servers, "r", silentTimeout(testRoute)+time.Millisecond)
@@ -90,7 +90,7 @@
 		{"retry budget used up", route.Route{Kind: route.Stream, Resumable: true, Attempts: 2}, nil, 0, 0, false},
 		{"both attempts used", route.Route{Kind: route.Stream, Resumable: true, Attempts: 2}, []*fleet.Server{&other}, 1, 1, false},
 		{"not resumable", route.Route{Kind: route.Stream, Attempts: 2}, nil, 0, 1, false},
-		{"sent too often", route.Route{Kind: route.Stream, Resumable: true, Attempts: 9}, nil, maxSends, 1, false},
+		{"sent too often", route.Route{Kind: route.Stream, Resumable: true, Attempts: 9}, nil, maxResends, 1, false},
 	} {
 		budget := &retry.WindowBudget{MinRetries: func() float64 { return test.minRetries }, Window: time.Second}
 		r := &request{Forwarder: &Forwarder{State: m.State}, job: &call.Job{Request: &call.Request{}, Route: &test.route}, mayHaveRun: test.mayHaveRun, budget: budget}
@@ -100,9 +100,9 @@
 	}
 }
 
-// Guards against refusing a request for lack of queue space while there is room that
-// the queued requests cannot use.
-func TestFullQueueDoesNotRefuseUsableRoom(t *testing.T) {
+// Guards against refusing a request because the queue is full although there is
+// capacity that the queued requests cannot use.
+func TestFullQueueDoesNotRefuseUsableCapacity(t *testing.T) {
 	m, servers := newMonitor(&fakeEngines{}, 1)
 	job := m.addStream(servers, "other", 0).job
 	f := &Forwarder{State: m.State, Load: m.Load, Monitor: m, Queue: &prio.Queue{}, Failures: &Failures{}, LocalDomain: "a"}
--- a/entry/stream/timeouts.go
+++ b/entry/stream/timeouts.go
@@ -10,25 +10,25 @@
 // Timeouts as fractions of the route's objectives and of its caller timeout.
 const (
 	// silentFraction is the time without an event after which the servers of a
-	// stream are probed, as a fraction of the longest gap that is on time. The
-	// probe, the reroute and reading the prompt on the new chain must fit into the
-	// rest.
+	// stream are probed, as a fraction of the route's maximum gap. The probe, the
+	// reroute and reading the prompt on the new chain must fit into the rest.
 	silentFraction = 0.4
-	// silentStartFraction is the same before the first event, as a fraction of its
-	// target.
+	// silentStartFraction is the same before the first event, as a fraction of the
+	// target for the first event.
 	silentStartFraction = 0.4
-	// notableWaitFraction is the wait at a server from which on other entry hosts
-	// are notified at once, as a fraction of the target of the first event.
+	// notableWaitFraction is the wait at a server above which the other entry hosts
+	// are notified at once, as a fraction of the target for the first event.
 	notableWaitFraction = 0.2
-	// queueWaitFraction is how long a request waits for room, as a fraction of the
-	// target of the first event. The rest is enough to read its prompt.
+	// queueWaitFraction is the longest wait of a request for capacity, as a fraction
+	// of the target for the first event. The rest is enough to read the prompt.
 	queueWaitFraction = 0.8
-	// linkWaitFraction bounds the queue of one entry host's transfers on the link
-	// between failure domains, as a fraction of the longest gap that is on time.
+	// linkWaitFraction bounds the time that the transfers of one entry host are
+	// queued for the link between failure domains, as a fraction of the route's
+	// maximum gap.
 	linkWaitFraction = 0.4
-	// restartSearchFraction bounds the search for another chain in the middle of a
-	// response, as a fraction of the caller timeout. The first event of the new
-	// chain takes the rest.
+	// restartSearchFraction bounds the search for another chain for a response that
+	// broke off, as a fraction of the caller timeout. The rest is left for the first
+	// event of the new chain.
 	restartSearchFraction = 0.8
 	// restartFraction is the time without an event after which a stream restarts on
 	// another chain regardless of the state of its first server, as a fraction of
@@ -38,9 +38,9 @@
 
 // Defaults for routes without objectives.
 const (
-	defaultTarget  = 500 * time.Millisecond
-	defaultGap     = 250 * time.Millisecond
-	defaultSilence = 2 * time.Second
+	defaultTarget        = 500 * time.Millisecond
+	defaultMaxGap        = 250 * time.Millisecond
+	defaultCallerTimeout = 2 * time.Second
 )
 
 func fractionOf(value, fallback time.Duration, fraction float64) time.Duration {
@@ -54,7 +54,7 @@
 }
 
 func silentTimeout(r *route.Route) time.Duration {
-	return fractionOf(r.MaxGap, defaultGap, silentFraction)
+	return fractionOf(r.MaxGap, defaultMaxGap, silentFraction)
 }
 
 func silentStartTimeout(r *route.Route) time.Duration {
@@ -66,13 +66,13 @@
 }
 
 func maxLinkWait(r *route.Route) time.Duration {
-	return fractionOf(r.MaxGap, defaultGap, linkWaitFraction)
+	return fractionOf(r.MaxGap, defaultMaxGap, linkWaitFraction)
 }
 
 func restartSearchWait(r *route.Route) time.Duration {
-	return fractionOf(r.CallerTimeout, defaultSilence, restartSearchFraction)
+	return fractionOf(r.CallerTimeout, defaultCallerTimeout, restartSearchFraction)
 }
 
 func restartTimeout(r *route.Route) time.Duration {
-	return fractionOf(r.CallerTimeout, defaultSilence, restartFraction)
+	return fractionOf(r.CallerTimeout, defaultCallerTimeout, restartFraction)
 }
--- a/entry/stream/timeouts_test.go
+++ b/entry/stream/timeouts_test.go
@@ -10,20 +10,19 @@
 	"fuchsiashelf.dev/parts/route"
 )
 
-// Guards against timeouts that do not follow the route. Set for a route with short
-// gaps, they would end responses while callers of a slower route still wait; set for
-// a slow route, they would keep requests queued beyond the target of the first
-// event.
+// Guards against timeouts that do not depend on the route. Timeouts for a route with
+// short gaps would end responses of a slower route whose callers still wait; timeouts
+// for a slow route would keep requests queued beyond the target for the first event.
 func TestTimeoutsFollowRouteObjectives(t *testing.T) {
 	quick := &route.Route{Target: 200 * time.Millisecond, MaxGap: 100 * time.Millisecond, CallerTimeout: 2 * time.Second}
 	slow := &route.Route{Target: 2 * time.Second, MaxGap: time.Second, CallerTimeout: 8 * time.Second}
 	for _, r := range []*route.Route{quick, slow, testRoute, {}} {
 		target, gap, callerTimeout := r.Target, r.MaxGap, r.CallerTimeout
 		if target == 0 {
-			target, gap = defaultTarget, defaultGap
+			target, gap = defaultTarget, defaultMaxGap
 		}
 		if callerTimeout == 0 {
-			callerTimeout = defaultSilence
+			callerTimeout = defaultCallerTimeout
 		}
 		qt.Check(t, maxQueueWait(r) < target, qt.IsTrue)
 		qt.Check(t, silentStartTimeout(r) < target, qt.IsTrue)
