--- a/entry/placer/assign.go
+++ b/entry/placer/assign.go
@@ -11,7 +11,7 @@
 	"fuchsiashelf.dev/parts/route"
 )
 
-// sendAssignment reads what a server holds and orders it to hold the assigned
+// sendAssignment reads the report of a server and orders it to hold the assigned
 // layers.
 func (p *Placer) sendAssignment(ctx context.Context, engine *route.Engine, a place.Assignment) {
 	report, err := p.fetchReport(ctx, a.Server)
@@ -23,7 +23,7 @@
 		return
 	}
 	if a.Server.LayerCount() == 0 && report.End > report.First {
-		// The entry is outdated: the server already holds layers.
+		// The entry is outdated: the server holds layers already.
 		p.setConfirmed(a.Server, report.First, report.End, time.Now().Add(entryLag))
 		return
 	}
@@ -61,9 +61,9 @@
 	return report, err
 }
 
-// confirm polls a server that loads layers until it holds them, and then tells the
-// other entry hosts at once. The entry of the server shows the layers up to a
-// heartbeat later, and until then requests are refused for lack of them.
+// confirm polls a server that loads layers until it holds them, and then broadcasts
+// that at once. The entry of the server shows the layers up to a heartbeat later, and
+// requests that need them would be refused until then.
 func (p *Placer) confirm(ctx context.Context, engine *route.Engine, a place.Assignment) {
 	wait := loadDuration(engine, a.End-a.First-overlap(a))
 	for range maxConfirms {
@@ -91,10 +91,11 @@
 	return max(0, min(a.End, a.Server.End)-max(a.First, a.Server.First))
 }
 
-// replicated reports whether other servers confirm that they hold the layers that a
+// replicated reports whether the replicas confirm that they hold all layers that a
 // server gives up for an assignment. If not, it returns the first layer that none of
-// them holds. Entries may be older than the death of their servers: the layers would
-// then be lost, and every request of the domain refused until they are loaded again.
+// them holds. Their entries are not enough: an entry may still exist after its server
+// has failed. The layers would then be lost, and every request of the domain refused
+// until they are loaded again.
 func (p *Placer) replicated(ctx context.Context, a place.Assignment) (layer int, replicated bool) {
 	if len(a.Replicas) == 0 {
 		return 0, true
@@ -117,11 +118,11 @@
 	return 0, true
 }
 
-// concurrentLoadFactor is how many times as long a load may take while others run.
+// concurrentLoadFactor is the factor by which other loads at the same time may slow a
+// load down.
 const concurrentLoadFactor = 2
 
-// loadDuration returns how long it takes to load a number of layers while no other
-// load runs.
+// loadDuration returns the time to load a number of layers while no other load runs.
 func loadDuration(engine *route.Engine, layers int) time.Duration {
 	return engine.Load * time.Duration(layers) / time.Duration(max(engine.Layers, 1))
 }
--- a/entry/placer/placer.go
+++ b/entry/placer/placer.go
@@ -1,13 +1,13 @@
 // Package placer orders servers to load the layers that package place assigns to
 // them.
 //
-// One entry host at a time does so: of those that are alive and connected to the
-// object API, the one whose name sorts first. There is no lease, because correctness
-// does not depend on a single leader. Each order carries the server's order count as
-// last read, and the server rejects an order with any other count. So an order that
-// arrives seconds late, or comes from an entry host that was frozen or partitioned,
-// has no effect once another order has started; and two entry hosts that decide at
-// once from the same entries issue the same orders.
+// One entry host at a time does so, the leader: of those that are alive and connected
+// to the object API, the one whose name sorts first. There is no lease, because
+// correctness does not depend on a single leader. Each order carries the server's
+// order count as last read, and the server rejects an order with any other count. So
+// an order that arrives seconds late, or comes from an entry host that was frozen or
+// partitioned, has no effect once another order has started; and two entry hosts that
+// decide at the same time from the same entries issue the same orders.
 package placer
 
 import (
@@ -29,23 +29,23 @@
 
 // Timeouts and intervals.
 const (
-	// decideInterval is the interval between decisions, and decideDelay the delay
-	// after a change of the servers, so that one decision covers several changes.
+	// decideInterval is the interval between decisions, and decideDelay the delay of a
+	// decision after a change of the servers, so that it covers several changes.
 	decideInterval = 200 * time.Millisecond
 	decideDelay    = 30 * time.Millisecond
-	// initialQuietTime is how long the list of servers must be unchanged before the
+	// initialStableTime is how long the list of servers must be unchanged before the
 	// first placement, so that the first few servers do not get all layers.
-	initialQuietTime = 700 * time.Millisecond
-	// domainCalmTime is how long the servers of a failure domain must be unchanged
-	// before its ranges are balanced: longer than a heartbeat, and than the load of
-	// layers that no server held.
-	domainCalmTime = 1500 * time.Millisecond
+	initialStableTime = 700 * time.Millisecond
+	// domainStableTime is how long the servers of a failure domain must be unchanged
+	// before its ranges are balanced: longer than a heartbeat, and longer than a load
+	// of layers that no server holds.
+	domainStableTime = 1500 * time.Millisecond
 	// newServerTime is how long a server counts as new. In a rolling replacement the
 	// old server leaves a second after the new one started.
 	newServerTime = 1500 * time.Millisecond
 	// returnHoldOff is how long a failure domain gets no assignments after a server
 	// with layers returned. After a partition the entries return one by one, and the
-	// layers of the others seem to be missing.
+	// layers of those that are not back yet seem to be missing.
 	returnHoldOff = 1500 * time.Millisecond
 	// assignRetryDelay is how long an assignment counts as pending before its order
 	// has started.
@@ -70,7 +70,7 @@
 	Load   *router.LoadTracker
 	// Broadcast sends a new assignment to other entry hosts.
 	Broadcast func()
-	// IsLeader reports whether this entry host is the one that places layers.
+	// IsLeader reports whether this entry host is the leader.
 	IsLeader func() bool
 	Log      *slog.Logger
 	// Interval is the interval between decisions while nothing changes; zero means
@@ -85,21 +85,24 @@
 	// changed.
 	healthy        map[string]domain.Name
 	unchangedSince time.Time
-	// firstSeen is when a server was first seen.
+	// firstSeen is when a healthy server was first seen, by ID.
 	firstSeen map[string]time.Time
 	// lastChange is when the list of servers of a failure domain last changed.
 	lastChange map[domain.Name]time.Time
 	wasLeader  bool
-	// lastReturn is when a server that holds layers last joined or returned.
+	// lastReturn is when a server that holds layers last joined or returned, by failure
+	// domain.
 	lastReturn map[domain.Name]time.Time
 }
 
+// pendingRange is a range of layers that is used in place of that of a server's entry.
 type pendingRange struct {
 	first, end int
 	until      time.Time
-	// confirmed is set if the server has confirmed the range.
+	// confirmed is set if the server has started the order or reported the range.
 	confirmed bool
-	// startedAt is the start time of the server that was given the range.
+	// startedAt is the start time of the incarnation of the server that the range
+	// applies to.
 	startedAt time.Time
 }
 
@@ -146,8 +149,9 @@
 	}
 }
 
-// stable reports whether the list of servers is complete enough to place layers.
-// Once servers hold layers, each change is acted on at once.
+// stable reports whether the list of servers is complete enough to place layers, and
+// records how it changed. Once servers hold layers, it is always complete enough, so
+// that each change leads to a decision at once.
 func (p *Placer) stable(view *fleet.View, now time.Time) bool {
 	anyLayers := false
 	healthy := map[string]domain.Name{}
@@ -169,10 +173,10 @@
 		p.recordChanges(healthy, now)
 		p.healthy, p.unchangedSince = healthy, now
 	}
-	return anyLayers || now.Sub(p.unchangedSince) >= initialQuietTime
+	return anyLayers || now.Sub(p.unchangedSince) >= initialStableTime
 }
 
-// recordChanges records the failure domains in which servers came or went.
+// recordChanges records in which failure domains servers were added or removed.
 func (p *Placer) recordChanges(healthy map[string]domain.Name, now time.Time) {
 	for id, dom := range healthy {
 		if _, known := p.healthy[id]; !known {
@@ -194,15 +198,15 @@
 	p.mu.Lock()
 	defer p.mu.Unlock()
 	maps.DeleteFunc(p.pending, func(_ string, r pendingRange) bool { return now.After(r.until) })
-	moving := map[domain.Name]bool{}
+	hasPending := map[domain.Name]bool{}
 	for i, s := range servers {
 		expected[i] = p.expected(s)
 		if _, isPending := p.pending[s.ID]; isPending {
-			moving[s.Domain] = true
+			hasPending[s.Domain] = true
 		}
 	}
 	conditions := place.Conditions{
-		Stable:      func(dom domain.Name) bool { return !moving[dom] && now.Sub(p.lastChange[dom]) >= domainCalmTime },
+		Stable:      func(dom domain.Name) bool { return !hasPending[dom] && now.Sub(p.lastChange[dom]) >= domainStableTime },
 		Idle:        p.idle,
 		JustStarted: func(id string) bool { return now.Sub(p.firstSeen[id]) < newServerTime },
 		Reserved:    func(id string) float64 { return p.Load.Used(id).TokenLayers },
@@ -233,7 +237,8 @@
 }
 
 // expected returns a server with its pending range, if it has one, in place of the
-// range of its entry. The mutex is held.
+// range of its entry. The pending range is dropped once the entry shows it or belongs
+// to a new incarnation of the server. The mutex is held.
 func (p *Placer) expected(s *fleet.Server) *fleet.Server {
 	r, known := p.pending[s.ID]
 	if !known {
--- a/entry/placer/placer_test.go
+++ b/entry/placer/placer_test.go
@@ -18,7 +18,7 @@
 	"fuchsiashelf.dev/parts/router"
 )
 
-// fakeDecoder decodes the servers of a test and a fixed configuration.
+// fakeDecoder holds the servers of a test by ID, and returns a fixed configuration.
 type fakeDecoder map[string]fleet.Server
 
 func (d fakeDecoder) Table([]byte) (*route.Table, error) {
@@ -32,7 +32,8 @@
 	return d[id], nil
 }
 
-// fakeEngines starts every order and sends its range to placed.
+// fakeEngines reports what the servers hold, accepts every order to hold layers, and
+// sends the range of each to placed.
 type fakeEngines struct {
 	fakeDecoder
 	placed chan [2]int
@@ -51,11 +52,11 @@
 	return call.OrderRejected, "", errors.New("no streams in this test")
 }
 
-// Guards against a delayed placement after the death of the only server of a failure
-// domain that holds some layers: every request of the domain is refused or waits
-// until another server holds them. The regular decisions are disabled, so that only
-// the death can trigger one.
-func TestServerDeathTriggersPlacement(t *testing.T) {
+// Guards against a delayed placement after the failure of the only server of a
+// failure domain that holds some layers: every request of the domain is refused or
+// waits until another server holds them. The regular decisions are disabled, so that
+// only the failure can trigger one.
+func TestServerFailureTriggersPlacement(t *testing.T) {
 	servers := fakeDecoder{}
 	var items []mirror.Object
 	for i, id := range []string{"one", "two", "three"} {
