--- a/entry/call/call.go
+++ b/entry/call/call.go
@@ -2,7 +2,7 @@
 // other: a caller's request, what is added to it for a backend server, and the
 // response.
 //
-// Wire formats are left to a [Codec] and an [EngineClient]. Each system that the
+// A [Codec] and an [EngineClient] implement the wire formats. Each system that the
 // entry host serves provides its own.
 package call
 
@@ -25,12 +25,12 @@
 	// Method, Host, Path and Target are those of the request line; Target is the
 	// path with its query, byte for byte.
 	Method, Host, Path, Target string
-	// Header is forwarded to the backend server.
+	// Header is the header that is forwarded to the backend server.
 	Header http.Header
 	Body   []byte
 	// Key authenticates the caller's team; empty if it sent none.
 	Key string
-	// Timeout is how long the caller waits; zero if it did not say.
+	// Timeout is how long the caller waits; zero if not given.
 	Timeout time.Duration
 	// PromptTokens is the number of tokens of the prompt, MaxTokens the maximum
 	// number of tokens of the response, and TokensHint the caller's estimate of it;
@@ -38,7 +38,7 @@
 	PromptTokens, MaxTokens, TokensHint int
 	// LastEvent is the ID of the last event that the caller has of a resumed stream.
 	LastEvent string
-	// Arrived is when the request had been read.
+	// Arrived is the time at which the request had been read.
 	Arrived time.Time
 }
 
@@ -72,14 +72,15 @@
 // Reply is the head of a backend server's response.
 type Reply struct {
 	Status int
-	// ID identifies the request that is responded to.
+	// ID identifies the request that the server responds to.
 	ID string
 	// NotRun is set if the backend server did not and will not run the request.
 	NotRun bool
 	// Misdirected is set if the server is not the expected one, or holds other
 	// layers.
 	Misdirected bool
-	// RefusedBy is the address of the server of the chain that refused.
+	// RefusedBy is the address of the server of the chain that refused the request, if
+	// the first server names one.
 	RefusedBy string
 	// Closing is set if the backend server closes this connection.
 	Closing bool
@@ -97,7 +98,7 @@
 	NewRequest(req *Request, options SendOptions) *http.Request
 	// ParseReply parses the head of a backend server's response.
 	ParseReply(r *http.Response) Reply
-	// SetRetryAfter sets when to retry in the header of a refusal.
+	// SetRetryAfter sets the delay after which to retry in the header of a refusal.
 	SetRetryAfter(h http.Header, after time.Duration)
 }
 
@@ -114,17 +115,18 @@
 type Report struct {
 	// StartedAt is the start time of the engine.
 	StartedAt time.Time
-	// OrderCount is the number of orders that it has started to carry out since.
+	// OrderCount is the number of orders that the engine has started to carry out
+	// since.
 	OrderCount uint64
 	// Busy is set while an order is being carried out.
 	Busy bool
-	// First and End bound the range of layers that it holds, [First, End).
+	// First and End bound the range of layers that the engine holds, [First, End).
 	First, End int
-	// SlowdownFactor is how many times as long as usual its work takes; zero if it did not
-	// say.
+	// SlowdownFactor is the ratio of the engine's processing time to the usual one;
+	// zero if the engine did not report it.
 	SlowdownFactor float64
-	// Stalled holds the requests of which it is the first server, and that wait for
-	// another one.
+	// Stalled holds the requests that wait for another server of their chain. The
+	// engine is the first server of these chains.
 	Stalled []Stalled
 }
 
@@ -163,20 +165,22 @@
 	// ReportTimeout bounds a request for a report, which decides whether a server is
 	// alive and what it holds. An answer takes one to three milliseconds.
 	ReportTimeout = probe.MaxTimeout
-	// OrderTimeout bounds an order. The response to one is as fast.
+	// OrderTimeout bounds an order. The response takes as long as that to a request
+	// for a report.
 	OrderTimeout = 500 * time.Millisecond
 )
 
 // EngineClient sends orders to engines and reads their reports.
 type EngineClient interface {
-	// Report asks a server for its report. The error is a *NoReportError if it is
-	// alive and has none.
+	// Report asks a server for its report. The error is a *NoReportError if the server
+	// responds without one.
 	Report(ctx context.Context, address string) (Report, error)
-	// Place orders a server to hold the layers [first, end), unless it has started
-	// an order since its order count had the given value.
+	// Place orders a server to hold the layers [first, end). The result is
+	// OrderConflict if the server's order count is no longer the given one.
 	Place(ctx context.Context, s *fleet.Server, first, end int, orders uint64) (OrderResult, error)
-	// Reroute changes the chain of a running request, except for its first stage. If
-	// a server of the new chain cannot take part, its address is returned.
+	// Reroute orders the first server of a chain to change the chain of a request in
+	// flight, except for the first stage. If a server of the new chain cannot take
+	// part, refusedBy is its address.
 	Reroute(ctx context.Context, id string, chain router.Chain) (result OrderResult, refusedBy string, err error)
 }
 
--- a/entry/call/job.go
+++ b/entry/call/job.go
@@ -21,7 +21,7 @@
 	Team string
 	// Priority is negative if the request has none.
 	Priority int
-	// Deadline is when the caller stops waiting, or the timeout that the operator
+	// Deadline is when the caller stops waiting, or when the timeout that the operator
 	// set expires.
 	Deadline time.Time
 	// Fingerprint identifies copies and retries of the same request.
@@ -35,11 +35,11 @@
 
 // Outcome is how a request ended, for logs and metrics.
 type Outcome struct {
-	// Status is the status that the caller got; zero if it left before.
+	// Status is the status that the caller received; zero if the caller left before.
 	Status int
 	// Error is set if the request failed.
 	Error *fault.Error
-	// Sends is the number of backend servers that the request was sent to.
+	// Sends is how often the request was sent to a backend server.
 	Sends int
 	// Truncated is set if the response was cut off after its header.
 	Truncated bool
@@ -49,9 +49,10 @@
 	// between two of them.
 	Events     int
 	LongestGap time.Duration
-	// Chain is the last chain of servers.
+	// Chain is the chain of the last attempt; empty for a plain service.
 	Chain string
-	// Server is the backend server that responded.
+	// Server is the ID of the backend server that responded, or that the request was
+	// last sent to.
 	Server string
 }
 
@@ -64,7 +65,8 @@
 // or that the HTTP server sets itself.
 var connectionHeaders = []string{"Connection", "Keep-Alive", "Transfer-Encoding", "Content-Length", "Trailer", "Upgrade", "Proxy-Connection"}
 
-// CopyHeader copies the header of a response to that of the caller.
+// CopyHeader copies the header of a backend server's response to that of the response
+// to the caller.
 func CopyHeader(dst, src http.Header) {
 	for name, values := range src {
 		dst[name] = values
@@ -89,9 +91,10 @@
 	return false
 }
 
-// WriteError responds to a request that failed. Only an error of a request that is
-// known not to have run gets a status that says so: callers retry on such a status,
-// and a request that must run at most once would run twice.
+// WriteError responds to a request that failed. Only a request that is known not to
+// have run gets a status that says so: callers retry on such a status, and a request
+// that must run at most once could run twice. WriteError returns the status that was
+// sent, or zero if the response could not be written.
 func WriteError(w http.ResponseWriter, c Codec, e *fault.Error) int {
 	status := e.Status()
 	if e.Verdict != fault.NotRun {
