--- a/entry/state/assignment.go
+++ b/entry/state/assignment.go
@@ -10,15 +10,16 @@
 type Assignment struct {
 	ID         string
 	First, End int
-	// Until is when the assignment expires if the server's entry does not show it.
+	// Until is when the assignment expires, unless the server's entry shows it before.
 	Until time.Time
-	// Done says that the server has reported it carried out. Its entry shows that up
-	// to a heartbeat later.
+	// Done says that the server has reported the layers as loaded. Its entry shows
+	// that up to a heartbeat later.
 	Done bool
 }
 
 // adjusted returns a copy of a server with its suspicion, slowdown and assignment
-// applied.
+// applied. It drops a suspicion that has expired, and an assignment that has expired
+// or that the entry shows.
 func (s *Local) adjusted(id string, server fleet.Server, now time.Time) *fleet.Server {
 	if until, suspected := s.suspects[id]; suspected {
 		server.Suspected = now.Before(until)
@@ -37,8 +38,8 @@
 		server.First, server.End = a.First, a.End
 		server.MemoryLayers = server.LayerCount()
 	default:
-		// Layers being given up accept no new requests, and layers being loaded take
-		// memory already.
+		// The server accepts no new requests for layers that it gives up, and the
+		// layers that it loads take memory already.
 		server.MemoryLayers = max(server.MemoryLayers, a.End-a.First)
 		server.AwaitsReload = a.First < server.First || a.End > server.End
 		server.First, server.End = max(server.First, a.First), min(server.End, a.End)
@@ -49,8 +50,8 @@
 	return &server
 }
 
-// Assign records an assignment, so that no request is sent for layers that the server
-// gives up. It reports whether the assignment was unknown.
+// Assign records an assignment, so that no request is sent to the server for layers
+// that it gives up. It reports whether the assignment was unknown.
 func (s *Local) Assign(a Assignment, now time.Time) bool {
 	s.mu.Lock()
 	defer s.mu.Unlock()
--- a/entry/state/publish.go
+++ b/entry/state/publish.go
@@ -8,7 +8,8 @@
 	"fuchsiashelf.dev/parts/mirror"
 )
 
-// publishChanges publishes changed entries and drops what has expired.
+// publishChanges publishes changed entries and drops expired suspicions, slowdowns,
+// assignments and servers.
 func (s *Local) publishChanges(objects []mirror.Object, now time.Time) {
 	ids, rebuild := s.staleServers(now)
 	v := s.View()
@@ -27,10 +28,10 @@
 	return shown != nil && known && current.server.Address == shown.Address && current.server.Service == shown.Service && current.server.StartedAt.Equal(shown.StartedAt)
 }
 
-// update publishes the view after the given servers changed; rebuild says that
-// servers were added or removed. Rebuilding the view for each change of a suspicion,
-// slowdown or assignment would take seconds of processor time with thousands of
-// servers.
+// update publishes the view after the given servers changed. The view is rebuilt only
+// if rebuild is set, because servers were added or removed: to rebuild it for each
+// suspicion, slowdown and assignment of thousands of servers would take seconds of
+// processor time.
 func (s *Local) update(ids []string, rebuild bool, now time.Time) {
 	if rebuild {
 		s.rebuildView(now)
@@ -60,7 +61,8 @@
 	}
 }
 
-// rebuildView builds the view from the decoded and the kept expired entries.
+// rebuildView builds and publishes the view from the decoded entries and from those
+// expired ones whose grace period is not over.
 func (s *Local) rebuildView(now time.Time) {
 	list := make([]*fleet.Server, 0, len(s.decoded)+len(s.expired))
 	for id, entry := range s.decoded {
@@ -78,7 +80,7 @@
 	s.publish(base)
 }
 
-// entry returns a server as its own entry describes it.
+// entry returns a server as described by its entry, which may have expired.
 func (s *Local) entry(id string) (fleet.Server, bool) {
 	if e, known := s.decoded[id]; known {
 		return e.server, true
@@ -87,8 +89,8 @@
 	return e.server, kept
 }
 
-// publish stores a view of the adjusted servers, which must be those of the base
-// view.
+// publish stores the view of the adjusted servers and notifies those that wait for a
+// change. The base view must contain the same servers.
 func (s *Local) publish(base *fleet.View) {
 	list := s.suspectPartitioned(slices.Clone(s.adjustedServers))
 	s.view.Store(base.WithStates(list))
@@ -106,8 +108,8 @@
 	partitionMinSuspects = 3
 )
 
-// Sweep drops expired suspicions, slowdowns and assignments, and the kept servers
-// whose time is over.
+// Sweep drops expired suspicions, slowdowns and assignments, and the servers with
+// expired entries whose grace period is over.
 func (s *Local) Sweep(now time.Time) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
@@ -117,8 +119,9 @@
 }
 
 // staleServers returns the servers with an expired suspicion, slowdown or assignment,
-// and whether a kept server with an expired entry is to be removed.
-func (s *Local) staleServers(now time.Time) (ids []string, expired bool) {
+// and reports whether the grace period of a server with an expired entry is over. It
+// drops expired slowdowns.
+func (s *Local) staleServers(now time.Time) (ids []string, graceOver bool) {
 	for id, until := range s.suspects {
 		if !now.Before(until) {
 			ids = append(ids, id)
@@ -136,7 +139,7 @@
 		}
 	}
 	for _, e := range s.expired {
-		expired = expired || !now.Before(e.until)
+		graceOver = graceOver || !now.Before(e.until)
 	}
-	return ids, expired
+	return ids, graceOver
 }
--- a/entry/state/scale_test.go
+++ b/entry/state/scale_test.go
@@ -26,8 +26,8 @@
 
 func serverID(i int) string { return fmt.Sprintf("i-%04d", i) }
 
-// maxBytesPerChange limits what publishing one change may allocate with 3,000
-// servers.
+// maxBytesPerChange limits the memory that publishing one change may allocate with
+// 3,000 servers.
 const maxBytesPerChange = 100 << 10
 
 // allocated returns the bytes that a function allocates.
@@ -57,10 +57,10 @@
 		},
 		"expiry": func() { s.Sweep(at) },
 	}
-	for what, change := range changes {
+	for name, change := range changes {
 		at = at.Add(time.Second)
 		bytes := allocated(change)
-		qt.Check(t, bytes < maxBytesPerChange, qt.IsTrue, qt.Commentf("%s: %d bytes", what, bytes))
+		qt.Check(t, bytes < maxBytesPerChange, qt.IsTrue, qt.Commentf("%s: %d bytes", name, bytes))
 	}
 }
 
@@ -91,7 +91,7 @@
 }
 
 // Guards against dropping a server that restarted under its ID: the deletion of its
-// previous entry and the new entry arrive together.
+// old entry and the new entry arrive together.
 func TestRestartedServerIsShown(t *testing.T) {
 	// The deletion has the revision of the response that contained it.
 	for _, deletion := range []uint64{2, 3} {
@@ -105,8 +105,8 @@
 	}
 }
 
-// Guards against a server that counts as slow forever because entry hosts pass the
-// report to each other and each transit time is added to its expiry.
+// Guards against a server that counts as slow forever, because entry hosts gossip the
+// slowdown to each other and each transit time is added to its expiry.
 func TestSlowdownExpiresDespiteTransitTimes(t *testing.T) {
 	one, other := localWithServers(1), localWithServers(1)
 	now := start
--- a/entry/state/state.go
+++ b/entry/state/state.go
@@ -1,5 +1,5 @@
-// Package state maintains the local state that requests read: the configuration in
-// force and the view of the backend servers.
+// Package state maintains the state of an entry host that its requests use: the
+// configuration in force and the view of the backend servers.
 //
 // Both are immutable and published through atomic pointers. The configuration never
 // goes back to an older version. A backend server whose entry disappears right after
@@ -20,7 +20,7 @@
 	"fuchsiashelf.dev/parts/route"
 )
 
-// Decoder decodes the objects of the object API.
+// Decoder decodes the objects that the object API keeps.
 type Decoder interface {
 	Table(spec []byte) (*route.Table, error)
 	Server(id string, spec []byte) (fleet.Server, error)
@@ -34,10 +34,10 @@
 	// recoveryWindow is how long after the end of an outage a missing entry counts as
 	// expired rather than removed.
 	recoveryWindow = 1500 * time.Millisecond
-	// probeWindow is how long it takes to probe the servers with expired entries.
+	// probeWindow is how long it takes to probe the servers whose entries expired.
 	probeWindow = 400 * time.Millisecond
-	// SuspectFor is how long a server is suspected after a failure. A crashed server
-	// returns under a new ID; one behind a partition answers a probe.
+	// SuspectFor is how long a server is suspected after a failure. A server that
+	// crashed returns under a new ID; one behind a partition answers a probe.
 	SuspectFor = 2 * time.Second
 )
 
@@ -57,11 +57,11 @@
 	view  atomic.Pointer[fleet.View]
 
 	mu sync.Mutex
-	// decoded holds the listed servers by ID.
+	// decoded holds the servers of the Servers mirror by ID.
 	decoded map[string]decodedServer
 	// cursor is the position in the Servers mirror up to which entries are decoded.
 	cursor uint64
-	// expired holds the servers whose entries expired and that are still kept.
+	// expired holds the servers whose entries expired and that are still kept, by ID.
 	expired map[string]expiredServer
 	// lastExpiry is when entries last expired.
 	lastExpiry time.Time
@@ -72,14 +72,14 @@
 	// assignments holds the assignments that the entries of their servers do not show
 	// yet.
 	assignments map[string]Assignment
-	// partitions holds until when a pair of failure domains counts as partitioned.
+	// partitions holds until when each pair of failure domains counts as partitioned.
 	partitions map[[2]domain.Name]time.Time
 	// recoveredAt is when the object API last answered again after an outage.
 	recoveredAt time.Time
 	// adjustedServers are the servers of the view before suspectPartitioned is
 	// applied.
 	adjustedServers []*fleet.Server
-	// changed is closed and replaced when the view changes.
+	// changed is closed when the view changes; nil if Changed was not called since.
 	changed chan struct{}
 }
 
@@ -168,7 +168,7 @@
 	s.Log.Info("config: taken", "version", t.Version, "revision", revision, "routes", len(t.Routes), "teams", len(t.Teams))
 }
 
-// ReadServers applies the changes of the Servers mirror.
+// ReadServers applies the changes of the Servers mirror since the last call.
 func (s *Local) ReadServers(now time.Time) {
 	s.mu.Lock()
 	changes, complete := s.Servers.Since(s.cursor)
@@ -205,14 +205,14 @@
 		}
 		server, err := s.Decoder.Server(object.Name, object.Spec)
 		if err != nil {
-			// One malformed entry must not hold up the others.
+			// One malformed entry must not prevent the decoding of the others.
 			s.Log.Warn("servers: unreadable entry ignored", "server", object.Name, "revision", object.Revision, "error", err)
 			removed = append(removed, object.Name)
 			continue
 		}
 		if known && server.StartedAt.After(old.server.StartedAt) {
-			// The new run holds no layers, and what was known of the old run does not
-			// apply to it.
+			// The new incarnation holds no layers, and what was known of the old one
+			// does not apply to it.
 			delete(s.assignments, object.Name)
 			delete(s.suspects, object.Name)
 			s.Log.Info("servers: restarted", "server", server.ID, "address", server.Address, "revision", object.Revision)
@@ -240,15 +240,15 @@
 	return removed
 }
 
-// remove drops the given servers and keeps those whose entries expired in an outage.
-// It returns the addresses of the servers whose entries have just expired.
+// remove removes the given servers, but keeps those whose entries expired in an outage
+// among the expired ones, and returns the addresses of these.
 func (s *Local) remove(removed []string, now time.Time) (expired []string) {
 	removed = slices.DeleteFunc(removed, func(id string) bool {
 		_, known := s.decoded[id]
 		return !known
 	})
-	// Many entries that disappear at once expired in an outage of the object API,
-	// which this entry host need not have seen itself.
+	// Many entries that disappear at once have expired in an outage of the object API,
+	// even if this entry host has not noticed one itself.
 	outage := now.Before(s.recoveredAt.Add(recoveryWindow)) || len(removed) > 2 && len(removed)*4 > len(s.decoded)
 	for _, id := range removed {
 		old := s.decoded[id].server
--- a/entry/state/state_test.go
+++ b/entry/state/state_test.go
@@ -17,8 +17,8 @@
 // restarted is the entry of a server that restarted under its ID.
 const restarted = 9
 
-// decoder reads a configuration's version from its only byte, and decides by the
-// first byte of an entry whether the server restarted.
+// decoder takes the first byte of an object as the version of a configuration, or as a
+// sign that a server restarted.
 type decoder struct{}
 
 func (decoder) Table(spec []byte) (*route.Table, error) {
@@ -95,8 +95,8 @@
 }
 
 // Guards against sending requests for two seconds to servers that stopped during an
-// outage of the object API: their entries are missing afterwards, like those of live
-// servers.
+// outage of the object API. Their entries are missing afterwards, but so are those of
+// live servers.
 func TestServersWithExpiredEntriesAreProbed(t *testing.T) {
 	s := newLocal()
 	var probed []string
@@ -124,9 +124,9 @@
 	qt.Assert(t, ids(s), qt.DeepEquals, []string{"i-2"})
 }
 
-// Guards against requests for layers that a server has been ordered to give up, which
-// it refuses, and against planning with memory that the layers being loaded take
-// before the server's entry shows them.
+// Guards against sending requests for layers that a server was ordered to give up,
+// because it refuses them, and against planning with memory that layers being loaded
+// take before the server's entry shows them.
 func TestAssignedLayersTakeEffectAtOnce(t *testing.T) {
 	s := newLocal()
 	s.Servers.Replace([]mirror.Object{object("i-1", 1, 1)}, 1)
@@ -139,7 +139,7 @@
 	qt.Assert(t, s.View().Servers[0].LayerCount(), qt.Equals, 10)
 }
 
-// Guards against refusing callers for want of layers that a server has reported
+// Guards against refusing requests for lack of layers that a server has reported as
 // loaded: its entry shows them only a heartbeat later.
 func TestReportedAssignmentPrecedesTheEntry(t *testing.T) {
 	s := newLocal()
@@ -170,8 +170,8 @@
 }
 
 // Guards against applying the assignment and the suspicion of a crashed server to its
-// next run under the same ID, which holds no layers: they would seem to be loading
-// for seconds.
+// next incarnation under the same ID. It holds no layers, but they would seem to be
+// loading for seconds.
 func TestRestartUnderTheSameID(t *testing.T) {
 	s := newLocal()
 	s.Servers.Replace([]mirror.Object{object("i-1", 1, 1)}, 1)
--- a/entry/state/suspicion.go
+++ b/entry/state/suspicion.go
@@ -9,8 +9,8 @@
 	"fuchsiashelf.dev/parts/fleet"
 )
 
-// suspectPartitioned suspects all servers of each remote failure domain in which many
-// servers are suspected. It replaces them in the list, which it returns.
+// suspectPartitioned marks all servers of a remote failure domain as suspected if many
+// of them are. It replaces them in the list, which it returns.
 func (s *Local) suspectPartitioned(list []*fleet.Server) []*fleet.Server {
 	suspects := map[domain.Name]int{}
 	for _, server := range list {
@@ -66,7 +66,7 @@
 	return false
 }
 
-// ClearSuspicion ends the suspicion of a server that has just served a request.
+// ClearSuspicion ends the suspicion of a server that has just answered.
 func (s *Local) ClearSuspicion(id string, now time.Time) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
@@ -91,7 +91,7 @@
 // one timed out on a healthy server of the other.
 const partitionTTL = 3 * time.Second
 
-// MarkUnreachable records that servers of two failure domains do not reach each
+// MarkUnreachable records that the servers of two failure domains do not reach each
 // other.
 func (s *Local) MarkUnreachable(from, to domain.Name, now time.Time) {
 	s.mu.Lock()
@@ -119,29 +119,29 @@
 }
 
 const (
-	// slownessTTL is how long a reported slowdown counts. The server is asked again
-	// whenever a stream through it pauses.
+	// slownessTTL is how long a reported slowdown counts. The server is probed, and
+	// reports it again, whenever a stream through it is silent.
 	slownessTTL = 3 * time.Second
 	// minSlowdown is the lowest slowdown factor that counts: below it a server still
 	// responds sooner than one in another failure domain.
 	minSlowdown = 1.3
-	// maxTransitTime is how much later a report of another entry host may expire
-	// because of its transit time alone. Without this limit, transit times would add
-	// up and keep an old report alive.
+	// maxTransitTime is the largest extension of a slowdown's expiry that is
+	// attributed to the transit time of gossip, and ignored. Otherwise transit times
+	// would add up and keep an old report alive.
 	maxTransitTime = 300 * time.Millisecond
 )
 
 // SlowServer is a server whose work takes longer than usual.
 type SlowServer struct {
 	ID string
-	// Factor is how many times longer than usual the work takes.
+	// Factor is the ratio of the server's processing time to the usual one.
 	Factor float64
-	// Until is when the report expires.
+	// Until is when the slowdown expires.
 	Until time.Time
 }
 
-// RecordSlowness records the slowdown factor that a server reports. It reports
-// whether the server was not known to be that slow.
+// RecordSlowness records the slowdown factor that a server has reported. It reports
+// whether the server is slow and was not known to have this factor.
 func (s *Local) RecordSlowness(id string, factor float64, now time.Time) (changed bool) {
 	if factor >= minSlowdown {
 		return s.MergeSlow(SlowServer{ID: id, Factor: factor, Until: now.Add(slownessTTL)}, now)
@@ -156,8 +156,8 @@
 	return false
 }
 
-// MergeSlow merges a report of a slow server. It reports whether the server was not
-// known to be that slow.
+// MergeSlow merges a slow server that this or another entry host has found. It reports
+// whether the slowdown factor of the server changed.
 func (s *Local) MergeSlow(report SlowServer, now time.Time) (changed bool) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
