--- a/desk/cmd/fsdesk/main.go
+++ b/desk/cmd/fsdesk/main.go
@@ -1,4 +1,4 @@
-// Command fsdesk is the operators' command line.
+// Command fsdesk is the operators' command-line client.
 package main
 
 import (
--- a/desk/prog/desk.go
+++ b/desk/prog/desk.go
@@ -16,91 +16,93 @@
 	"fuchsiashelf.dev/parts/wire"
 )
 
-// The outcomes of a line, as entry hosts answer them.
+// Outcomes of a command, as entry hosts report them.
 const (
-	done    = "done"
-	refused = "refused"
-	unknown = "unknown"
+	outcomeDone    = "done"
+	outcomeRefused = "refused"
+	outcomeUnknown = "unknown"
 )
 
-// desk sends lines.
-type desk struct {
+// client sends commands to entry hosts and prints their answers.
+type client struct {
 	*settings
 	stdout io.Writer
 }
 
-// runAll sends the lines in order and returns the exit status. It stops at
-// the first that is not done, since the next steps of a script build on it.
-func (d *desk) runAll(ctx context.Context, lines []string) int {
+// sendAll sends the commands in order and returns the exit status. It stops at
+// the first that is not done, because later commands of a script depend on it;
+// -continue disables this.
+func (c *client) sendAll(ctx context.Context, lines []string) int {
 	status := 0
-	seen := d.seen
+	seen := c.seenRevision
 	for i, text := range lines {
-		answer := d.run(ctx, text, seen)
-		d.print(text, answer)
-		if d.seen == 0 {
+		answer := c.sendUntilAnswered(ctx, text, seen)
+		c.printAnswer(text, answer)
+		if c.seenRevision == 0 {
 			seen = max(seen, answer.Revision)
 		}
-		if answer.Outcome == done {
+		if answer.Outcome == outcomeDone {
 			continue
 		}
 		status = boot.ExitFailed
-		if !d.more && i+1 < len(lines) {
-			fmt.Fprintf(d.stdout, "stopped, %d lines not sent\n", len(lines)-i-1)
+		if !c.keepGoing && i+1 < len(lines) {
+			fmt.Fprintf(c.stdout, "stopped, %d lines not sent\n", len(lines)-i-1)
 			return status
 		}
 	}
 	return status
 }
 
-// run sends one line until an entry host answers. A line that was sent and
-// not answered may have taken effect, so it is sent again with the same id,
-// which entry hosts recognise.
-func (d *desk) run(ctx context.Context, text string, seen uint64) *wire.Answer {
-	line := &wire.Line{Secret: d.secret, Id: d.id, Operator: d.operator, Text: text, Seen: seen}
+// sendUntilAnswered tries the entry hosts in order until one answers the
+// command. A command that was sent and not answered may have taken effect, so
+// every attempt carries the same ID, by which entry hosts recognize a repeat.
+func (c *client) sendUntilAnswered(ctx context.Context, text string, seen uint64) *wire.Answer {
+	line := &wire.Line{Secret: c.secret, Id: c.id, Operator: c.operator, Text: text, Seen: seen}
 	if line.Id == "" {
 		line.Id = newID()
 	}
-	answer := &wire.Answer{Outcome: refused, Id: line.Id}
-	for _, entry := range d.entries() {
-		reply, sent, err := d.ask(ctx, entry, line)
+	answer := &wire.Answer{Outcome: outcomeRefused, Id: line.Id}
+	for _, entry := range c.entryHostList() {
+		reply, sent, err := c.send(ctx, entry, line)
 		if err == nil {
 			return reply
 		}
 		answer.Message = err.Error()
 		if sent {
-			answer.Outcome = unknown
+			answer.Outcome = outcomeUnknown
 		}
 	}
 	return answer
 }
 
-// ask sends a line to one entry host. It tells whether the line may have got
-// there.
-func (d *desk) ask(ctx context.Context, entry string, line *wire.Line) (reply *wire.Answer, sent bool, err error) {
-	ctx, cancel := context.WithTimeout(ctx, d.timeout)
+// send sends a command to one entry host. sent reports whether the entry host
+// may have received it.
+func (c *client) send(ctx context.Context, entry string, line *wire.Line) (reply *wire.Answer, sent bool, err error) {
+	ctx, cancel := context.WithTimeout(ctx, c.timeout)
 	defer cancel()
-	raw, err := d.dial(ctx, entry)
+	netConn, err := c.dial(ctx, entry)
 	if err != nil {
 		return nil, false, err
 	}
-	conn := drpcconn.New(raw)
+	conn := drpcconn.New(netConn)
 	defer conn.Close()
 	reply, err = wire.NewDRPCDeskClient(conn).Run(ctx, line)
 	return reply, true, err
 }
 
-// dialWait bounds the time to reach one entry host.
-const dialWait = 3 * time.Second
+// dialTimeout limits the time to connect to one entry host.
+const dialTimeout = 3 * time.Second
 
-// dial connects to an entry host. With TLS it waits until the entry host has
-// shown a certificate of our authority, so that no line is sent to a stranger.
-// The entry host judges ours only after that: a line that it turns away for
-// its certificate is answered with unknown, though nothing was changed.
-func (d *desk) dial(ctx context.Context, entry string) (net.Conn, error) {
-	ctx, cancel := context.WithTimeout(ctx, dialWait)
+// dial connects to an entry host. With TLS it completes the handshake first, so
+// that no command is sent to a host without a certificate of the configured
+// authority. The entry host verifies the client certificate only after that: a
+// command that fails for the client certificate has the outcome unknown,
+// although it changed nothing.
+func (c *client) dial(ctx context.Context, entry string) (net.Conn, error) {
+	ctx, cancel := context.WithTimeout(ctx, dialTimeout)
 	defer cancel()
 	dialer := &net.Dialer{}
-	config, err := d.certs.Client()
+	config, err := c.certs.Client()
 	if err != nil {
 		return nil, err
 	}
@@ -110,7 +112,7 @@
 	return (&tls.Dialer{NetDialer: dialer, Config: config}).DialContext(ctx, "tcp", entry)
 }
 
-// idBytes makes ids that no two operators draw alike.
+// idBytes is long enough that random IDs of different operators don't collide.
 const idBytes = 8
 
 func newID() string {
--- a/desk/prog/logs.go
+++ b/desk/prog/logs.go
@@ -12,75 +12,77 @@
 	"fuchsiashelf.dev/parts/reqlog"
 )
 
-// The lines that are answered from files begin with these words.
+// Commands that can be answered from log files.
 const (
-	timelineWords = "show timeline request "
-	lossesWords   = "show losses"
+	timelinePrefix = "show timeline request "
+	lossesLine     = "show losses"
 )
 
-// lossesEvery is the length of a window of the table of losses.
-const lossesEvery = 2 * time.Second
+// lossWindow is the time that one row of the table of losses covers.
+const lossWindow = 2 * time.Second
 
-// local answers lines from the files with the output of entry hosts. It returns
-// the exit status.
-func (d *desk) local(lines []string) int {
+// answerFromLogs answers commands from log files of entry hosts, without
+// connecting to one. It returns the exit status.
+func (c *client) answerFromLogs(lines []string) int {
 	status := 0
 	for _, text := range lines {
-		if err := d.show(strings.Join(strings.Fields(text), " ")); err != nil {
-			fmt.Fprintln(d.stdout, refused+":", err)
+		if err := c.answerLine(strings.Join(strings.Fields(text), " ")); err != nil {
+			fmt.Fprintln(c.stdout, outcomeRefused+":", err)
 			status = boot.ExitFailed
 		}
 	}
 	return status
 }
 
-// show answers one line.
-func (d *desk) show(text string) error {
-	request, isTimeline := strings.CutPrefix(text, timelineWords)
-	if !isTimeline && text != lossesWords {
-		return fmt.Errorf("-logs answers `%sID` and `%s` only, not %q", timelineWords, lossesWords, text)
+// answerLine answers one command from the log files.
+func (c *client) answerLine(text string) error {
+	request, isTimeline := strings.CutPrefix(text, timelinePrefix)
+	if !isTimeline && text != lossesLine {
+		return fmt.Errorf("-logs answers `%sID` and `%s` only, not %q", timelinePrefix, lossesLine, text)
 	}
-	logs, end, err := d.open()
-	defer end()
+	logs, closeAll, err := c.openLogs()
+	defer closeAll()
 	if err != nil {
 		return err
 	}
-	fmt.Fprintln(d.stdout, ">", text)
+	fmt.Fprintln(c.stdout, ">", text)
 	if isTimeline {
-		return d.timeline(request, logs)
+		return c.printTimeline(request, logs)
 	}
 	entries, err := reqlog.Read(logs...)
-	fmt.Fprint(d.stdout, loss.Classify(entries, lossesEvery))
+	fmt.Fprint(c.stdout, loss.Classify(entries, lossWindow))
 	return err
 }
 
-func (d *desk) timeline(request string, logs []reqlog.Source) error {
-	found, err := reqlog.Find(request, logs...)
-	for _, e := range found {
-		fmt.Fprintln(d.stdout, e)
+// printTimeline prints all log entries of one request in order of time.
+func (c *client) printTimeline(request string, logs []reqlog.Source) error {
+	entries, err := reqlog.Find(request, logs...)
+	for _, e := range entries {
+		fmt.Fprintln(c.stdout, e)
 	}
-	if len(found) == 0 {
+	if len(entries) == 0 {
 		err = errors.Join(err, fmt.Errorf("no line names the request %s", request))
 	}
 	return err
 }
 
-// open opens the files. The returned function closes them.
-func (d *desk) open() ([]reqlog.Source, func(), error) {
+// openLogs opens the log files. The returned function closes them; it must be
+// called also after an error.
+func (c *client) openLogs() ([]reqlog.Source, func(), error) {
 	var files []*os.File
-	end := func() {
+	closeAll := func() {
 		for _, f := range files {
 			_ = f.Close()
 		}
 	}
 	var logs []reqlog.Source
-	for _, name := range strings.Split(d.logs, ",") {
+	for _, name := range strings.Split(c.logs, ",") {
 		f, err := os.Open(name)
 		if err != nil {
-			return nil, end, fmt.Errorf("-logs: %w", err)
+			return nil, closeAll, fmt.Errorf("-logs: %w", err)
 		}
 		files = append(files, f)
 		logs = append(logs, reqlog.Source{Name: name, From: f})
 	}
-	return logs, end, nil
+	return logs, closeAll, nil
 }
--- a/desk/prog/print.go
+++ b/desk/prog/print.go
@@ -8,8 +8,8 @@
 	"fuchsiashelf.dev/parts/wire"
 )
 
-// record is an answer in JSON.
-type record struct {
+// jsonAnswer is the output of one command with -o json.
+type jsonAnswer struct {
 	Line     string   `json:"line"`
 	ID       string   `json:"id"`
 	Outcome  string   `json:"outcome"`
@@ -20,25 +20,28 @@
 	Rows     []string `json:"rows,omitempty"`
 }
 
-func (d *desk) print(text string, a *wire.Answer) {
-	if d.output == "json" {
-		_ = json.NewEncoder(d.stdout).Encode(record{
+// printAnswer prints the answer to a command. In text form, a caret marks the
+// column of an error in the echoed command.
+func (c *client) printAnswer(text string, a *wire.Answer) {
+	if c.output == "json" {
+		_ = json.NewEncoder(c.stdout).Encode(jsonAnswer{
 			Line: text, ID: a.Id, Outcome: a.Outcome, Revision: a.Revision,
 			Message: a.Message, Column: a.Column, Missing: a.Missing, Rows: a.Rows,
 		})
 		return
 	}
-	fmt.Fprintln(d.stdout, ">", text)
+	fmt.Fprintln(c.stdout, ">", text)
 	if a.Column > 0 {
-		fmt.Fprintf(d.stdout, "  %s^\n", strings.Repeat(" ", int(a.Column)-1))
+		fmt.Fprintf(c.stdout, "  %s^\n", strings.Repeat(" ", int(a.Column)-1))
 	}
 	for _, row := range a.Rows {
-		fmt.Fprintln(d.stdout, " ", row)
+		fmt.Fprintln(c.stdout, " ", row)
 	}
-	fmt.Fprintln(d.stdout, summary(text, a))
+	fmt.Fprintln(c.stdout, summary(text, a))
 }
 
-// summary is the answer in one line.
+// summary returns the answer as one line. For a command with an unknown
+// outcome it names the command that queries it later.
 func summary(text string, a *wire.Answer) string {
 	out := a.Outcome
 	if a.Revision > 0 {
@@ -50,7 +53,7 @@
 	if a.Message != "" {
 		out += ": " + a.Message
 	}
-	if question := strings.HasPrefix(text, "show"); a.Outcome == unknown && !question {
+	if isQuery := strings.HasPrefix(text, "show"); a.Outcome == outcomeUnknown && !isQuery {
 		out += "; ask: show command " + a.Id
 	}
 	return out
--- a/desk/prog/prog.go
+++ b/desk/prog/prog.go
@@ -1,5 +1,5 @@
-// Package prog is the program fsdesk: the operators' command line. It sends
-// each line to an entry host and prints the one answer to it.
+// Package prog implements fsdesk, the operators' command-line client. It sends
+// each command to an entry host and prints the answer.
 package prog
 
 import (
@@ -14,30 +14,30 @@
 	"fuchsiashelf.dev/parts/boot"
 )
 
-// Main runs the program and returns its exit status: 0 only if every line was
-// answered with done.
+// Main runs the program and returns its exit status: 0 only if every command
+// had the outcome done.
 func Main(ctx context.Context, args []string, stdin io.Reader, stdout, stderr io.Writer) int {
 	if boot.PrintVersion("fsdesk", args, stdout) {
 		return 0
 	}
 	s := &settings{}
 	fs := s.flags(stderr)
-	err := ff.Parse(fs, args, ff.WithEnvVarPrefix(prefix))
+	err := ff.Parse(fs, args, ff.WithEnvVarPrefix(envPrefix))
 	if errors.Is(err, flag.ErrHelp) {
 		return 0
 	}
 	var lines []string
 	if err == nil {
-		lines, err = s.lines(fs.Args(), stdin)
+		lines, err = s.readLines(fs.Args(), stdin)
 		err = errors.Join(s.check(len(lines)), err)
 	}
 	if err != nil {
 		fmt.Fprintln(stderr, err)
 		return boot.ExitUsage
 	}
-	d := &desk{settings: s, stdout: stdout}
+	c := &client{settings: s, stdout: stdout}
 	if s.logs != "" {
-		return d.local(lines)
+		return c.answerFromLogs(lines)
 	}
-	return d.runAll(ctx, lines)
+	return c.sendAll(ctx, lines)
 }
