--- a/sess/claims_test.go
+++ b/sess/claims_test.go
@@ -16,20 +16,20 @@
 	"fuchsiashelf.dev/sess/procs"
 )
 
-// The commands of the sessions on calls that may not be repeated.
+// init adds the commands for calls that must not be repeated.
 func init() {
 	maps.Copy(commands, claimCommands)
 }
 
 var claimCommands = map[string]scriptFunc{
 	// ran TEAM/ID...: prints how often each call ran on all plain services.
-	"ran": command("ran", func(s *session, a []string) (string, error) { return s.ran(a) }),
-	// release NAME KIND: switches one fault off and lets go what it held.
+	"ran": command("ran", func(s *session, a []string) (string, error) { return s.executions(a) }),
+	// release NAME KIND: disables one fault and releases what it held.
 	"release": command("release", func(s *session, a []string) (string, error) {
 		_, err := s.Control(a[0], "DELETE", "/fault?kind="+a[1], nil)
 		return "", err
 	}),
-	// verdict JOB: waits for a call and prints its status and verdict only.
+	// verdict JOB: waits for a call and prints only its status and verdict.
 	"verdict": command("verdict", func(s *session, a []string) (string, error) {
 		j := s.jobs[a[0]]
 		if j == nil {
@@ -39,19 +39,20 @@
 		words := strings.Fields(j.out)
 		return strings.Join(words[:min(2, len(words))], " ") + "\n", j.err
 	}),
-	// ticket LABEL ENTRY TEAM: asks for a ticket; "call" takes @LABEL as id.
+	// ticket LABEL ENTRY TEAM: requests a ticket; "call" accepts @LABEL as its
+	// ID.
 	"ticket": command("ticket", func(s *session, a []string) (string, error) { return "", s.ticket(a[0], a[1], a[2]) }),
-	// claimfault KIND TEAM/ID: switches a fault of the store on that strikes
-	// the next write of the shard that holds the call's claim. Outcomes of
-	// earlier calls are written behind, into other shards.
+	// claimfault KIND TEAM/ID: enables a fault of the store that affects the
+	// next write of the shard that contains the claim of the call. Outcomes of
+	// earlier calls are written asynchronously, to other shards.
 	"claimfault": command("claimfault", func(s *session, a []string) (string, error) {
 		team, id, _ := strings.Cut(a[1], "/")
 		return "", s.InjectFault(procs.StoreName, a[0], claim.ObjectKey(claim.KeyOf(team, id).Shard()), 1)
 	}),
-	// limit TEAM RATE BURST: changes what a team may send.
-	"limit": command("limit", func(s *session, a []string) (string, error) { return "", s.limit(a[0], a[1], a[2]) }),
-	// big ENTRY TEAM METHOD URI ID BYTES: a call with a body of that length;
-	// prints status, verdict and code.
+	// limit TEAM RATE BURST: changes the quota of a team.
+	"limit": command("limit", func(s *session, a []string) (string, error) { return "", s.setQuota(a[0], a[1], a[2]) }),
+	// big ENTRY TEAM METHOD URI ID BYTES: sends a call with a body of that
+	// length and prints status, verdict and code.
 	"big": command("big", func(s *session, a []string) (string, error) {
 		var n int
 		if _, err := fmt.Sscan(a[5], &n); err != nil {
@@ -67,8 +68,8 @@
 	}),
 }
 
-// ran sums the counts of all plain services that are alive.
-func (s *session) ran(keys []string) (string, error) {
+// executions adds up the counts of all running plain services.
+func (s *session) executions(keys []string) (string, error) {
 	counts := map[string]int{}
 	for _, p := range s.All() {
 		if len(p.Args) == 0 || p.Args[0] != "plain" || p.Signal(syscall.Signal(0)) != nil {
@@ -78,23 +79,24 @@
 		if err != nil {
 			return "", err
 		}
-		var own map[string]int
-		if err := json.Unmarshal([]byte(text), &own); err != nil {
+		var executed map[string]int
+		if err := json.Unmarshal([]byte(text), &executed); err != nil {
 			return "", err
 		}
-		for key, n := range own {
+		for key, n := range executed {
 			counts[key] += n
 		}
 	}
 	var out strings.Builder
 	for _, key := range keys {
-		fmt.Fprintf(&out, "%s %d\n", s.id(key), counts[s.id(key)])
+		fmt.Fprintf(&out, "%s %d\n", s.resolveTicket(key), counts[s.resolveTicket(key)])
 	}
 	return out.String(), nil
 }
 
-// id returns the ticket for an id such as @seat or team/@seat.
-func (s *session) id(text string) string {
+// resolveTicket replaces the label in an ID such as @seat or team/@seat by the
+// ticket.
+func (s *session) resolveTicket(text string) string {
 	before, label, found := strings.Cut(text, "@")
 	if !found {
 		return text
@@ -102,6 +104,7 @@
 	return before + s.tickets[label]
 }
 
+// ticket requests a ticket and stores it under a label.
 func (s *session) ticket(label, entry, team string) error {
 	reply, err := s.Call(entry, team, http.MethodPost, "/v1/tickets", "", "")
 	if err != nil {
@@ -118,9 +121,9 @@
 	return nil
 }
 
-// limit writes a team's quota into the book of teams, as the users' own
-// engineers do.
-func (s *session) limit(name, rate, burst string) error {
+// setQuota writes the quota of a team to the store's list of teams, as an
+// operator of the platform does.
+func (s *session) setQuota(name, rate, burst string) error {
 	p, err := s.Get(procs.StoreName)
 	if err != nil {
 		return err
@@ -130,18 +133,18 @@
 	if err != nil {
 		return err
 	}
-	var book team.Directory
-	if err := json.Unmarshal(o.Value, &book); err != nil {
+	var directory team.Directory
+	if err := json.Unmarshal(o.Value, &directory); err != nil {
 		return err
 	}
-	for i := range book.Teams {
-		if book.Teams[i].Name == name {
-			if _, err := fmt.Sscan(rate+" "+burst, &book.Teams[i].Quota.Rate, &book.Teams[i].Quota.Burst); err != nil {
+	for i := range directory.Teams {
+		if directory.Teams[i].Name == name {
+			if _, err := fmt.Sscan(rate+" "+burst, &directory.Teams[i].Quota.Rate, &directory.Teams[i].Quota.Burst); err != nil {
 				return err
 			}
 		}
 	}
-	value, err := json.Marshal(book)
+	value, err := json.Marshal(directory)
 	if err != nil {
 		return err
 	}
--- a/sess/cmd/bench/control.go
+++ b/sess/cmd/bench/control.go
@@ -8,13 +8,14 @@
 	"fuchsiashelf.dev/sess/procs"
 )
 
-// controlLines begin the lines of the peers bench that this one repeats.
-const controlLines = "control-"
+// controlPrefix starts the result lines of the peers benchmark that are
+// repeated here.
+const controlPrefix = "control-"
 
-// control runs the bench of the peers' exchange at the target size itself: the
-// first seconds of a fleet cost several times what comes after, so that a line
-// through smaller ones, measured early, is far off.
-func (b *bench) control() error {
+// measureControl runs the peers benchmark at the target size itself. An
+// extrapolation from smaller fleets would be far off, because the first seconds
+// of a fleet cost several times as much as the time after.
+func (b *bench) measureControl() error {
 	file, err := procs.ProgramsIn(b.bin)("peers")
 	if err != nil {
 		return err
@@ -25,8 +26,8 @@
 		return err
 	}
 	for line := range strings.Lines(string(out)) {
-		if strings.HasPrefix(line, controlLines) {
-			b.last = append(b.last, strings.TrimSpace(line))
+		if strings.HasPrefix(line, controlPrefix) {
+			b.results = append(b.results, strings.TrimSpace(line))
 		}
 	}
 	return nil
--- a/sess/cmd/bench/cost.go
+++ b/sess/cmd/bench/cost.go
@@ -11,77 +11,77 @@
 	"fuchsiashelf.dev/sess/procs"
 )
 
-// costs measures what a node costs: an idle entry host's processor time,
-// memory and calls to the store with few and with more of them, and what a
-// busy one spends on a request, a token and an open stream.
-func (b *bench) costs() error {
-	if err := b.idle(); err != nil {
+// measureCosts measures the cost of an entry host: the processor time, memory
+// and store calls of an idle one, in small and large fleets, and the cost of a
+// request, a token and an open stream in a busy one.
+func (b *bench) measureCosts() error {
+	if err := b.measureIdle(); err != nil {
 		return err
 	}
-	if err := b.busy(); err != nil {
+	if err := b.measureBusy(); err != nil {
 		return err
 	}
-	return b.open()
+	return b.measureOpenStreams()
 }
 
-// open prints the memory that an open stream takes in an entry host. The
-// engines are so slow that no stream ends meanwhile.
-func (b *bench) open() error {
-	return b.in(func(w *procs.Cluster) error {
-		r := even()
-		for i := range r.engines {
-			r.engines[i].step, r.engines[i].atOnce = 300*time.Millisecond, 100
+// measureOpenStreams prints the memory that an open stream takes in an entry
+// host. The engines are so slow that no stream ends during the measurement.
+func (b *bench) measureOpenStreams() error {
+	return b.withCluster(func(cluster *procs.Cluster) error {
+		tb := uniformTestbed()
+		for i := range tb.engines {
+			tb.engines[i].stepTime, tb.engines[i].concurrency = 300*time.Millisecond, 100
 		}
-		if err := r.start(w, "cantata"); err != nil {
+		if err := tb.start(cluster, "cantata"); err != nil {
 			return err
 		}
-		if err := w.StartEntry("open", "a"); err != nil {
+		if err := cluster.StartEntry("open", "a"); err != nil {
 			return err
 		}
-		if err := w.Ready("open"); err != nil {
+		if err := cluster.Ready("open"); err != nil {
 			return err
 		}
-		p, err := w.Get("open")
+		p, err := cluster.Get("open")
 		if err != nil {
 			return err
 		}
-		before := resident(p.PID())
+		before := residentMB(p.PID())
 		done := make(chan error, 1)
 		go func() {
-			_, err := b.load(w, "open", []string{"open"}, "-tokens", "100", "-rate", "100",
+			_, err := b.runLoad(cluster, "open", []string{"open"}, "-tokens", "100", "-rate", "100",
 				"-duration", "6s", "-warm", "0s", "-drain", "1s")
 			done <- err
 		}()
 		time.Sleep(5 * time.Second)
-		page, err := metricsOf(p.Addresses["ops"])
+		page, err := fetchMetrics(p.Addresses["ops"])
 		if err != nil {
 			return err
 		}
-		streams, now := page["gate.open"]["count"].asNumber(), resident(p.PID())
+		streams, now := page["gate.open"]["count"].float(), residentMB(p.PID())
 		fmt.Printf("%.0f streams open: %.1f MB before, %.1f MB now, %.0f KB a stream\n",
 			streams, before, now, (now-before)*1000/max(streams, 1))
 		return <-done
 	})
 }
 
-// idleSpan is how long idle entry hosts are measured.
+// idleSpan is the duration of the measurement of idle entry hosts.
 const idleSpan = 10 * time.Second
 
-// idle prints what each of n idle entry hosts costs.
-func (b *bench) idle() error {
+// measureIdle prints the cost of each of n idle entry hosts.
+func (b *bench) measureIdle() error {
 	fmt.Printf("%-8s %12s %12s %12s\n", "entries", "core %", "MB resident", "store calls/s")
 	for _, n := range []int{1, 4, 16} {
-		err := b.in(func(w *procs.Cluster) error {
-			if err := even().start(w, "cantata"); err != nil {
+		err := b.withCluster(func(cluster *procs.Cluster) error {
+			if err := uniformTestbed().start(cluster, "cantata"); err != nil {
 				return err
 			}
 			for i := range n - 1 {
-				if err := w.StartEntry(fmt.Sprintf("entry-%d", i), domains[i%len(domains)]); err != nil {
+				if err := cluster.StartEntry(fmt.Sprintf("entry-%d", i), domains[i%len(domains)]); err != nil {
 					return err
 				}
 			}
-			time.Sleep(warm)
-			return idleOf(w, n)
+			time.Sleep(warmup)
+			return printIdle(cluster, n)
 		})
 		if err != nil {
 			return err
@@ -90,33 +90,34 @@
 	return nil
 }
 
-func idleOf(w *procs.Cluster, n int) error {
-	before, err := storeCalls(w)
+// printIdle measures n idle entry hosts and prints their mean cost.
+func printIdle(cluster *procs.Cluster, n int) error {
+	before, err := storeCalls(cluster)
 	if err != nil {
 		return err
 	}
-	use := measure(w)
+	cpu := sampleCPU(cluster)
 	time.Sleep(idleSpan)
-	entry, _, _ := use.since()
-	after, err := storeCalls(w)
+	entry, _, _ := cpu.since()
+	after, err := storeCalls(cluster)
 	if err != nil {
 		return err
 	}
 	memory := 0.0
-	for _, p := range w.All() {
+	for _, p := range cluster.All() {
 		if p.Program == "fsentry" {
-			memory += resident(p.PID())
+			memory += residentMB(p.PID())
 		}
 	}
-	each := float64(n)
-	fmt.Printf("%-8d %12.2f %12.1f %12.2f\n", n, entry*100/each, memory/each,
-		float64(after-before)/idleSpan.Seconds()/each)
+	count := float64(n)
+	fmt.Printf("%-8d %12.2f %12.1f %12.2f\n", n, entry*100/count, memory/count,
+		float64(after-before)/idleSpan.Seconds()/count)
 	return nil
 }
 
-// storeCalls returns how many calls the store has had.
-func storeCalls(w *procs.Cluster) (int, error) {
-	text, err := w.Control(procs.StoreName, "GET", "/counts", nil)
+// storeCalls returns the number of calls that the store has received.
+func storeCalls(cluster *procs.Cluster) (int, error) {
+	text, err := cluster.Control(procs.StoreName, "GET", "/counts", nil)
 	if err != nil {
 		return 0, err
 	}
@@ -124,11 +125,11 @@
 	if err := json.Unmarshal([]byte(text), &page); err != nil {
 		return 0, err
 	}
-	return total(page), nil
+	return sumCounts(page), nil
 }
 
-// total adds up all numbers of a page of counts, one level deep.
-func total(page map[string]json.RawMessage) int {
+// sumCounts adds up the numbers on the top level of a page of counts.
+func sumCounts(page map[string]json.RawMessage) int {
 	sum := 0
 	for _, raw := range page {
 		var n int
@@ -139,41 +140,41 @@
 	return sum
 }
 
-// resident returns a process's resident memory in MB.
-func resident(pid int) float64 {
+// residentMB returns the resident memory of a process in MB.
+func residentMB(pid int) float64 {
 	value, err := os.ReadFile(fmt.Sprintf("/proc/%d/statm", pid))
 	if err != nil {
 		return 0
 	}
-	words := strings.Fields(string(value))
-	const pages = 1
-	if len(words) <= pages {
+	fields := strings.Fields(string(value))
+	const residentField = 1
+	if len(fields) <= residentField {
 		return 0
 	}
-	n, _ := strconv.Atoi(words[pages])
+	n, _ := strconv.Atoi(fields[residentField])
 	return float64(n*os.Getpagesize()) / 1e6
 }
 
-// busy prints what requests, tokens and open streams cost one entry host. Two
-// loads with the same tokens a second in answers of different length give the
-// two slopes.
-func (b *bench) busy() error {
-	return b.in(func(w *procs.Cluster) error {
-		r := even()
-		if err := r.start(w, "cantata"); err != nil {
+// measureBusy prints the cost of a request and of a token in one entry host. It
+// solves for both from two loads that generate the same tokens per second in
+// answers of different lengths.
+func (b *bench) measureBusy() error {
+	return b.withCluster(func(cluster *procs.Cluster) error {
+		tb := uniformTestbed()
+		if err := tb.start(cluster, "cantata"); err != nil {
 			return err
 		}
-		if err := w.StartEntry("busy", "a"); err != nil {
+		if err := cluster.StartEntry("busy", "a"); err != nil {
 			return err
 		}
-		if err := w.Ready("busy"); err != nil {
+		if err := cluster.Ready("busy"); err != nil {
 			return err
 		}
-		short, err := b.spent(w, "8", "150")
+		short, err := b.measureLoadCost(cluster, "8", "150")
 		if err != nil {
 			return err
 		}
-		long, err := b.spent(w, "200", "6")
+		long, err := b.measureLoadCost(cluster, "200", "6")
 		if err != nil {
 			return err
 		}
@@ -189,31 +190,33 @@
 	})
 }
 
-// spending is what one load cost the entry host.
-type spending struct{ requests, tokens, cores, memory, open float64 }
+// loadCost is the cost of one load to the entry host.
+type loadCost struct{ requests, tokens, cores, memory, open float64 }
 
-func (s *spending) print(what string) {
+func (s *loadCost) print(label string) {
 	fmt.Printf("%-14s %6.1f requests/s %7.0f tokens/s %6.3f cores %6.1f MB, about %.0f streams open\n",
-		what, s.requests, s.tokens, s.cores, s.memory, s.open)
+		label, s.requests, s.tokens, s.cores, s.memory, s.open)
 }
 
-func (b *bench) spent(w *procs.Cluster, size, rate string) (*spending, error) {
-	p, err := w.Get("busy")
+// measureLoadCost runs one load against the entry host "busy" and returns its
+// cost.
+func (b *bench) measureLoadCost(cluster *procs.Cluster, size, rate string) (*loadCost, error) {
+	p, err := cluster.Get("busy")
 	if err != nil {
 		return nil, err
 	}
 	before, at := cpuSeconds(p.PID()), time.Now()
-	report, err := b.load(w, "cost-"+size, []string{"busy"}, "-tokens", size, "-rate", rate,
-		"-duration", b.cell.String(), "-warm", "0s")
+	report, err := b.runLoad(cluster, "cost-"+size, []string{"busy"}, "-tokens", size, "-rate", rate,
+		"-duration", b.measureTime.String(), "-warm", "0s")
 	if err != nil {
 		return nil, err
 	}
 	span := time.Since(at).Seconds()
 	tokens, _ := strconv.ParseFloat(size, 64)
 	whole := float64(report.Whole)
-	return &spending{
+	return &loadCost{
 		requests: whole / span, tokens: whole * tokens / span,
-		cores: (cpuSeconds(p.PID()) - before) / span, memory: resident(p.PID()),
+		cores: (cpuSeconds(p.PID()) - before) / span, memory: residentMB(p.PID()),
 		open: whole / span * tokens * report.Gap.P50 / 1000,
 	}, nil
 }
--- a/sess/cmd/bench/fair.go
+++ b/sess/cmd/bench/fair.go
@@ -7,55 +7,56 @@
 	"fuchsiashelf.dev/sess/procs"
 )
 
-// The teams of the fairness bench: all have the same share, and the last one
-// is the one that sends more. Together they offer a part of the bound as long
-// as it does not.
+// Settings of the fairness benchmark. All teams have the same share, and the
+// last one sends loudFactor times its share. Before it does, all teams together
+// offer fairLoad of the capacity.
 const (
-	fairTeams = 10
-	fairLoad  = 0.8
-	loudTimes = 10
+	fairTeams  = 10
+	fairLoad   = 0.8
+	loudFactor = 10
 )
 
-// fair measures what nine teams notice when a tenth sends ten times its
-// share.
-func (b *bench) fair() error {
-	return b.in(func(w *procs.Cluster) error {
-		r := mixed(0)
+// measureFairness measures the effect on nine teams of a tenth team that sends
+// ten times its share.
+func (b *bench) measureFairness() error {
+	return b.withCluster(func(cluster *procs.Cluster) error {
+		tb := mixedTestbed(0)
 		var teams []string
 		for i := range fairTeams {
 			teams = append(teams, fmt.Sprintf("t%d", i))
 		}
-		if err := r.start(w, teams...); err != nil {
+		if err := tb.start(cluster, teams...); err != nil {
 			return err
 		}
-		hosts, err := entries(w, "fair")
+		entryHosts, err := startEntryHosts(cluster, "fair")
 		if err != nil {
 			return err
 		}
 		fmt.Printf("%-10s %9s %10s %10s %9s %9s %12s %9s\n", "loud team",
 			"tokens/s", "first p95", "loud p95", "refused", "loud ref", "refusal p99", "late p99")
-		var quiet []float64
-		for _, times := range []int{1, loudTimes} {
-			p95, err := b.fairRun(w, r, hosts, teams, times)
+		var quietP95s []float64
+		for _, factor := range []int{1, loudFactor} {
+			p95, err := b.measureFairLoad(cluster, tb, entryHosts, teams, factor)
 			if err != nil {
 				return err
 			}
-			quiet = append(quiet, p95)
+			quietP95s = append(quietP95s, p95)
 		}
-		b.note("fair-first-p95-ratio", quiet[1]/quiet[0])
+		b.addResult("fair-first-p95-ratio", quietP95s[1]/quietP95s[0])
 		return nil
 	})
 }
 
-// fairRun runs one load and returns the mean over the quiet teams of the 95th
-// percentile of their first token.
-func (b *bench) fairRun(w *procs.Cluster, r *rig, hosts, teams []string, times int) (float64, error) {
+// measureFairLoad runs one load, in which the last team sends factor times its
+// share. It returns the mean over the other teams of the 95th percentile of the
+// time to the first token.
+func (b *bench) measureFairLoad(cluster *procs.Cluster, tb *testbed, entryHosts, teams []string, factor int) (float64, error) {
 	loud := teams[len(teams)-1]
-	share := fairLoad * r.bound() / sizeMean / fairTeams
-	report, err := b.load(w, fmt.Sprintf("fair-%d", times), hosts,
-		"-teams", fmt.Sprintf("%s:%d", strings.Join(teams, ","), times),
-		"-rate", fmt.Sprintf("%.3f", share*float64(len(teams)-1+times)), "-tokens", sizes,
-		"-duration", (b.cell + warm).String(), "-warm", warm.String(), "-drain", drain.String())
+	share := fairLoad * tb.capacity() / sizeMean / fairTeams
+	report, err := b.runLoad(cluster, fmt.Sprintf("fair-%d", factor), entryHosts,
+		"-teams", fmt.Sprintf("%s:%d", strings.Join(teams, ","), factor),
+		"-rate", fmt.Sprintf("%.3f", share*float64(len(teams)-1+factor)), "-tokens", sizes,
+		"-duration", (b.measureTime + warmup).String(), "-warm", warmup.String(), "-drain", drainTimeout.String())
 	if err != nil {
 		return 0, err
 	}
@@ -66,9 +67,9 @@
 			refused += f.Refused
 		}
 	}
-	l := report.Teams[loud]
-	fmt.Printf("%-10s %9.0f %10.1f %10.1f %9d %9d %12.2f %9.2f\n", fmt.Sprintf("x%d", times),
-		report.TokensPerSecond, p95, l.First.P95, refused, l.Refused, report.Refusal.P99, report.Late.P99)
+	loudSummary := report.Teams[loud]
+	fmt.Printf("%-10s %9.0f %10.1f %10.1f %9d %9d %12.2f %9.2f\n", fmt.Sprintf("x%d", factor),
+		report.TokensPerSecond, p95, loudSummary.First.P95, refused, loudSummary.Refused, report.Refusal.P99, report.Late.P99)
 	for name, f := range report.Teams {
 		if name != loud && f.Refused > 0 {
 			fmt.Printf("  team %s: %v\n", name, f.Codes)
--- a/sess/cmd/bench/load.go
+++ b/sess/cmd/bench/load.go
@@ -12,63 +12,64 @@
 	"fuchsiashelf.dev/sess/procs"
 )
 
-// spread is a distribution in milliseconds.
-type spread struct{ Count, P50, P95, P99, Max float64 }
+// quantiles is a distribution in milliseconds.
+type quantiles struct{ Count, P50, P95, P99, Max float64 }
 
-// figures are fsload's figures of a group of calls.
-type figures struct {
+// summary is the part of the fsload report about a group of calls.
+type summary struct {
 	Offered, Whole, Refused, Failed, Lost, Wrong int
 	TokensPerSecond                              float64
-	First, Gap, Refusal                          spread
+	First, Gap, Refusal                          quantiles
 	Codes                                        map[string]int
 }
 
-// row is one row of fsload's time series.
-type row struct {
+// sample is one row of the time series of fsload.
+type sample struct {
 	AtMs   float64
 	Tokens int
 }
 
-// report is fsload's report.
+// report is the JSON report of fsload.
 type report struct {
-	figures
+	summary
 	Skipped int
-	Late    spread
-	Teams   map[string]figures
+	Late    quantiles
+	Teams   map[string]summary
 	Faults  []struct {
 		AtMs   float64
 		NextMs []float64
 		Ended  int
 	}
 	TickMs float64
-	Series []row
+	Series []sample
 }
 
-// errWrong says that a caller got a wrong answer, which no load excuses.
-var errWrong = errors.New("a caller got a wrong answer")
+// errWrongAnswer fails a measurement, because no load excuses a wrong answer.
+var errWrongAnswer = errors.New("a caller got a wrong answer")
 
-// load runs fsload against entry hosts. The name is that of the time series.
-func (b *bench) load(w *procs.Cluster, name string, hosts []string, args ...string) (*report, error) {
-	file, err := w.Path("fsload")
+// runLoad runs fsload against entry hosts. name is the name of the file with the
+// time series.
+func (b *bench) runLoad(cluster *procs.Cluster, name string, entryHosts []string, args ...string) (*report, error) {
+	file, err := cluster.Path("fsload")
 	if err != nil {
 		return nil, err
 	}
-	var at []string
-	for _, h := range hosts {
-		p, err := w.Get(h)
+	var addrs []string
+	for _, h := range entryHosts {
+		p, err := cluster.Get(h)
 		if err != nil {
 			return nil, err
 		}
-		at = append(at, p.Addresses["callers"])
+		addrs = append(addrs, p.Addresses["callers"])
 	}
-	all := append([]string{
-		"-entries", strings.Join(at, ","), "-service", service, "-layers", fmt.Sprint(layers),
+	allArgs := append([]string{
+		"-entries", strings.Join(addrs, ","), "-service", service, "-layers", fmt.Sprint(layers),
 		"-o", "json", "-progress", "0",
 	}, args...)
 	if b.series != "" {
-		all = append(all, "-series", filepath.Join(b.series, name+".csv"))
+		allArgs = append(allArgs, "-series", filepath.Join(b.series, name+".csv"))
 	}
-	cmd := exec.Command(file, all...)
+	cmd := exec.Command(file, allArgs...)
 	cmd.Stderr = os.Stderr
 	out, err := cmd.Output()
 	r := &report{}
@@ -76,7 +77,7 @@
 		return nil, errors.Join(err, jsonErr)
 	}
 	if r.Wrong > 0 {
-		return r, errWrong
+		return r, errWrongAnswer
 	}
 	return r, err
 }
--- a/sess/cmd/bench/main.go
+++ b/sess/cmd/bench/main.go
@@ -1,6 +1,7 @@
 // Command bench measures the system as separate processes on this machine:
-// throughput against the bound that the hardware allows, recovery times, and
-// the cost of control. It prints one table and, last, lines `name value`.
+// throughput relative to the capacity of the hardware, recovery times, and the
+// cost of the control plane. It prints tables and, at the end, lines `name
+// value`.
 package main
 
 import (
@@ -16,7 +17,7 @@
 func main() {
 	b := &bench{}
 	flag.StringVar(&b.bin, "bin", "bin", "directory with the programs")
-	flag.DurationVar(&b.cell, "cell", 5*time.Second, "length of one measurement")
+	flag.DurationVar(&b.measureTime, "cell", 5*time.Second, "length of one measurement")
 	flag.StringVar(&b.series, "series", "", "directory for the time series, if wanted")
 	flag.StringVar(&b.policies, "policies", "cost,random,robin,least", "policies to compare")
 	flag.BoolVar(&b.quick, "quick", false, "measure throughput at the highest load only")
@@ -28,44 +29,45 @@
 	}
 }
 
-// bench is one run of the bench.
+// bench holds the settings and the results of one run.
 type bench struct {
 	bin, series, policies string
-	// quick measures only the throughput at the highest load, for trials.
-	quick bool
-	cell  time.Duration
-	// last are the lines that end the output.
-	last []string
+	// quick measures only throughput at the highest load.
+	quick       bool
+	measureTime time.Duration
+	// results are the lines that end the output.
+	results []string
 }
 
 func (b *bench) run(parts []string) error {
 	steps := map[string]func() error{
-		"throughput": b.throughput, "recovery": b.recovery, "control": b.control, "costs": b.costs, "fair": b.fair,
-		"losses": b.losses,
+		"throughput": b.measureThroughput, "recovery": b.measureRecovery, "control": b.measureControl, "costs": b.measureCosts, "fair": b.measureFairness,
+		"losses": b.measureLosses,
 	}
 	for _, part := range parts {
 		step := steps[part]
 		if step == nil {
 			return fmt.Errorf("no part %q", part)
 		}
-		began := time.Now()
+		start := time.Now()
 		if err := step(); err != nil {
 			return fmt.Errorf("%s: %w", part, err)
 		}
-		fmt.Printf("(%s took %s)\n\n", part, time.Since(began).Round(time.Second))
+		fmt.Printf("(%s took %s)\n\n", part, time.Since(start).Round(time.Second))
 	}
-	for _, line := range b.last {
+	for _, line := range b.results {
 		fmt.Println(line)
 	}
 	return nil
 }
 
-// note keeps a line for the end of the output.
-func (b *bench) note(name string, value float64) {
-	b.last = append(b.last, fmt.Sprintf("%s %.3f", name, value))
+// addResult adds a line to the end of the output.
+func (b *bench) addResult(name string, value float64) {
+	b.results = append(b.results, fmt.Sprintf("%s %.3f", name, value))
 }
 
-// in runs a function in a world of its own and ends its processes.
-func (b *bench) in(run func(w *procs.Cluster) error) error {
+// withCluster runs a function with a cluster of its own and stops its processes
+// afterwards.
+func (b *bench) withCluster(run func(cluster *procs.Cluster) error) error {
 	return procs.RunScratch(b.bin, run)
 }
--- a/sess/cmd/demo/main.go
+++ b/sess/cmd/demo/main.go
@@ -1,5 +1,5 @@
-// Command demo starts the whole system on this machine, with stand-ins for
-// its neighbours, and shows one session.
+// Command demo starts the whole system on this machine, with stand-ins for the
+// platform and the backend servers, and runs a short session.
 package main
 
 import (
@@ -25,34 +25,34 @@
 
 const layers = 24
 
-// errShown says that a step of the session did not end as it should.
-var errShown = errors.New("a step failed, see above")
+// errStepFailed is returned for a step whose unexpected result was printed.
+var errStepFailed = errors.New("a step failed, see above")
 
 func run(bin string) error {
-	return procs.RunScratch(bin, func(w *procs.Cluster) error {
-		if err := start(w); err != nil {
+	return procs.RunScratch(bin, func(cluster *procs.Cluster) error {
+		if err := startCluster(cluster); err != nil {
 			return err
 		}
-		return session(w)
+		return runSession(cluster)
 	})
 }
 
-func start(w *procs.Cluster) error {
-	if err := w.StartStore("cantata"); err != nil {
+func startCluster(cluster *procs.Cluster) error {
+	if err := cluster.StartStore("cantata"); err != nil {
 		return err
 	}
-	for _, in := range []domain.Name{"porto-alegre", "caxias"} {
+	for _, dom := range []domain.Name{"porto-alegre", "caxias"} {
 		for stage := range 3 {
-			name := fmt.Sprintf("%s-%d", in, stage+1)
-			if err := w.StartEngine(name, in, stage*8, stage*8+8); err != nil {
+			name := fmt.Sprintf("%s-%d", dom, stage+1)
+			if err := cluster.StartEngine(name, dom, stage*8, stage*8+8); err != nil {
 				return err
 			}
 		}
-		if err := w.StartPlain("booking-"+string(in), in); err != nil {
+		if err := cluster.StartPlain("booking-"+string(dom), dom); err != nil {
 			return err
 		}
 		for i := range 2 {
-			if err := w.StartEntry(fmt.Sprintf("entry-%s-%d", in, i+1), in); err != nil {
+			if err := cluster.StartEntry(fmt.Sprintf("entry-%s-%d", dom, i+1), dom); err != nil {
 				return err
 			}
 		}
@@ -61,11 +61,11 @@
 }
 
 const (
-	first  = "entry-porto-alegre-1"
-	second = "entry-caxias-1"
+	firstEntry  = "entry-porto-alegre-1"
+	secondEntry = "entry-caxias-1"
 )
 
-func session(w *procs.Cluster) error {
+func runSession(cluster *procs.Cluster) error {
 	for _, line := range []string{
 		"create service assist model lotus",
 		"create service booking path /booking repeat no",
@@ -74,63 +74,63 @@
 		"route service assist to pool lake",
 		"route service booking to pool desks",
 	} {
-		if err := desk(w, line); err != nil {
+		if err := runLine(cluster, line); err != nil {
 			return err
 		}
 	}
-	for _, entry := range []string{first, second} {
-		if err := w.Ready(entry); err != nil {
+	for _, entry := range []string{firstEntry, secondEntry} {
+		if err := cluster.Ready(entry); err != nil {
 			return err
 		}
 	}
-	if err := ask(w, first, "when are the lanterns released?"); err != nil {
+	if err := generate(cluster, firstEntry, "when are the lanterns released?"); err != nil {
 		return err
 	}
-	if err := book(w); err != nil {
+	if err := callBooking(cluster); err != nil {
 		return err
 	}
-	if err := desk(w, "stop server caxias-2"); err != nil {
+	if err := runLine(cluster, "stop server caxias-2"); err != nil {
 		return err
 	}
-	if err := desk(w, "show stops"); err != nil {
+	if err := runLine(cluster, "show stops"); err != nil {
 		return err
 	}
-	return ask(w, second, "is there a ramp at the gate?")
+	return generate(cluster, secondEntry, "is there a ramp at the gate?")
 }
 
-func desk(w *procs.Cluster, line string) error {
-	out := ""
+func runLine(cluster *procs.Cluster, line string) error {
+	output := ""
 	err := procs.WaitFor(line, func() bool {
-		out, _ = w.RunDesk(first, line)
-		return strings.Contains(out, "\ndone")
+		output, _ = cluster.RunDesk(firstEntry, line)
+		return strings.Contains(output, "\ndone")
 	})
-	fmt.Print(out)
+	fmt.Print(output)
 	return err
 }
 
 const tokens = 8
 
-func ask(w *procs.Cluster, entry, prompt string) error {
-	answer, err := w.Generate(entry, "cantata", "assist", prompt, tokens)
+func generate(cluster *procs.Cluster, entry, prompt string) error {
+	answer, err := cluster.Generate(entry, "cantata", "assist", prompt, tokens)
 	if err != nil {
 		return err
 	}
 	verdict := answer.Check(prompt, layers, tokens)
 	fmt.Printf("ask %s: %q\n  %s\n  %s\n", entry, prompt, strings.Join(answer.Tokens, " "), verdict)
 	if !strings.HasPrefix(verdict, "whole") {
-		return errShown
+		return errStepFailed
 	}
 	return nil
 }
 
-func book(w *procs.Cluster) error {
-	reply, err := w.Call(second, "cantata", "POST", "/booking/seats?row=4", "seat-41", "two seats")
+func callBooking(cluster *procs.Cluster) error {
+	reply, err := cluster.Call(secondEntry, "cantata", "POST", "/booking/seats?row=4", "seat-41", "two seats")
 	if err != nil {
 		return err
 	}
-	fmt.Printf("book %s: %d %s\n  %s\n", second, reply.Status, reply.Verdict, reply.Body)
+	fmt.Printf("book %s: %d %s\n  %s\n", secondEntry, reply.Status, reply.Verdict, reply.Body)
 	if reply.Status != 200 {
-		return errShown
+		return errStepFailed
 	}
 	return nil
 }
--- a/sess/cmd/inforce/bench.go
+++ b/sess/cmd/inforce/bench.go
@@ -11,66 +11,67 @@
 	"fuchsiashelf.dev/sess/procs"
 )
 
-// bench sends lines and watches what the entry hosts have in force.
+// bench sends commands and polls the revisions that the entry hosts have in
+// force.
 type bench struct {
 	*procs.Cluster
-	lines  int
-	serial int
+	lines        int
+	serviceCount int
 }
 
-// tick is the pause between two looks at an entry host. It bounds how fine the
-// figures are.
-const tick = 2 * time.Millisecond
+// pollInterval is the pause between two polls of an entry host, and thus the
+// resolution of the results.
+const pollInterval = 2 * time.Millisecond
 
-// lookWait bounds one look.
-const lookWait = 30 * time.Second
+// revisionTimeout limits the wait for a revision.
+const revisionTimeout = 30 * time.Second
 
-// send has the first entry host carry out a line.
+// send runs a command through the first entry host until it has taken effect.
 func (b *bench) send(line string) error {
-	var out string
+	var output string
 	err := procs.WaitFor(line, func() bool {
-		out, _ = b.RunDesk("e1", line)
-		return strings.Contains(out, "\ndone") || strings.Contains(out, "\npartly")
+		output, _ = b.RunDesk("e1", line)
+		return strings.Contains(output, "\ndone") || strings.Contains(output, "\npartly")
 	})
 	if err != nil {
-		return fmt.Errorf("%w: %s", err, out)
+		return fmt.Errorf("%w: %s", err, output)
 	}
 	return nil
 }
 
-// next returns a line that no line before it clashes with.
-func (b *bench) next() string {
-	b.serial++
-	return fmt.Sprintf("create service s%d path /s%d", b.serial, b.serial)
+// nextLine returns a command that does not conflict with any earlier one.
+func (b *bench) nextLine() string {
+	b.serviceCount++
+	return fmt.Sprintf("create service s%d path /s%d", b.serviceCount, b.serviceCount)
 }
 
-// measure sends lines one after the other and returns how long each took
-// until the last entry host had it in force. The start of fsdesk is in it.
-func (b *bench) measure() ([]time.Duration, error) {
-	var took []time.Duration
+// measureLines sends commands in sequence and returns for each the time until
+// the last entry host had it in force. The time includes the start of fsdesk.
+func (b *bench) measureLines() ([]time.Duration, error) {
+	var durations []time.Duration
 	for range b.lines {
 		before, err := b.revision("e1")
 		if err != nil {
 			return nil, err
 		}
-		began := time.Now()
+		start := time.Now()
 		sent := make(chan error, 1)
-		go func() { sent <- b.send(b.next()) }()
-		if err := b.await(before + 1); err != nil {
+		go func() { sent <- b.send(b.nextLine()) }()
+		if err := b.waitForRevision(before + 1); err != nil {
 			return nil, err
 		}
-		took = append(took, time.Since(began))
+		durations = append(durations, time.Since(start))
 		if err := <-sent; err != nil {
 			return nil, err
 		}
 	}
-	return took, nil
+	return durations, nil
 }
 
-// downAfter has the store go down once it has taken a line, before it
-// answers, and measures from then on.
-func (b *bench) downAfter() ([]time.Duration, error) {
-	var took []time.Duration
+// measureStoreDown takes the store down after it has stored a command and
+// before it answers, and measures the time from then on.
+func (b *bench) measureStoreDown() ([]time.Duration, error) {
+	var durations []time.Duration
 	for i := range max(1, b.lines/4) {
 		before, err := b.revision("e1")
 		if err != nil {
@@ -80,7 +81,7 @@
 			return nil, err
 		}
 		sent := make(chan error, 1)
-		go func() { sent <- b.send(b.next()) }()
+		go func() { sent <- b.send(b.nextLine()) }()
 		err = procs.WaitFor("held", func() bool {
 			counts, _ := b.Control(procs.StoreName, "GET", "/counts", nil)
 			return strings.Contains(counts, fmt.Sprintf(`"held":%d`, i+1))
@@ -88,54 +89,55 @@
 		if err != nil {
 			return nil, err
 		}
-		began := time.Now()
+		start := time.Now()
 		if err := b.InjectFault(procs.StoreName, "outage", "", 0); err != nil {
 			return nil, err
 		}
-		if err := b.await(before + 1); err != nil {
+		if err := b.waitForRevision(before + 1); err != nil {
 			return nil, err
 		}
-		took = append(took, time.Since(began))
+		durations = append(durations, time.Since(start))
 		if err := <-sent; err != nil {
 			return nil, err
 		}
 		if err := b.ClearFaults(procs.StoreName); err != nil {
 			return nil, err
 		}
-		time.Sleep(wellWait)
+		time.Sleep(settleTime)
 	}
-	return took, nil
+	return durations, nil
 }
 
-// leaving has the host list call a server leaving and live in turn.
-func (b *bench) leaving() ([]time.Duration, error) {
-	var took []time.Duration
+// measureLeaving marks a server in the host list as leaving, measures the time
+// until all entry hosts have excluded it, and marks it as live again.
+func (b *bench) measureLeaving() ([]time.Duration, error) {
+	var durations []time.Duration
 	for range max(1, b.lines/4) {
-		began := time.Now()
+		start := time.Now()
 		if err := b.SetHost("p2", "a", host.Leaving); err != nil {
 			return nil, err
 		}
 		for _, name := range entries {
-			err := procs.WaitFor(name+" has p2 out", func() bool {
-				out, _ := b.RunDesk(name, "show servers")
-				return strings.Contains(out, "pools [books] host-leaving") || strings.Contains(out, "pools [books] peer-word")
+			err := procs.WaitFor(name+" excludes p2", func() bool {
+				output, _ := b.RunDesk(name, "show servers")
+				return strings.Contains(output, "pools [books] host-leaving") || strings.Contains(output, "pools [books] peer-word")
 			})
 			if err != nil {
 				return nil, err
 			}
 		}
-		took = append(took, time.Since(began))
+		durations = append(durations, time.Since(start))
 		if err := b.SetHost("p2", "a", host.Live); err != nil {
 			return nil, err
 		}
-		time.Sleep(wellWait)
+		time.Sleep(settleTime)
 	}
-	return took, nil
+	return durations, nil
 }
 
-// await waits until all entry hosts have a revision in force.
-func (b *bench) await(revision int64) error {
-	end := time.Now().Add(lookWait)
+// waitForRevision waits until all entry hosts have a revision in force.
+func (b *bench) waitForRevision(revision int64) error {
+	deadline := time.Now().Add(revisionTimeout)
 	for _, name := range entries {
 		for {
 			n, err := b.revision(name)
@@ -145,10 +147,10 @@
 			if n >= revision {
 				break
 			}
-			if time.Now().After(end) {
+			if time.Now().After(deadline) {
 				return fmt.Errorf("%s has revision %d, want %d", name, n, revision)
 			}
-			time.Sleep(tick)
+			time.Sleep(pollInterval)
 		}
 	}
 	return nil
@@ -164,17 +166,17 @@
 	if err != nil {
 		return 0, err
 	}
-	var all map[string]struct{ Value float64 }
-	err = json.Unmarshal([]byte(page), &all)
-	return int64(all["watch.revision"].Value), err
+	var metrics map[string]struct{ Value float64 }
+	err = json.Unmarshal([]byte(page), &metrics)
+	return int64(metrics["watch.revision"].Value), err
 }
 
-// print prints the median and the longest of some times.
-func print(name string, took []time.Duration) {
-	if len(took) == 0 {
+// printTimes prints the median and the maximum of durations.
+func printTimes(name string, durations []time.Duration) {
+	if len(durations) == 0 {
 		return
 	}
-	slices.Sort(took)
-	fmt.Printf("%s-p50-ms %.0f\n", name, took[len(took)/2].Seconds()*1000)
-	fmt.Printf("%s-max-ms %.0f\n", name, took[len(took)-1].Seconds()*1000)
+	slices.Sort(durations)
+	fmt.Printf("%s-p50-ms %.0f\n", name, durations[len(durations)/2].Seconds()*1000)
+	fmt.Printf("%s-max-ms %.0f\n", name, durations[len(durations)-1].Seconds()*1000)
 }
--- a/sess/cmd/inforce/main.go
+++ b/sess/cmd/inforce/main.go
@@ -1,8 +1,9 @@
-// Command inforce measures how long a line of the operators takes from being
-// sent until it is in force on every one of four entry hosts, with the store
-// well, slow, and down right after it took the line, and through other entry
-// hosts alone; and how long a server that the host list calls leaving still
-// gets work. It prints lines `name value`.
+// Command inforce measures the time from sending a command of the operators
+// until it is in force on all of four entry hosts: with the store healthy, with
+// a slow store, with a store that fails right after it has stored the command,
+// and with updates from other entry hosts only. It also measures how long a
+// server that the host list marks as leaving still receives requests. It prints
+// lines `name value`.
 package main
 
 import (
@@ -28,45 +29,45 @@
 var entries = []string{"e1", "e2", "e3", "e4"}
 
 func run(bin string, lines int) error {
-	return procs.RunScratch(bin, func(w *procs.Cluster) error {
-		if err := start(w); err != nil {
+	return procs.RunScratch(bin, func(cluster *procs.Cluster) error {
+		if err := startCluster(cluster); err != nil {
 			return err
 		}
-		b := &bench{Cluster: w, lines: lines}
-		return b.all()
+		b := &bench{Cluster: cluster, lines: lines}
+		return b.measureAll()
 	})
 }
 
-func start(w *procs.Cluster) error {
-	if err := w.StartStore("cantata"); err != nil {
+func startCluster(cluster *procs.Cluster) error {
+	if err := cluster.StartStore("cantata"); err != nil {
 		return err
 	}
 	for _, name := range []string{"p1", "p2"} {
-		if err := w.StartPlain(name, "a"); err != nil {
+		if err := cluster.StartPlain(name, "a"); err != nil {
 			return err
 		}
 	}
 	for i, name := range entries {
-		if err := w.StartEntry(name, []domain.Name{"a", "b"}[i/2]); err != nil {
+		if err := cluster.StartEntry(name, []domain.Name{"a", "b"}[i/2]); err != nil {
 			return err
 		}
 	}
-	b := &bench{Cluster: w}
+	b := &bench{Cluster: cluster}
 	if err := b.send("create pool books servers p1 p2"); err != nil {
 		return err
 	}
 	for _, name := range entries {
-		if err := w.Ready(name); err != nil {
+		if err := cluster.Ready(name); err != nil {
 			return err
 		}
 	}
 	return nil
 }
 
-// wellWait lets the watches settle between two states of the store.
-const wellWait = 6 * time.Second
+// settleTime lets watches recover between two states of the store.
+const settleTime = 6 * time.Second
 
-func (b *bench) all() error {
+func (b *bench) measureAll() error {
 	for _, state := range []struct {
 		name string
 		set  func() error
@@ -79,22 +80,22 @@
 		if err := state.set(); err != nil {
 			return err
 		}
-		took, err := b.measure()
+		durations, err := b.measureLines()
 		if err != nil {
 			return fmt.Errorf("%s: %w", state.name, err)
 		}
-		print("in-force-"+state.name, took)
+		printTimes("in-force-"+state.name, durations)
 		if err := b.ClearFaults(procs.StoreName); err != nil {
 			return err
 		}
-		time.Sleep(wellWait)
+		time.Sleep(settleTime)
 	}
-	took, err := b.downAfter()
+	durations, err := b.measureStoreDown()
 	if err != nil {
 		return err
 	}
-	print("in-force-store-down-after", took)
-	took, err = b.leaving()
-	print("out-host-list-leaving", took)
+	printTimes("in-force-store-down-after", durations)
+	durations, err = b.measureLeaving()
+	printTimes("out-host-list-leaving", durations)
 	return err
 }
--- a/sess/cmd/peers/fleet.go
+++ b/sess/cmd/peers/fleet.go
@@ -24,53 +24,53 @@
 	"fuchsiashelf.dev/parts/wire"
 )
 
-// point is what one size of the fleet cost, for each node.
-type point struct {
+// measurement is the cost of a fleet of one size, per node.
+type measurement struct {
 	nodes int
-	// bytes is per second, in and out together.
-	bytes float64
-	// core is the share of one processor core.
-	core float64
-	// memory is in bytes.
-	memory float64
-	// mark and revision are the times until all nodes know.
-	mark, revision time.Duration
+	// bytesPerSecond counts received and sent bytes.
+	bytesPerSecond float64
+	// cores is the share of one processor core.
+	cores       float64
+	memoryBytes float64
+	// markTime and revisionTime are the times until all nodes know a mark and a
+	// revision.
+	markTime, revisionTime time.Duration
 }
 
-func (p *point) print(w io.Writer) {
-	fmt.Fprintf(w, "peers-%d-bytes-per-second %.0f\n", p.nodes, p.bytes)
-	fmt.Fprintf(w, "peers-%d-core-percent %.3f\n", p.nodes, p.core*100)
-	fmt.Fprintf(w, "peers-%d-megabytes %.2f\n", p.nodes, p.memory/1e6)
-	fmt.Fprintf(w, "peers-%d-mark-ms %d\n", p.nodes, p.mark.Milliseconds())
-	fmt.Fprintf(w, "peers-%d-revision-ms %d\n", p.nodes, p.revision.Milliseconds())
+func (p *measurement) print(w io.Writer) {
+	fmt.Fprintf(w, "peers-%d-bytes-per-second %.0f\n", p.nodes, p.bytesPerSecond)
+	fmt.Fprintf(w, "peers-%d-core-percent %.3f\n", p.nodes, p.cores*100)
+	fmt.Fprintf(w, "peers-%d-megabytes %.2f\n", p.nodes, p.memoryBytes/1e6)
+	fmt.Fprintf(w, "peers-%d-mark-ms %d\n", p.nodes, p.markTime.Milliseconds())
+	fmt.Fprintf(w, "peers-%d-revision-ms %d\n", p.nodes, p.revisionTime.Milliseconds())
 }
 
 const (
-	domains = 5
-	// teams is how many teams each node reports; of 400 teams few are busy
-	// on one node in the same seconds.
-	teams  = 40
-	secret = "0123456789abcdef0123456789abcdef"
+	domainCount = 5
+	// teamsPerNode is the number of teams that each node reports. Of 400 teams,
+	// few send requests through one node within the same seconds.
+	teamsPerNode = 40
+	secret       = "0123456789abcdef0123456789abcdef"
 )
 
-// member is one node of the fleet.
-type member struct {
+// node is one node of the fleet.
+type node struct {
 	*peer.Peer
 	listener net.Listener
 	revision atomic.Uint64
 }
 
-// fleet runs nodes until its context ends.
+// fleet runs nodes until its context is canceled.
 type fleet struct {
-	nodes []*member
-	hosts map[string]host.Host
-	done  sync.WaitGroup
-	// client and server are the settings of TLS; nil for none.
+	nodes   []*node
+	hosts   map[string]host.Host
+	running sync.WaitGroup
+	// client and server are the TLS configurations; nil without TLS.
 	client, server *tls.Config
 }
 
-// certify gives the fleet a certificate, if it is to be secure.
-func (f *fleet) certify(secure bool) error {
+// issueCerts creates the TLS configurations if secure is set.
+func (f *fleet) issueCerts(secure bool) error {
 	if !secure {
 		return nil
 	}
@@ -89,9 +89,10 @@
 	return err
 }
 
+// newFleet creates n nodes with open listeners. They start in run.
 func newFleet(n int, secure bool) (*fleet, error) {
 	f := &fleet{hosts: map[string]host.Host{}}
-	if err := f.certify(secure); err != nil {
+	if err := f.issueCerts(secure); err != nil {
 		return nil, err
 	}
 	for i := range n {
@@ -99,15 +100,15 @@
 		if err != nil {
 			return nil, err
 		}
-		m := &member{listener: peer.Listener{Listener: listener}}
+		m := &node{listener: peer.Listener{Listener: listener}}
 		if f.server != nil {
 			m.listener = tls.NewListener(m.listener, f.server)
 		}
 		m.Peer = &peer.Peer{
 			Name: fmt.Sprintf("entry-%d", i), Address: listener.Addr().String(),
-			Domain: domain.Name(fmt.Sprintf("domain-%d", i%domains)), Secret: secret, TLS: f.client,
+			Domain: domain.Name(fmt.Sprintf("domain-%d", i%domainCount)), Secret: secret, TLS: f.client,
 			Hosts: func() map[string]host.Host { return f.hosts },
-			Local: m.own, OnEvent: m.on, Trace: &trace.Recorder{},
+			Local: m.localState, OnEvent: m.handleEvent, Trace: &trace.Recorder{},
 		}
 		f.hosts[m.Name] = host.Host{Name: m.Name, Address: m.Address, Domain: m.Domain, Role: host.Entry, State: host.Live}
 		f.nodes = append(f.nodes, m)
@@ -115,96 +116,100 @@
 	return f, nil
 }
 
-func (m *member) own() peer.LocalState {
-	own := peer.LocalState{Revision: m.revision.Load(), Usages: make([]peer.Usage, teams)}
-	for i := range own.Usages {
-		own.Usages[i] = peer.Usage{Team: fmt.Sprintf("team-%d", i), Rate: 7.25}
+// localState returns the state that the node reports to its peers.
+func (m *node) localState() peer.LocalState {
+	state := peer.LocalState{Revision: m.revision.Load(), Usages: make([]peer.Usage, teamsPerNode)}
+	for i := range state.Usages {
+		state.Usages[i] = peer.Usage{Team: fmt.Sprintf("team-%d", i), Rate: 7.25}
 	}
-	return own
+	return state
 }
 
-// on takes a newer revision at once, as a daemon does after it has fetched
-// the configuration.
-func (m *member) on(e peer.Event) {
+// handleEvent adopts a newer revision at once, as an entry host does after it
+// has fetched the configuration.
+func (m *node) handleEvent(e peer.Event) {
 	newer, ok := e.(peer.NewerConfig)
 	if !ok {
 		return
 	}
 	for {
-		old := m.revision.Load()
-		if newer.Revision <= old {
+		current := m.revision.Load()
+		if newer.Revision <= current {
 			return
 		}
-		if m.revision.CompareAndSwap(old, newer.Revision) {
+		if m.revision.CompareAndSwap(current, newer.Revision) {
 			m.TriggerRound()
 			return
 		}
 	}
 }
 
+// run starts all nodes.
 func (f *fleet) run(ctx context.Context) error {
 	for _, m := range f.nodes {
 		mux := drpcmux.New()
 		if err := wire.DRPCRegisterEntry(mux, m.Peer); err != nil {
 			return err
 		}
-		f.done.Go(func() { _ = drpcserver.New(mux).Serve(ctx, m.listener) })
-		f.done.Go(func() { _ = m.Run(ctx) })
+		f.running.Go(func() { _ = drpcserver.New(mux).Serve(ctx, m.listener) })
+		f.running.Go(func() { _ = m.Run(ctx) })
 	}
 	return nil
 }
 
-// until waits until a look is true of all nodes.
-func (f *fleet) until(look func(*member) bool) (time.Duration, error) {
-	const longest = time.Minute
-	began := time.Now()
+// waitForAll waits until a condition is true for all nodes, and returns the
+// time that took.
+func (f *fleet) waitForAll(condition func(*node) bool) (time.Duration, error) {
+	const timeout = time.Minute
+	start := time.Now()
 	for _, m := range f.nodes {
-		for !look(m) {
-			if time.Since(began) > longest {
-				return 0, fmt.Errorf("%s did not learn within %s", m.Name, longest)
+		for !condition(m) {
+			if time.Since(start) > timeout {
+				return 0, fmt.Errorf("%s: condition not met within %s", m.Name, timeout)
 			}
 			time.Sleep(time.Millisecond)
 		}
 	}
-	return time.Since(began), nil
+	return time.Since(start), nil
 }
 
-func measure(ctx context.Context, n int, secure bool, warm, span time.Duration) (point, error) {
+// measure runs a fleet of n nodes and measures its cost after the warm-up.
+func measure(ctx context.Context, n int, secure bool, warmup, duration time.Duration) (measurement, error) {
 	ctx, stop := context.WithCancel(ctx)
-	p := point{nodes: n}
-	before := memory()
+	p := measurement{nodes: n}
+	before := memoryInUse()
 	f, err := newFleet(n, secure)
 	if err != nil {
 		stop()
 		return p, err
 	}
-	defer f.done.Wait()
+	defer f.running.Wait()
 	defer stop()
 	if err := f.run(ctx); err != nil {
 		return p, err
 	}
-	time.Sleep(warm)
-	bytes, core, began := transferred(), processor(), time.Now()
-	time.Sleep(span)
-	seconds := time.Since(began).Seconds()
-	p.bytes = float64(transferred()-bytes) / seconds / float64(n)
-	p.core = (processor() - core).Seconds() / seconds / float64(n)
-	p.memory = float64(memory()-before) / float64(n)
+	time.Sleep(warmup)
+	bytes, core, start := bytesTransferred(), cpuTime(), time.Now()
+	time.Sleep(duration)
+	seconds := time.Since(start).Seconds()
+	p.bytesPerSecond = float64(bytesTransferred()-bytes) / seconds / float64(n)
+	p.cores = (cpuTime() - core).Seconds() / seconds / float64(n)
+	p.memoryBytes = float64(memoryInUse()-before) / float64(n)
 
 	mark := peer.Mark{Kind: peer.PoisonRequest, Name: "f00dfeedf00dfeed", Until: time.Now().Add(time.Minute), Count: 2}
 	f.nodes[0].Mark(mark)
-	p.mark, err = f.until(func(m *member) bool { return len(m.Marks(peer.PoisonRequest)) == 1 })
+	p.markTime, err = f.waitForAll(func(m *node) bool { return len(m.Marks(peer.PoisonRequest)) == 1 })
 	if err != nil {
 		return p, err
 	}
 	f.nodes[n-1].revision.Store(1)
 	f.nodes[n-1].TriggerRound()
-	p.revision, err = f.until(func(m *member) bool { return m.revision.Load() == 1 })
+	p.revisionTime, err = f.waitForAll(func(m *node) bool { return m.revision.Load() == 1 })
 	return p, err
 }
 
-// transferred returns the bytes of all connections, at both of their ends.
-func transferred() int64 {
+// bytesTransferred returns the bytes of all connections, counted at both ends.
+func bytesTransferred() int64 {
 	total := int64(0)
 	for _, name := range []string{"peer.bytes.in", "peer.bytes.out"} {
 		total += metrics.GetOrRegisterCounter(name, nil).Count()
@@ -212,15 +217,15 @@
 	return total
 }
 
-// processor returns the processor time of the process.
-func processor() time.Duration {
+// cpuTime returns the processor time of this process.
+func cpuTime() time.Duration {
 	var usage syscall.Rusage
 	_ = syscall.Getrusage(syscall.RUSAGE_SELF, &usage)
 	return time.Duration(usage.Utime.Nano() + usage.Stime.Nano())
 }
 
-// memory returns the bytes of heap and stacks in use.
-func memory() uint64 {
+// memoryInUse returns the bytes of heap and stacks in use.
+func memoryInUse() uint64 {
 	runtime.GC()
 	var stats runtime.MemStats
 	runtime.ReadMemStats(&stats)
--- a/sess/cmd/peers/main.go
+++ b/sess/cmd/peers/main.go
@@ -1,7 +1,7 @@
-// Command peers measures what the membership costs a node: it runs many peers
-// in one process, joined by real loopback connections, and prints bytes,
-// processor time and memory of each and how long a mark and a revision take to
-// reach all, as lines `name value`.
+// Command peers measures the cost of cluster membership per node. It runs many
+// peers in one process, connected over loopback, and prints the bytes,
+// processor time and memory per node and the times until a mark and a revision
+// have reached all nodes, as lines `name value`.
 package main
 
 import (
@@ -14,8 +14,8 @@
 	"time"
 )
 
-// target is the fleet of the target size.
-const target = 320
+// targetNodes is the target size of a fleet.
+const targetNodes = 320
 
 func main() {
 	nodes := flag.String("nodes", "4,16,64,128,320", "sizes of the fleet, the last one being the largest")
@@ -29,35 +29,35 @@
 	}
 }
 
-func run(nodes string, secure bool, warm, span time.Duration) error {
-	var points []point
-	for text := range strings.SplitSeq(nodes, ",") {
-		n, err := strconv.Atoi(text)
+func run(nodes string, secure bool, warmup, duration time.Duration) error {
+	var measurements []measurement
+	for sizeText := range strings.SplitSeq(nodes, ",") {
+		n, err := strconv.Atoi(sizeText)
 		if err != nil || n < 2 {
-			return fmt.Errorf("-nodes: %q is not a number above 1", text)
+			return fmt.Errorf("-nodes: %q is not a number above 1", sizeText)
 		}
-		p, err := measure(context.Background(), n, secure, warm, span)
+		p, err := measure(context.Background(), n, secure, warmup, duration)
 		if err != nil {
 			return err
 		}
 		p.print(os.Stdout)
-		points = append(points, p)
+		measurements = append(measurements, p)
 	}
-	at := func(of func(point) float64) float64 { return extend(points, target, of) }
-	fmt.Printf("control-core-percent-%d %.3f\n", target, at(func(p point) float64 { return p.core * 100 }))
-	fmt.Printf("control-megabytes-%d %.2f\n", target, at(func(p point) float64 { return p.memory / 1e6 }))
-	fmt.Printf("control-bytes-per-second-%d %.0f\n", target, at(func(p point) float64 { return p.bytes }))
+	figure := func(of func(measurement) float64) float64 { return extrapolate(measurements, targetNodes, of) }
+	fmt.Printf("control-core-percent-%d %.3f\n", targetNodes, figure(func(p measurement) float64 { return p.cores * 100 }))
+	fmt.Printf("control-megabytes-%d %.2f\n", targetNodes, figure(func(p measurement) float64 { return p.memoryBytes / 1e6 }))
+	fmt.Printf("control-bytes-per-second-%d %.0f\n", targetNodes, figure(func(p measurement) float64 { return p.bytesPerSecond }))
 	return nil
 }
 
-// extend returns the figure at a size: as measured there, or else on the line
-// through the two largest sizes that were measured.
-func extend(points []point, size int, of func(point) float64) float64 {
-	last := points[len(points)-1]
-	if last.nodes >= size || len(points) == 1 {
+// extrapolate returns a figure for a fleet of the given size: as measured, or
+// on the line through the two largest measured sizes.
+func extrapolate(measurements []measurement, size int, of func(measurement) float64) float64 {
+	last := measurements[len(measurements)-1]
+	if last.nodes >= size || len(measurements) == 1 {
 		return of(last)
 	}
-	prior := points[len(points)-2]
+	prior := measurements[len(measurements)-2]
 	slope := (of(last) - of(prior)) / float64(last.nodes-prior.nodes)
 	return of(last) + slope*float64(size-last.nodes)
 }
--- a/sess/command_test.go
+++ b/sess/command_test.go
@@ -21,17 +21,17 @@
 // session is the state of one script.
 type session struct {
 	*procs.Cluster
-	// transcript is what the script's commands printed.
+	// transcript is the output of the commands of the script.
 	transcript strings.Builder
 	jobs       map[string]*job
-	// tickets are the tickets that entry hosts have issued, by label.
-	tickets map[string]string
-	flows   map[string]*flow
-	// marks holds how many requests servers had taken at the command mark.
-	marks map[string]int
+	// tickets holds the tickets issued by entry hosts, by label.
+	tickets      map[string]string
+	streamGroups map[string]*streamGroup
+	// markedCounts holds the request counts of servers at the command mark.
+	markedCounts map[string]int
 }
 
-// job is a request that runs beside the script.
+// job is a command that runs concurrently with the script.
 type job struct {
 	done chan struct{}
 	out  string
@@ -45,13 +45,13 @@
 // scriptFunc runs one command of a script.
 type scriptFunc = func(ts *testscript.TestScript, neg bool, args []string)
 
-// commands are the commands of the scripts. Each that prints adds a line with
-// the command itself and then its output to the transcript.
+// commands are the commands of the scripts. Each command that prints also
+// appends itself and its output to the transcript.
 var commands = map[string]scriptFunc{
-	// town starts the usual world: two failure domains, a store, two engines
-	// for each of the layer ranges 0-8, 8-16 and 16-24 (one in each domain),
-	// two plain services, four entry hosts, and the routes to them.
-	"town": command("town", func(s *session, _ []string) (string, error) { return "", s.town() }),
+	// town starts the default cluster: two failure domains, a store, two
+	// engines for each of the layer ranges 0-8, 8-16 and 16-24 (one in each
+	// domain), two plain services, four entry hosts, and the routes to them.
+	"town": command("town", func(s *session, _ []string) (string, error) { return "", s.startCluster() }),
 	// store TEAM...: starts the store with these teams.
 	"store": command("store", func(s *session, a []string) (string, error) { return "", s.StartStore(a...) }),
 	// engine NAME DOMAIN FIRST END [flags]
@@ -68,7 +68,7 @@
 	"entry": command("entry", func(s *session, a []string) (string, error) {
 		return "", s.StartEntry(a[0], domain.Name(a[1]), a[2:]...)
 	}),
-	// ready ENTRY...: waits until these say that they are ready.
+	// ready ENTRY...: waits until the entry hosts report that they are ready.
 	"ready": command("ready", func(s *session, a []string) (string, error) {
 		for _, name := range a {
 			if err := s.Ready(name); err != nil {
@@ -77,7 +77,7 @@
 		}
 		return "", nil
 	}),
-	// restart NAME: starts an ended process again at its addresses.
+	// restart NAME: starts an exited process again at its addresses.
 	"restart": command("restart", func(s *session, a []string) (string, error) {
 		_, err := s.Restart(a[0])
 		return "", err
@@ -96,7 +96,7 @@
 	"heal": command("heal", func(s *session, a []string) (string, error) { return "", s.ClearFaults(a[0]) }),
 	// signal NAME KILL|STOP|CONT|TERM
 	"signal": command("signal", func(s *session, a []string) (string, error) { return "", s.signal(a[0], a[1]) }),
-	// exited NAME: waits until the process has ended, prints its status.
+	// exited NAME: waits until the process has exited and prints its status.
 	"exited": command("exited", func(s *session, a []string) (string, error) {
 		p, err := s.Get(a[0])
 		if err != nil {
@@ -105,13 +105,13 @@
 		status, err := p.Wait()
 		return fmt.Sprintf("exit status %d\n", status), err
 	}),
-	// desk ENTRY LINE...: prints what fsdesk prints.
+	// desk ENTRY LINE...: runs a command through fsdesk and prints its output.
 	"desk": command("desk", func(s *session, a []string) (string, error) {
 		return s.RunDesk(a[0], a[1:]...)
 	}),
-	// ask ENTRY TEAM PROMPT MAX: sends a model request, prints its outcome.
+	// ask ENTRY TEAM PROMPT MAX: sends a model request and prints its outcome.
 	"ask": command("ask", func(s *session, a []string) (string, error) { return s.ask(a) }),
-	// call ENTRY TEAM METHOD URI [ID [BODY]]: calls a plain service, prints
+	// call ENTRY TEAM METHOD URI [ID [BODY]]: calls a plain service and prints
 	// status, verdict and body.
 	"call": command("call", func(s *session, a []string) (string, error) { return s.call(a) }),
 	// counts NAME: prints how often each call ran on a stand-in.
@@ -119,9 +119,9 @@
 		out, err := s.Control(a[0], "GET", "/counts", nil)
 		return out + "\n", err
 	}),
-	// start JOB ask|call|desk ...: runs a command beside the script.
+	// start JOB ask|call|desk ...: runs a command concurrently with the script.
 	"start": command("start", func(s *session, a []string) (string, error) { return "", s.start(a) }),
-	// await JOB: waits for it and prints what it printed.
+	// await JOB: waits for a job and prints its output.
 	"await": command("await", func(s *session, a []string) (string, error) {
 		j := s.jobs[a[0]]
 		if j == nil {
@@ -131,8 +131,8 @@
 		return j.out, j.err
 	}),
 	// until REGEXP COMMAND...: repeats desk, ask, call or counts until its
-	// output matches; prints nothing, since the number of tries varies.
-	"until": quiet(func(s *session, a []string) (string, error) {
+	// output matches. It prints nothing, since the number of attempts varies.
+	"until": quietCommand(func(s *session, a []string) (string, error) {
 		pattern, err := regexp.Compile(a[0])
 		if err != nil {
 			return "", err
@@ -143,7 +143,7 @@
 			return pattern.MatchString(last)
 		})
 		if err != nil {
-			err = fmt.Errorf("%w; last: %s", err, last)
+			err = fmt.Errorf("%w; last output: %s", err, last)
 		}
 		return "", err
 	}),
@@ -154,33 +154,35 @@
 	},
 }
 
-// command makes a script command of a function, and writes the transcript.
+// command returns a script command that appends its output to the transcript.
 func command(name string, run func(s *session, args []string) (string, error)) func(*testscript.TestScript, bool, []string) {
 	return script(name, run, true)
 }
 
-// quiet is a command that leaves the transcript alone.
-func quiet(run func(s *session, args []string) (string, error)) func(*testscript.TestScript, bool, []string) {
+// quietCommand returns a script command that leaves the transcript unchanged.
+func quietCommand(run func(s *session, args []string) (string, error)) func(*testscript.TestScript, bool, []string) {
 	return script("until", run, false)
 }
 
-func script(name string, run func(s *session, args []string) (string, error), loud bool) func(*testscript.TestScript, bool, []string) {
+// script returns a script command that prints the output of run, and appends it
+// to the transcript if record is set.
+func script(name string, run func(s *session, args []string) (string, error), record bool) func(*testscript.TestScript, bool, []string) {
 	return func(ts *testscript.TestScript, neg bool, args []string) {
 		s := ts.Value(sessionKey).(*session)
 		out, err := run(s, args)
 		if neg == (err == nil) {
 			ts.Fatalf("%v: %v", args, err)
 		}
-		out = s.rename(out)
-		if loud && out != "" {
+		out = s.normalize(out)
+		if record && out != "" {
 			fmt.Fprintf(&s.transcript, "$ %s %s\n%s", name, strings.Join(args, " "), out)
 		}
 		fmt.Fprint(ts.Stdout(), out)
 	}
 }
 
-// Texts that vary from run to run and what stands for them.
-var renames = []struct {
+// replacements are the texts that vary from run to run and their placeholders.
+var replacements = []struct {
 	pattern *regexp.Regexp
 	with    string
 }{
@@ -190,47 +192,49 @@
 	{regexp.MustCompile(`127\.0\.0\.1:\d+`), "ADDRESS"},
 }
 
-// rename replaces what varies from run to run.
-func (s *session) rename(out string) string {
+// normalize replaces addresses and other texts that vary from run to run.
+func (s *session) normalize(out string) string {
 	for _, p := range s.All() {
 		for kind, address := range p.Addresses {
 			out = strings.ReplaceAll(out, address, p.Name+"-"+kind)
 		}
 	}
-	for _, r := range renames {
+	for _, r := range replacements {
 		out = r.pattern.ReplaceAllString(out, r.with)
 	}
 	return out
 }
 
 const (
-	townLayers = 24
-	townTeam   = "cantata"
+	clusterLayers = 24
+	defaultTeam   = "cantata"
 )
 
-func (s *session) town() error {
-	if err := s.StartStore(townTeam, "lyra"); err != nil {
+// startCluster starts the default cluster.
+func (s *session) startCluster() error {
+	if err := s.StartStore(defaultTeam, "lyra"); err != nil {
 		return err
 	}
 	var starts errgroup.Group
-	for i, in := range []domain.Name{"a", "b"} {
+	for i, dom := range []domain.Name{"a", "b"} {
 		for stage := range 3 {
-			name := fmt.Sprintf("%s%d", in, stage+1)
-			starts.Go(func() error { return s.StartEngine(name, in, stage*8, stage*8+8) })
+			name := fmt.Sprintf("%s%d", dom, stage+1)
+			starts.Go(func() error { return s.StartEngine(name, dom, stage*8, stage*8+8) })
 		}
-		starts.Go(func() error { return s.StartPlain(fmt.Sprintf("p%d", i+1), in) })
+		starts.Go(func() error { return s.StartPlain(fmt.Sprintf("p%d", i+1), dom) })
 	}
-	for i, in := range []domain.Name{"a", "a", "b", "b"} {
-		starts.Go(func() error { return s.StartEntry(fmt.Sprintf("e%d", i+1), in) })
+	for i, dom := range []domain.Name{"a", "a", "b", "b"} {
+		starts.Go(func() error { return s.StartEntry(fmt.Sprintf("e%d", i+1), dom) })
 	}
 	if err := starts.Wait(); err != nil {
 		return err
 	}
-	return s.townLines()
+	return s.configureCluster()
 }
 
-// townLines writes the configuration of the usual world.
-func (s *session) townLines() error {
+// configureCluster writes the configuration of the default cluster and waits
+// until all entry hosts are ready.
+func (s *session) configureCluster() error {
 	for _, line := range []string{
 		"create service assist model lotus",
 		"create service booking path /booking repeat no",
@@ -244,8 +248,8 @@
 		var out string
 		err := procs.WaitFor(line, func() bool {
 			out, _ = s.RunDesk("e1", line)
-			// A line that an entry host was too slow to confirm is accepted
-			// all the same, and cannot be accepted twice.
+			// A command that an entry host has not confirmed in time has taken
+			// effect all the same, and would be refused when sent again.
 			return strings.Contains(out, "\ndone") || strings.Contains(out, "\npartly")
 		})
 		if err != nil {
@@ -291,12 +295,12 @@
 	if err != nil {
 		return "connection lost\n", nil
 	}
-	return answer.Check(a[2], townLayers, max) + "\n", nil
+	return answer.Check(a[2], clusterLayers, max) + "\n", nil
 }
 
 func (s *session) call(a []string) (string, error) {
 	a = append(a, "", "")
-	reply, err := s.Call(a[0], a[1], a[2], a[3], s.id(a[4]), a[5])
+	reply, err := s.Call(a[0], a[1], a[2], a[3], s.resolveTicket(a[4]), a[5])
 	if err != nil {
 		return "connection lost\n", nil
 	}
@@ -304,8 +308,8 @@
 	return fmt.Sprintf("%d %s %s\n", reply.Status, reply.Verdict, body), nil
 }
 
-// serverField is left out of the transcript: which of the servers of a pool
-// takes a call is chosen at random.
+// serverField is removed from the transcript, because the server of a pool that
+// receives a call is chosen at random.
 var serverField = regexp.MustCompile(`"server":"[^"]*",`)
 
 // run runs one of the commands that only print.
@@ -318,9 +322,9 @@
 	case "call":
 		return s.call(a[1:])
 	case "ran":
-		return s.ran(a[1:])
+		return s.executions(a[1:])
 	case "orders":
-		return s.orders(a[1])
+		return s.appliedOrders(a[1])
 	case "counts":
 		return s.Control(a[1], "GET", "/counts", nil)
 	}
@@ -340,12 +344,12 @@
 	return nil
 }
 
-// raceMark opens every report of the race detector.
-const raceMark = "WARNING: DATA RACE"
+// raceReport starts every report of the race detector.
+const raceReport = "WARNING: DATA RACE"
 
-// leaked returns a secret that a log holds; empty for none.
-func leaked(log string) string {
-	for _, secret := range []string{procs.PeerSecret, procs.DeskSecret, procs.Token(townTeam)} {
+// leakedSecret returns a secret that a log contains; empty for none.
+func leakedSecret(log string) string {
+	for _, secret := range []string{procs.PeerSecret, procs.DeskSecret, procs.Token(defaultTeam)} {
 		if strings.Contains(log, secret) {
 			return secret
 		}
@@ -353,18 +357,19 @@
 	return ""
 }
 
-// end ends the processes and fails the script if one of them raced.
-func (s *session) end(env *testscript.Env) {
+// finish stops the processes and fails the script if a log contains a secret or
+// a report of the race detector.
+func (s *session) finish(env *testscript.Env) {
 	if err := s.Stop(); err != nil {
 		env.T().Log("end:", err)
 	}
 	var once sync.Once
 	for _, p := range s.All() {
 		text, err := os.ReadFile(filepath.Join(s.Dir, p.Name+".log"))
-		if secret := leaked(string(text)); secret != "" {
+		if secret := leakedSecret(string(text)); secret != "" {
 			env.T().Fatal(p.Name, "logged the secret", secret)
 		}
-		if err == nil && strings.Contains(string(text), raceMark) {
+		if err == nil && strings.Contains(string(text), raceReport) {
 			once.Do(func() { env.T().Log(string(text)) })
 			env.T().Fatal(p.Name, "raced")
 		}
--- a/sess/desk_test.go
+++ b/sess/desk_test.go
@@ -14,28 +14,29 @@
 	"fuchsiashelf.dev/sess/procs"
 )
 
-// deskCommands are the commands of sessions about what the operators set.
+// deskCommands are the commands for what the operators configure.
 var deskCommands = map[string]func(ts *testscript.TestScript, neg bool, args []string){
-	// script ENTRY FILE [flags]: sends the lines of a file.
+	// script ENTRY FILE [flags]: sends the commands in a file.
 	"script": command("script", func(s *session, a []string) (string, error) {
 		return s.RunDesk(a[0], append([]string{"-f", filepath.Join(s.Dir, a[1])}, a[2:]...)...)
 	}),
-	// stored: prints the revision that the store holds.
-	"stored": command("stored", func(s *session, _ []string) (string, error) { return s.stored() }),
-	// untilstored REVISION: waits until the store holds it.
-	"untilstored": quiet(func(s *session, a []string) (string, error) {
+	// stored: prints the revision in the store.
+	"stored": command("stored", func(s *session, _ []string) (string, error) { return s.storedRevision() }),
+	// untilstored REVISION: waits until the store has this revision.
+	"untilstored": quietCommand(func(s *session, a []string) (string, error) {
 		return "", procs.WaitFor("store holds "+a[0], func() bool {
-			out, _ := s.stored()
+			out, _ := s.storedRevision()
 			return out == "revision "+a[0]+"\n"
 		})
 	}),
-	// backup copy|restore: copies the store's objects, or puts the copy back.
+	// backup copy|restore: copies the objects of the store, or restores the
+	// copy.
 	"backup": command("backup", func(s *session, a []string) (string, error) {
 		_, err := s.Control(procs.StoreName, "POST", "/"+a[0], nil)
 		return "", err
 	}),
-	// tally JOB...: waits for jobs of one line each and prints their
-	// outcomes, sorted, since it is open which of them comes first.
+	// tally JOB...: waits for jobs of one command each and prints their
+	// outcomes, sorted, since their order is not determined.
 	"tally": command("tally", func(s *session, a []string) (string, error) {
 		var all []string
 		for _, name := range a {
@@ -51,8 +52,8 @@
 		slices.Sort(all)
 		return strings.Join(all, "\n") + "\n", nil
 	}),
-	// rejoin ENTRY SEED...: starts an ended entry host again, which knows
-	// these others.
+	// rejoin ENTRY SEED...: starts an exited entry host again, with the given
+	// entry hosts as its seeds.
 	"rejoin": command("rejoin", func(s *session, a []string) (string, error) {
 		var seeds []string
 		for _, name := range a[1:] {
@@ -65,7 +66,8 @@
 		_, err := s.Restart(a[0], "-seeds", strings.Join(seeds, ","))
 		return "", err
 	}),
-	// inforce ENTRY...: prints the revision that each has in force now.
+	// inforce ENTRY...: prints the revision that each entry host has in force
+	// now.
 	"inforce": command("inforce", func(s *session, a []string) (string, error) {
 		out := ""
 		for _, name := range a {
@@ -77,8 +79,9 @@
 		}
 		return out, nil
 	}),
-	// watching ENTRY...: waits until the watches of these are up.
-	"watching": quiet(func(s *session, a []string) (string, error) {
+	// watching ENTRY...: waits until the watches of the entry hosts are
+	// connected.
+	"watching": quietCommand(func(s *session, a []string) (string, error) {
 		for _, name := range a {
 			err := procs.WaitFor(name+" watches", func() bool {
 				age, err := s.metric(name, "watch.age_ms")
@@ -90,9 +93,8 @@
 		}
 		return "", nil
 	}),
-	// above ENTRY METRIC: waits until a counter of an entry host is above
-	// zero.
-	"above": quiet(func(s *session, a []string) (string, error) {
+	// above ENTRY METRIC: waits until a counter of an entry host is above zero.
+	"above": quietCommand(func(s *session, a []string) (string, error) {
 		return "", procs.WaitFor(a[1]+" of "+a[0]+" above zero", func() bool {
 			n, err := s.metric(a[0], a[1])
 			return err == nil && n > 0
@@ -100,7 +102,8 @@
 	}),
 }
 
-func (s *session) stored() (string, error) {
+// storedRevision returns the revision in the store.
+func (s *session) storedRevision() (string, error) {
 	p, err := s.Get(procs.StoreName)
 	if err != nil {
 		return "", err
@@ -116,7 +119,8 @@
 	return fmt.Sprintf("revision %d\n", c.Revision), nil
 }
 
-// metric returns a counter or gauge of an entry host; zero if it has none.
+// metric returns a counter or gauge of an entry host; zero if it does not
+// exist.
 func (s *session) metric(entry, name string) (int64, error) {
 	p, err := s.Get(entry)
 	if err != nil {
@@ -133,8 +137,9 @@
 	return int64(all[name].Count + all[name].Value), nil
 }
 
+// init adds the format of timestamps that only these sessions print.
 func init() {
-	renames = append(renames, struct {
+	replacements = append(replacements, struct {
 		pattern *regexp.Regexp
 		with    string
 	}{regexp.MustCompile(`\d{4}-\d\d-\d\d \d\d:\d\d:\d\d`), "TIME"})
--- a/sess/leave_test.go
+++ b/sess/leave_test.go
@@ -10,39 +10,39 @@
 	"github.com/rogpeppe/go-internal/testscript"
 )
 
-// leaveCommands are the commands of sessions about servers that leave and
-// stops.
+// leaveCommands are the commands for servers that leave and for planned stops.
 var leaveCommands = map[string]func(ts *testscript.TestScript, neg bool, args []string){
-	// spread ENTRY,... N: sends N model requests through each entry host, all at
-	// once, and prints what is not whole.
+	// spread ENTRY,... N: sends N model requests through each entry host
+	// concurrently, and prints the outcomes that are not whole.
 	"spread": command("spread", func(s *session, a []string) (string, error) {
-		return s.spread(strings.Split(a[0], ","), a[1])
+		return s.burst(strings.Split(a[0], ","), a[1])
 	}),
-	// mark SERVER...: remembers how many requests each has taken.
+	// mark SERVER...: records how many requests each server has received.
 	"mark": command("mark", func(s *session, a []string) (string, error) {
-		s.marks = map[string]int{}
+		s.markedCounts = map[string]int{}
 		for _, name := range a {
-			n, err := s.taken(name)
+			n, err := s.requestCount(name)
 			if err != nil {
 				return "", err
 			}
-			s.marks[name] = n
+			s.markedCounts[name] = n
 		}
 		return "", nil
 	}),
-	// since SERVER...: prints how many requests each has taken since mark.
+	// since SERVER...: prints how many requests each server has received since
+	// mark.
 	"since": command("since", func(s *session, a []string) (string, error) {
 		out := ""
 		for _, name := range a {
-			n, err := s.taken(name)
+			n, err := s.requestCount(name)
 			if err != nil {
 				return "", err
 			}
-			out += fmt.Sprintf("%s %d\n", name, n-s.marks[name])
+			out += fmt.Sprintf("%s %d\n", name, n-s.markedCounts[name])
 		}
 		return out, nil
 	}),
-	// idle ENGINE: prints how many requests it runs now.
+	// idle ENGINE: prints how many requests the engine is running now.
 	"idle": command("idle", func(s *session, a []string) (string, error) {
 		page, err := s.Control(a[0], "GET", "/counts", nil)
 		if err != nil {
@@ -54,20 +54,20 @@
 		err = json.Unmarshal([]byte(page), &counts)
 		return fmt.Sprintf("%d in flight\n", counts.InFlight), err
 	}),
-	// flow JOB ENTRY,... WIDTH MAX: keeps that many streams going through
-	// each entry host until endflow JOB, which prints what was not whole.
-	"flow": command("flow", func(s *session, a []string) (string, error) { return "", s.flow(a) }),
+	// flow JOB ENTRY,... WIDTH MAX: keeps WIDTH streams open through each entry
+	// host until endflow JOB, which prints the outcomes that are not whole.
+	"flow": command("flow", func(s *session, a []string) (string, error) { return "", s.startStreamGroup(a) }),
 	"endflow": command("endflow", func(s *session, a []string) (string, error) {
-		f := s.flows[a[0]]
-		close(f.stop)
-		f.all.Wait()
-		return f.outcome(), nil
+		g := s.streamGroups[a[0]]
+		close(g.stop)
+		g.running.Wait()
+		return g.outcome(), nil
 	}),
 }
 
-// taken returns how many requests have reached an engine, the refused ones
-// included, or how many calls a plain service has taken.
-func (s *session) taken(name string) (int, error) {
+// requestCount returns how many requests an engine has received, including the
+// refused ones, or how many calls a plain service has received.
+func (s *session) requestCount(name string) (int, error) {
 	page, err := s.Control(name, "GET", "/counts", nil)
 	if err != nil {
 		return 0, err
@@ -87,78 +87,80 @@
 	return sum, nil
 }
 
-// flow is a set of streams that go on until it is stopped.
-type flow struct {
-	stop chan struct{}
-	all  sync.WaitGroup
+// streamGroup runs streams concurrently and collects their outcomes.
+type streamGroup struct {
+	stop    chan struct{}
+	running sync.WaitGroup
 
 	mu    sync.Mutex
 	whole int
 	bad   []string
 }
 
-func (f *flow) add(outcome string) {
-	f.mu.Lock()
-	defer f.mu.Unlock()
+func (g *streamGroup) add(outcome string) {
+	g.mu.Lock()
+	defer g.mu.Unlock()
 	if strings.HasPrefix(outcome, "whole") {
-		f.whole++
+		g.whole++
 		return
 	}
-	f.bad = append(f.bad, outcome)
+	g.bad = append(g.bad, outcome)
 }
 
-// outcome tells whether all was whole. The number of requests is left out: it
-// depends on the machine.
-func (f *flow) outcome() string {
-	if f.whole == 0 {
+// outcome describes the outcomes that are not whole. It omits the number of
+// requests, which depends on the speed of the machine.
+func (g *streamGroup) outcome() string {
+	if g.whole == 0 {
 		return "nothing was whole\n"
 	}
-	if len(f.bad) == 0 {
+	if len(g.bad) == 0 {
 		return "all whole\n"
 	}
-	slices.Sort(f.bad)
-	return strings.Join(slices.Compact(f.bad), "\n") + "\n"
+	slices.Sort(g.bad)
+	return strings.Join(slices.Compact(g.bad), "\n") + "\n"
 }
 
-func (s *session) spread(entries []string, each string) (string, error) {
+// burst sends a number of model requests through each entry host concurrently.
+func (s *session) burst(entries []string, each string) (string, error) {
 	var n int
 	if _, err := fmt.Sscan(each, &n); err != nil {
 		return "", err
 	}
-	f := &flow{}
+	g := &streamGroup{}
 	for _, entry := range entries {
 		for i := range n {
-			f.all.Go(func() { f.add(s.stream(entry, fmt.Sprintf("lantern %d", i), 4)) })
+			g.running.Go(func() { g.add(s.stream(entry, fmt.Sprintf("lantern %d", i), 4)) })
 		}
 	}
-	f.all.Wait()
-	return f.outcome(), nil
+	g.running.Wait()
+	return g.outcome(), nil
 }
 
-// stream sends one model request and judges its answer.
+// stream sends one model request and returns its outcome.
 func (s *session) stream(entry, prompt string, max int) string {
-	answer, err := s.Generate(entry, townTeam, "assist", prompt, max)
+	answer, err := s.Generate(entry, defaultTeam, "assist", prompt, max)
 	if err != nil {
 		return "connection lost"
 	}
-	return answer.Check(prompt, townLayers, max)
+	return answer.Check(prompt, clusterLayers, max)
 }
 
-func (s *session) flow(a []string) error {
-	var width, max int
-	if _, err := fmt.Sscan(a[2]+" "+a[3], &width, &max); err != nil {
+// startStreamGroup starts the streams of the command flow.
+func (s *session) startStreamGroup(a []string) error {
+	var count, max int
+	if _, err := fmt.Sscan(a[2]+" "+a[3], &count, &max); err != nil {
 		return err
 	}
-	f := &flow{stop: make(chan struct{})}
-	if s.flows == nil {
-		s.flows = map[string]*flow{}
+	g := &streamGroup{stop: make(chan struct{})}
+	if s.streamGroups == nil {
+		s.streamGroups = map[string]*streamGroup{}
 	}
-	s.flows[a[0]] = f
+	s.streamGroups[a[0]] = g
 	for _, entry := range strings.Split(a[1], ",") {
-		for i := range width {
-			f.all.Go(func() {
-				for n := 0; !f.stopped(); n++ {
-					f.add(s.stream(entry, fmt.Sprintf("pot %d of %d", n, i), max))
+		for i := range count {
+			g.running.Go(func() {
+				for n := 0; !g.stopped(); n++ {
+					g.add(s.stream(entry, fmt.Sprintf("pot %d of %d", n, i), max))
 				}
 			})
 		}
@@ -166,9 +168,9 @@
 	return nil
 }
 
-func (f *flow) stopped() bool {
+func (g *streamGroup) stopped() bool {
 	select {
-	case <-f.stop:
+	case <-g.stop:
 		return true
 	default:
 		return false
--- a/sess/load_test.go
+++ b/sess/load_test.go
@@ -9,18 +9,19 @@
 	"github.com/rogpeppe/go-internal/testscript"
 )
 
-// loadCommands are the commands of sessions that load the system.
+// loadCommands are the commands that generate load.
 var loadCommands = map[string]func(ts *testscript.TestScript, neg bool, args []string){
-	// load ENTRY,... [flags]: runs fsload and prints what no machine's speed
-	// changes: that every call was answered, and how many answers were bad.
+	// load ENTRY,... [flags]: runs fsload and prints the figures that do not
+	// depend on the speed of the machine: that every call was answered, and how
+	// many answers were bad.
 	"load": command("load", func(s *session, a []string) (string, error) { return s.load(a) }),
-	// flood ENTRY,... ENGINE,... [flags]: runs fsload beyond what the pool
-	// takes, and compares what callers heard with what the first servers of
-	// the chains took.
-	"flood": command("flood", func(s *session, a []string) (string, error) { return s.flood(a) }),
+	// flood ENTRY,... ENGINE,... [flags]: runs fsload above the capacity of the
+	// pool, and compares what callers received with the requests that the first
+	// servers of the chains accepted.
+	"flood": command("flood", func(s *session, a []string) (string, error) { return s.overload(a) }),
 }
 
-// loadReport is the part of fsload's report that a session looks at.
+// loadReport is the part of the fsload report that sessions use.
 type loadReport struct {
 	Offered, Whole, Refused, Failed, Lost, Wrong, Skipped int
 	Codes                                                 map[string]int
@@ -35,14 +36,14 @@
 		r.Offered, r.Whole, r.Refused, r.Failed+r.Lost+r.Wrong), nil
 }
 
-func (s *session) flood(a []string) (string, error) {
-	// Each request has a prompt of its own, so that a chain that is tried
-	// again counts once.
+func (s *session) overload(a []string) (string, error) {
+	// Each request has a distinct prompt, so that a request that is retried on
+	// another chain counts once.
 	r, err := s.fsload(append([]string{a[0], "-prompts", "1000000000"}, a[2:]...))
 	if err != nil {
 		return "", err
 	}
-	took := 0
+	accepted := 0
 	for name := range strings.SplitSeq(a[1], ",") {
 		text, err := s.Control(name, "GET", "/counts", nil)
 		if err != nil {
@@ -52,10 +53,10 @@
 		if err := json.Unmarshal([]byte(text), &counts); err != nil {
 			return "", err
 		}
-		took += len(counts.Prompts)
+		accepted += len(counts.Prompts)
 	}
 	return fmt.Sprintf("some refused %t, all of them not-run %t, servers took the whole ones only %t, bad %d\n",
-		r.Refused > 0, r.Codes["overloaded not-run"] == r.Refused, took == r.Whole,
+		r.Refused > 0, r.Codes["overloaded not-run"] == r.Refused, accepted == r.Whole,
 		r.Failed+r.Lost+r.Wrong), nil
 }
 
--- a/sess/path_test.go
+++ b/sess/path_test.go
@@ -10,24 +10,26 @@
 	"fuchsiashelf.dev/sess/procs"
 )
 
-// The commands of the sessions on the path of a model answer.
+// init adds the commands for the path of a model answer.
 func init() {
 	maps.Copy(commands, pathCommands)
 }
 
 var pathCommands = map[string]scriptFunc{
-	// lines ENTRY FILE: runs the lines of a file, each until it is done.
-	"lines": command("lines", func(s *session, a []string) (string, error) { return "", s.lines(a[0], a[1:]) }),
-	// dies ENTRY SERVER MAX: for each token index of an answer, lets the
-	// server die at that index while answers stream, and starts it again.
+	// lines ENTRY LINE / LINE...: sends commands of the operators, each until
+	// it has taken effect.
+	"lines": command("lines", func(s *session, a []string) (string, error) { return "", s.runLines(a[0], a[1:]) }),
+	// dies ENTRY SERVER MAX: for each token index of an answer, makes the
+	// server crash at that index while answers stream, and starts it again.
 	"dies": command("dies", func(s *session, a []string) (string, error) {
 		max, err := strconv.Atoi(a[2])
 		if err != nil {
 			return "", err
 		}
-		return s.dies(a[0], a[1], max)
+		return s.crashAtEachToken(a[0], a[1], max)
 	}),
-	// leave ENTRY TEAM PROMPT MAX TOKENS: asks, and leaves after some tokens.
+	// leave ENTRY TEAM PROMPT MAX TOKENS: sends a model request and disconnects
+	// after TOKENS tokens.
 	"leave": command("leave", func(s *session, a []string) (string, error) {
 		max, err := strconv.Atoi(a[3])
 		if err != nil {
@@ -39,14 +41,14 @@
 		}
 		return "", s.GenerateAndDisconnect(a[0], a[1], "assist", a[2], max, tokens)
 	}),
-	// asks ENTRY TEAM PROMPT MAX TIMES: asks so often, prints each outcome
-	// once with how often it came.
-	"asks": command("asks", func(s *session, a []string) (string, error) { return s.asks(a) }),
+	// asks ENTRY TEAM PROMPT MAX TIMES: sends a model request TIMES times, and
+	// prints each distinct outcome with its count.
+	"asks": command("asks", func(s *session, a []string) (string, error) { return s.askRepeatedly(a) }),
 }
 
-// lines runs lines of the operators' language, given as words parted by
-// slashes.
-func (s *session) lines(entry string, words []string) error {
+// runLines sends commands of the operators, given as words; a slash separates
+// two commands.
+func (s *session) runLines(entry string, words []string) error {
 	for line := range strings.SplitSeq(strings.Join(words, " "), " / ") {
 		var out string
 		err := procs.WaitFor(line, func() bool {
@@ -60,42 +62,44 @@
 	return nil
 }
 
-// dies returns an error unless each answer is whole at each index.
-func (s *session) dies(entry, server string, max int) (string, error) {
+// crashAtEachToken returns an error unless every answer is whole for every
+// index.
+func (s *session) crashAtEachToken(entry, server string, max int) (string, error) {
 	p, err := s.Get(server)
 	if err != nil {
 		return "", err
 	}
-	in := domain.Name(server[:1])
+	dom := domain.Name(server[:1])
 	for index := range max {
 		if err := s.InjectFault(server, "diesat", strconv.Itoa(index), 0); err != nil {
 			return "", err
 		}
 		prompt := fmt.Sprintf("%s dies at %d", server, index)
-		if err := s.asksUntil(p, entry, prompt, max); err != nil {
+		if err := s.askUntilExit(p, entry, prompt, max); err != nil {
 			return "", err
 		}
 		if p, err = s.Restart(server); err != nil {
 			return "", err
 		}
-		if err := s.SetHost(server, in, "live"); err != nil {
+		if err := s.SetHost(server, dom, "live"); err != nil {
 			return "", err
 		}
 	}
 	return fmt.Sprintf("whole at each of %d indexes\n", max), nil
 }
 
-// asksUntil asks until a process has ended, and wants each answer whole.
-func (s *session) asksUntil(p *procs.Process, entry, prompt string, max int) error {
+// askUntilExit sends model requests until a process has exited, and returns an
+// error unless every answer is whole.
+func (s *session) askUntilExit(p *procs.Process, entry, prompt string, max int) error {
 	want := fmt.Sprintf("whole, %d tokens", max)
 	var wrong error
 	err := procs.WaitFor(p.Name+" ended", func() bool {
-		answer, err := s.Generate(entry, townTeam, "assist", prompt, max)
+		answer, err := s.Generate(entry, defaultTeam, "assist", prompt, max)
 		if err != nil {
 			wrong = err
 			return true
 		}
-		if got := answer.Check(prompt, townLayers, max); got != want {
+		if got := answer.Check(prompt, clusterLayers, max); got != want {
 			wrong = fmt.Errorf("%s: %s: %+v", prompt, got, answer.Problem)
 			return true
 		}
@@ -112,7 +116,8 @@
 	return err
 }
 
-func (s *session) asks(a []string) (string, error) {
+// askRepeatedly counts the outcomes of repeated model requests.
+func (s *session) askRepeatedly(a []string) (string, error) {
 	times, err := strconv.Atoi(a[4])
 	if err != nil {
 		return "", err
--- a/sess/peers_test.go
+++ b/sess/peers_test.go
@@ -12,43 +12,46 @@
 	"fuchsiashelf.dev/parts/fault"
 )
 
-// The commands of the sessions on how entry hosts act together.
+// init adds the commands for the interaction of entry hosts.
 func init() {
 	maps.Copy(commands, peerCommands)
 }
 
 var peerCommands = map[string]scriptFunc{
-	// cuttable: lets failure domains be cut off; comes before town.
+	// cuttable: allows failure domains to be cut off; must precede town.
 	"cuttable": command("cuttable", func(s *session, _ []string) (string, error) { s.EnablePartitions(); return "", nil }),
 	// island DOMAIN: cuts a failure domain off from the others and the store;
-	// mainland ends it.
+	// mainland reconnects it.
 	"island": command("island", func(s *session, a []string) (string, error) {
 		return "", s.Isolate(domain.Name(a[0]))
 	}),
-	// part DOMAIN: cuts a failure domain off from the others only.
+	// part DOMAIN: cuts a failure domain off from the others, but not from the
+	// store.
 	"part": command("part", func(s *session, a []string) (string, error) {
 		s.Partition(domain.Name(a[0]))
 		return "", nil
 	}),
-	// orders NAME: prints the orders that took effect on an engine, and by
-	// which pair of entry hosts each was given.
-	"orders":   command("orders", func(s *session, a []string) (string, error) { return s.orders(a[0]) }),
+	// orders NAME: prints the orders that took effect on an engine, and whether
+	// one of the first two entry hosts or a later one issued each.
+	"orders":   command("orders", func(s *session, a []string) (string, error) { return s.appliedOrders(a[0]) }),
 	"mainland": command("mainland", func(s *session, _ []string) (string, error) { return "", s.Reconnect() }),
-	// crasher ENTRY TEAM PROMPT MAX: asks, and prints with the outcome whether
-	// the caller was told when to come back.
-	"crasher": command("crasher", func(s *session, a []string) (string, error) { return s.crasher(a) }),
-	// lost NAME...: prints how many of the processes have ended.
+	// crasher ENTRY TEAM PROMPT MAX: sends a model request that crashes
+	// engines, and prints with the outcome whether the answer tells the caller
+	// when to retry.
+	"crasher": command("crasher", func(s *session, a []string) (string, error) { return s.askPoisoned(a) }),
+	// lost NAME...: prints how many of the processes have exited.
 	"lost": command("lost", func(s *session, a []string) (string, error) {
-		n, err := s.lost(a)
+		n, err := s.countExited(a)
 		return fmt.Sprintf("%d lost\n", n), err
 	}),
-	// streams N MAX: starts streams through all entry hosts in turn; joined
+	// streams N MAX: starts N streams, distributed over all entry hosts; joined
 	// waits for them and prints their outcomes.
 	"streams": command("streams", func(s *session, a []string) (string, error) { return "", s.streams(a) }),
-	"joined":  command("joined", func(s *session, _ []string) (string, error) { return s.joined() }),
+	"joined":  command("joined", func(s *session, _ []string) (string, error) { return s.joinStreams() }),
 }
 
-func (s *session) crasher(a []string) (string, error) {
+// askPoisoned sends a model request that may be blocked as poisoned.
+func (s *session) askPoisoned(a []string) (string, error) {
 	max, err := strconv.Atoi(a[3])
 	if err != nil {
 		return "", err
@@ -57,14 +60,15 @@
 	if err != nil {
 		return "", err
 	}
-	out := answer.Check(a[2], townLayers, max)
+	out := answer.Check(a[2], clusterLayers, max)
 	if p := answer.Problem; p != nil && p.Code == fault.Poisoned {
 		out += fmt.Sprintf(", come back later %v", p.RetryAfterMs > 0)
 	}
 	return out + "\n", nil
 }
 
-func (s *session) lost(names []string) (int, error) {
+// countExited returns how many of the processes have exited.
+func (s *session) countExited(names []string) (int, error) {
 	n := 0
 	for _, name := range names {
 		p, err := s.Get(name)
@@ -80,7 +84,7 @@
 	return n, nil
 }
 
-// streams starts requests whose prompts all differ.
+// streams starts requests with distinct prompts.
 func (s *session) streams(a []string) error {
 	n, err := strconv.Atoi(a[0])
 	if err != nil {
@@ -88,7 +92,7 @@
 	}
 	for i := range n {
 		entry := fmt.Sprintf("e%d", i%4+1)
-		ask := []string{"ask", entry, townTeam, fmt.Sprintf("stream-%d", i), a[1]}
+		ask := []string{"ask", entry, defaultTeam, fmt.Sprintf("stream-%d", i), a[1]}
 		if err := s.start(append([]string{fmt.Sprintf("stream-%d", i)}, ask...)); err != nil {
 			return err
 		}
@@ -96,7 +100,9 @@
 	return nil
 }
 
-func (s *session) joined() (string, error) {
+// joinStreams waits for all streams. If one is not whole, it returns an error
+// with the related events of the timeline.
+func (s *session) joinStreams() (string, error) {
 	outcomes := map[string]int{}
 	for name, j := range s.jobs {
 		if !strings.HasPrefix(name, "stream-") {
@@ -117,7 +123,7 @@
 	if whole {
 		return out, nil
 	}
-	// Why an answer was given up is told by the time line alone.
+	// Only the timeline shows why an answer failed.
 	events, _ := s.RunDesk("e1", "show", "timeline")
 	for line := range strings.Lines(events) {
 		if strings.Contains(line, " relay ") || strings.Contains(line, " guard ") {
@@ -127,20 +133,21 @@
 	return "", fmt.Errorf("not all whole:\n%s", out)
 }
 
-// orders tells e1 and e2 from the entry hosts that came later.
-func (s *session) orders(name string) (string, error) {
+// appliedOrders lists the orders that took effect on an engine. e1 and e2 are
+// the first holders of the lease; other entry hosts are successors.
+func (s *session) appliedOrders(name string) (string, error) {
 	p, err := s.Get(name)
 	if err != nil {
 		return "", err
 	}
-	taken, err := (&engine.Client{}).Orders(context.Background(), p.Addresses["serve"])
+	orders, err := (&engine.Client{}).Orders(context.Background(), p.Addresses["serve"])
 	out := ""
-	for _, order := range taken {
-		by := "a successor"
+	for _, order := range orders {
+		issuer := "a successor"
 		if order.Holder == "e1" || order.Holder == "e2" {
-			by = "the first holder"
+			issuer = "the first holder"
 		}
-		out += fmt.Sprintf("%s by %s\n", order.Order, by)
+		out += fmt.Sprintf("%s by %s\n", order.Order, issuer)
 	}
 	return out, err
 }
--- a/sess/procs/calls.go
+++ b/sess/procs/calls.go
@@ -17,10 +17,11 @@
 	"fuchsiashelf.dev/stand/token"
 )
 
-// client gives up on a call that takes a minute, far beyond any deadline.
+// client has a timeout far above any deadline of a request.
 var client = &http.Client{Timeout: time.Minute}
 
-// do makes a call and fails unless it is answered with a status below 300.
+// do makes an HTTP call and returns the body of the response. A status of 300
+// or above is an error. headers are pairs of name and value.
 func do(method, url string, body []byte, headers ...string) (string, error) {
 	req, err := http.NewRequest(method, url, bytes.NewReader(body))
 	if err != nil {
@@ -44,32 +45,33 @@
 	return string(value), nil
 }
 
-// Fetch returns what a GET of a URL answers.
+// Fetch returns the body of the response to a GET request.
 func Fetch(url string) (string, error) {
 	return do(http.MethodGet, url, nil)
 }
 
-// Answer is what a caller got for a model request.
+// Answer is the answer to a model request as its caller received it.
 type Answer struct {
 	// Status is the HTTP status.
 	Status int
-	// Header holds the headers of the answer.
+	// Header holds the headers of the response.
 	Header http.Header
-	// Tokens are the tokens that came, in order of arrival.
+	// Tokens holds the tokens in order of arrival.
 	Tokens []string
-	// Indexes are the indexes that the tokens came with.
+	// Indexes holds the index that each token was sent with.
 	Indexes []int
-	// Ended says that an end event came.
+	// Ended reports whether an end event was received.
 	Ended bool
-	// Count is the number of tokens that the end event stated.
+	// Count is the number of tokens according to the end event.
 	Count int
-	// Problem is the error, if one came.
+	// Problem is the error, if one was received.
 	Problem *ErrorBody
-	// Cut says that the stream ended with neither an end nor an error.
+	// Cut reports whether the stream ended with neither an end event nor an
+	// error.
 	Cut bool
 }
 
-// ErrorBody is an error as a caller sees it.
+// ErrorBody is the body of an error response or error event.
 type ErrorBody struct {
 	Code         fault.Code    `json:"code"`
 	Verdict      fault.Verdict `json:"verdict"`
@@ -78,9 +80,9 @@
 	RetryAfterMs int64         `json:"retryAfterMs"`
 }
 
-// Generate sends a model request to an entry host.
-func (w *Cluster) Generate(entry, team, service, prompt string, max int) (*Answer, error) {
-	resp, err := w.ask(context.Background(), entry, team, service, prompt, max)
+// Generate sends a model request to an entry host and reads the whole answer.
+func (c *Cluster) Generate(entry, team, service, prompt string, max int) (*Answer, error) {
+	resp, err := c.post(context.Background(), entry, team, service, prompt, max)
 	if err != nil {
 		return nil, err
 	}
@@ -90,21 +92,22 @@
 		a.Problem = &ErrorBody{}
 		return a, json.NewDecoder(resp.Body).Decode(a.Problem)
 	}
-	return a, a.read(resp.Body)
+	return a, a.readEvents(resp.Body)
 }
 
-// GenerateAndDisconnect sends a model request and leaves after so many tokens.
-func (w *Cluster) GenerateAndDisconnect(entry, team, service, prompt string, max, tokens int) error {
+// GenerateAndDisconnect sends a model request and closes the connection after
+// the given number of tokens.
+func (c *Cluster) GenerateAndDisconnect(entry, team, service, prompt string, max, tokens int) error {
 	ctx, cancel := context.WithCancel(context.Background())
 	defer cancel()
-	resp, err := w.ask(ctx, entry, team, service, prompt, max)
+	resp, err := c.post(ctx, entry, team, service, prompt, max)
 	if err != nil {
 		return err
 	}
 	defer resp.Body.Close()
 	for scan := bufio.NewScanner(resp.Body); tokens > 0; {
 		if !scan.Scan() {
-			return fmt.Errorf("the stream ended %d tokens early: %w", tokens, scan.Err())
+			return fmt.Errorf("stream ended %d tokens early: %w", tokens, scan.Err())
 		}
 		if strings.HasPrefix(scan.Text(), "data:") {
 			tokens--
@@ -113,8 +116,9 @@
 	return nil
 }
 
-func (w *Cluster) ask(ctx context.Context, entry, team, service, prompt string, max int) (*http.Response, error) {
-	p, err := w.Get(entry)
+// post sends a model request to an entry host.
+func (c *Cluster) post(ctx context.Context, entry, team, service, prompt string, max int) (*http.Response, error) {
+	p, err := c.Get(entry)
 	if err != nil {
 		return nil, err
 	}
@@ -131,8 +135,8 @@
 	return client.Do(req)
 }
 
-// read reads server-sent events until the stream ends.
-func (a *Answer) read(body io.Reader) error {
+// readEvents reads server-sent events until the stream ends.
+func (a *Answer) readEvents(body io.Reader) error {
 	scan := bufio.NewScanner(body)
 	kind := ""
 	for scan.Scan() {
@@ -141,7 +145,7 @@
 			kind = strings.TrimSpace(rest)
 		}
 		if rest, ok := strings.CutPrefix(line, "data:"); ok {
-			if err := a.event(kind, []byte(rest)); err != nil {
+			if err := a.addEvent(kind, []byte(rest)); err != nil {
 				return err
 			}
 		}
@@ -150,7 +154,8 @@
 	return nil
 }
 
-func (a *Answer) event(kind string, data []byte) error {
+// addEvent records one event of the stream.
+func (a *Answer) addEvent(kind string, data []byte) error {
 	var e struct {
 		Index int
 		Token string
@@ -175,8 +180,9 @@
 	return nil
 }
 
-// Check compares an answer with the one that the layers give: whole, wrong,
-// cut, or the error.
+// Check compares the answer with the one that a model with this many layers
+// gives for the prompt. It describes the result in one line: whole, wrong, cut,
+// short, or the error.
 func (a *Answer) Check(prompt string, layers, max int) string {
 	want := token.Answer(prompt, layers, max)
 	for i, got := range a.Tokens {
@@ -195,7 +201,7 @@
 	return fmt.Sprintf("whole, %d tokens", max)
 }
 
-// Reply is what a caller got for a call to a plain service.
+// Reply is the response of a plain service as its caller received it.
 type Reply struct {
 	Status  int
 	Header  http.Header
@@ -203,9 +209,9 @@
 	Verdict string
 }
 
-// Call makes a call to a plain service through an entry host.
-func (w *Cluster) Call(entry, team, method, uri, id, body string) (*Reply, error) {
-	p, err := w.Get(entry)
+// Call sends a request to a plain service through an entry host.
+func (c *Cluster) Call(entry, team, method, uri, id, body string) (*Reply, error) {
+	p, err := c.Get(entry)
 	if err != nil {
 		return nil, err
 	}
@@ -234,20 +240,20 @@
 	}, nil
 }
 
-// RunDesk runs one line of the operators' language through fsdesk and returns
-// what it printed. A status other than 0 is no error.
-func (w *Cluster) RunDesk(entry string, line ...string) (string, error) {
-	p, err := w.Get(entry)
+// RunDesk runs one command of the operators through fsdesk and returns what it
+// printed. An exit status other than 0 is not an error.
+func (c *Cluster) RunDesk(entry string, line ...string) (string, error) {
+	p, err := c.Get(entry)
 	if err != nil {
 		return "", err
 	}
-	file, err := w.Path("fsdesk")
+	file, err := c.Path("fsdesk")
 	if err != nil {
 		return "", err
 	}
 	args := append([]string{"-entry", p.Addresses["desk"], "-secret", DeskSecret}, line...)
 	cmd := exec.Command(file, args...)
-	cmd.Env = append(os.Environ(), w.Env...)
+	cmd.Env = append(os.Environ(), c.Env...)
 	out, err := cmd.CombinedOutput()
 	if _, exited := err.(*exec.ExitError); exited {
 		err = nil
@@ -255,24 +261,24 @@
 	return string(out), err
 }
 
-// readyTick is the pause between two looks at a condition.
-const readyTick = 20 * time.Millisecond
+// pollInterval is the pause between two checks of a condition.
+const pollInterval = 20 * time.Millisecond
 
-// WaitFor repeats a look until it is true, at most for a minute.
-func WaitFor(what string, look func() bool) error {
-	end := time.Now().Add(time.Minute)
-	for !look() {
-		if time.Now().After(end) {
-			return fmt.Errorf("procs: %s did not come true in a minute", what)
+// WaitFor checks a condition repeatedly until it is true, for at most a minute.
+func WaitFor(description string, condition func() bool) error {
+	deadline := time.Now().Add(time.Minute)
+	for !condition() {
+		if time.Now().After(deadline) {
+			return fmt.Errorf("procs: %s: condition not met within a minute", description)
 		}
-		time.Sleep(readyTick)
+		time.Sleep(pollInterval)
 	}
 	return nil
 }
 
-// Ready waits until an entry host says that it is ready.
-func (w *Cluster) Ready(entry string) error {
-	p, err := w.Get(entry)
+// Ready waits until an entry host reports that it is ready.
+func (c *Cluster) Ready(entry string) error {
+	p, err := c.Get(entry)
 	if err != nil {
 		return err
 	}
--- a/sess/procs/certs.go
+++ b/sess/procs/certs.go
@@ -6,29 +6,29 @@
 	"fuchsiashelf.dev/parts/certs"
 )
 
-// certsValid is how long the certificates of a session last.
-const certsValid = time.Hour
+// certLifetime is the lifetime of the certificates of a cluster.
+const certLifetime = time.Hour
 
-// EnableTLS gives the programs that start from now on certificates of a new
+// EnableTLS gives programs that are started from now on certificates of a new
 // authority.
-func (w *Cluster) EnableTLS() error {
-	authority, err := certs.NewAuthority(certsValid)
+func (c *Cluster) EnableTLS() error {
+	authority, err := certs.NewAuthority(certLifetime)
 	if err != nil {
 		return err
 	}
-	w.Env = nil
+	c.Env = nil
 	for prefix, role := range map[string]certs.Role{"FSENTRY": certs.Entry, "FSDESK": certs.Desk} {
-		b, err := authority.Issue(role)
+		bundle, err := authority.Issue(role)
 		if err != nil {
 			return err
 		}
-		w.Env = append(w.Env,
-			prefix+"_TLS_CERT="+b.Cert, prefix+"_TLS_KEY="+b.Key, prefix+"_TLS_CA="+b.CA)
+		c.Env = append(c.Env,
+			prefix+"_TLS_CERT="+bundle.Cert, prefix+"_TLS_KEY="+bundle.Key, prefix+"_TLS_CA="+bundle.CA)
 	}
 	return nil
 }
 
-// DisableTLS lets the programs that start from now on have no certificates.
-func (w *Cluster) DisableTLS() {
-	w.Env = nil
+// DisableTLS starts programs without certificates from now on.
+func (c *Cluster) DisableTLS() {
+	c.Env = nil
 }
--- a/sess/procs/stop.go
+++ b/sess/procs/freeze.go
@@ -8,17 +8,18 @@
 	"syscall"
 )
 
-// Freeze stops a process and waits until each of its threads has stopped. The
-// signal alone only asks for it: on a busy machine a thread runs on for a
-// while and may still do what the freeze is to prevent.
+// Freeze stops the process and waits until all of its threads have stopped.
+// SIGSTOP takes effect asynchronously: on a busy machine a thread may run on
+// for a while and do what the test wants to prevent.
 func (p *Process) Freeze() error {
 	if err := p.Signal(syscall.SIGSTOP); err != nil {
 		return err
 	}
-	return WaitFor(p.Name+" frozen", p.frozen)
+	return WaitFor(p.Name+" stopped", p.allThreadsStopped)
 }
 
-func (p *Process) frozen() bool {
+// allThreadsStopped reports whether every thread is in the state T (stopped).
+func (p *Process) allThreadsStopped() bool {
 	stats, err := filepath.Glob(fmt.Sprintf("/proc/%d/task/*/stat", p.cmd.Process.Pid))
 	if err != nil || len(stats) == 0 {
 		return false
@@ -28,7 +29,7 @@
 		if err != nil {
 			continue
 		}
-		// The state follows the name, which is in parentheses.
+		// The state follows the name of the thread, which is in parentheses.
 		_, state, found := bytes.Cut(text, []byte(") "))
 		if found && state[0] != 'T' {
 			return false
--- a/sess/procs/procs.go
+++ b/sess/procs/procs.go
@@ -1,5 +1,5 @@
-// Package procs starts the programs as separate processes and drives them,
-// for golden sessions, the demo and the benches.
+// Package procs starts the programs as separate processes and drives them, for
+// golden sessions, the demo and the benchmarks.
 package procs
 
 import (
@@ -17,53 +17,53 @@
 	"time"
 )
 
-// Process is one process.
+// Process is a started program.
 type Process struct {
-	// Name is the name of the host that the process plays.
+	// Name is the name of the process and of its host.
 	Name string
 	// Program is the file name of the program.
 	Program string
-	// Args are its arguments; the first is the role of a stand-in.
+	// Args holds the arguments; for fsstand, the first is the role.
 	Args []string
-	// Addresses holds the addresses that it listens on, by kind: serve and control
-	// for stand-ins; callers, peers, desk and ops for entry hosts.
+	// Addresses holds the addresses that the process listens on, by kind: serve
+	// and control for fsstand; callers, peers, desk and ops for entry hosts.
 	Addresses map[string]string
-	// Exited is closed when the process has ended.
+	// Exited is closed when the process has exited.
 	Exited chan struct{}
 
 	cmd *exec.Cmd
 }
 
-// Cluster holds the processes of one session. Set the exported fields, then
-// start processes; End ends all of them.
+// Cluster holds the processes of one session. Set the exported fields before
+// starting processes; Stop kills all of them.
 type Cluster struct {
-	// Path finds a program's file.
+	// Path returns the path of a program.
 	Path func(program string) (string, error)
-	// Env is added to the environment of each program.
+	// Env is added to the environment of each process.
 	Env []string
-	// Dir is where the processes write their logs, one file each.
+	// Dir is the directory for the logs of the processes, one file each.
 	Dir string
 
-	relays *relays
+	partition *partition
 
 	mu    sync.Mutex
 	procs map[string]*Process
 }
 
-// startWait is how long a process may take until it is ready. It is long
-// since a machine that runs many sessions with the race detector is slow.
-const startWait = 60 * time.Second
+// startTimeout limits the time until a process is ready. It allows for many
+// sessions that run at once with the race detector.
+const startTimeout = 60 * time.Second
 
-// Start starts a program and waits until it says that it is ready.
-func (w *Cluster) Start(name, program string, args ...string) (*Process, error) {
-	file, err := w.Path(program)
+// Start starts a program and waits until it reports that it is ready.
+func (c *Cluster) Start(name, program string, args ...string) (*Process, error) {
+	file, err := c.Path(program)
 	if err != nil {
 		return nil, err
 	}
 	p := &Process{Name: name, Program: program, Args: args, Addresses: map[string]string{}, Exited: make(chan struct{})}
 	p.cmd = exec.Command(file, args...)
-	p.cmd.Env = append(os.Environ(), w.Env...)
-	logs, err := os.OpenFile(filepath.Join(w.Dir, name+".log"), os.O_CREATE|os.O_APPEND|os.O_WRONLY, 0o644)
+	p.cmd.Env = append(os.Environ(), c.Env...)
+	logs, err := os.OpenFile(filepath.Join(c.Dir, name+".log"), os.O_CREATE|os.O_APPEND|os.O_WRONLY, 0o644)
 	if err != nil {
 		return nil, err
 	}
@@ -75,12 +75,12 @@
 	if err := p.cmd.Start(); err != nil {
 		return nil, err
 	}
-	w.mu.Lock()
-	if w.procs == nil {
-		w.procs = map[string]*Process{}
+	c.mu.Lock()
+	if c.procs == nil {
+		c.procs = map[string]*Process{}
 	}
-	w.procs[name] = p
-	w.mu.Unlock()
+	c.procs[name] = p
+	c.mu.Unlock()
 	ready := make(chan string, 1)
 	go func() {
 		scan := bufio.NewScanner(out)
@@ -93,11 +93,13 @@
 		_ = logs.Close()
 		close(p.Exited)
 	}()
-	return p, p.await(ready)
+	return p, p.waitReady(ready)
 }
 
-func (p *Process) await(ready <-chan string) error {
-	timer := time.NewTimer(startWait)
+// waitReady waits until the process has printed its ready line, and parses the
+// addresses in it.
+func (p *Process) waitReady(ready <-chan string) error {
+	timer := time.NewTimer(startTimeout)
 	defer timer.Stop()
 	select {
 	case line := <-ready:
@@ -107,63 +109,63 @@
 		}
 		return nil
 	case <-p.Exited:
-		return fmt.Errorf("procs: %s ended before it was ready", p.Name)
+		return fmt.Errorf("procs: %s exited before it was ready", p.Name)
 	case <-timer.C:
-		return fmt.Errorf("procs: %s was not ready in %s", p.Name, startWait)
+		return fmt.Errorf("procs: %s was not ready within %s", p.Name, startTimeout)
 	}
 }
 
 // Get returns a process by name.
-func (w *Cluster) Get(name string) (*Process, error) {
-	w.mu.Lock()
-	defer w.mu.Unlock()
-	p := w.procs[name]
+func (c *Cluster) Get(name string) (*Process, error) {
+	c.mu.Lock()
+	defer c.mu.Unlock()
+	p := c.procs[name]
 	if p == nil {
 		return nil, fmt.Errorf("procs: no process %s", name)
 	}
 	return p, nil
 }
 
-// All returns all processes that were started, the ended ones included.
-func (w *Cluster) All() []*Process {
-	w.mu.Lock()
-	defer w.mu.Unlock()
+// All returns all started processes, including those that have exited.
+func (c *Cluster) All() []*Process {
+	c.mu.Lock()
+	defer c.mu.Unlock()
 	var all []*Process
-	for _, p := range w.procs {
+	for _, p := range c.procs {
 		all = append(all, p)
 	}
 	return all
 }
 
-// Signal sends a signal to a process.
+// Signal sends a signal to the process.
 func (p *Process) Signal(s syscall.Signal) error {
 	return p.cmd.Process.Signal(s)
 }
 
-// exitWait is how long a process may take to end.
-const exitWait = 60 * time.Second
+// exitTimeout limits the wait for a process to exit.
+const exitTimeout = 60 * time.Second
 
-// Wait waits until the process has ended and returns its exit status.
+// Wait waits until the process has exited and returns its exit status.
 func (p *Process) Wait() (int, error) {
 	select {
 	case <-p.Exited:
 		return p.cmd.ProcessState.ExitCode(), nil
-	case <-time.After(exitWait):
-		return 0, fmt.Errorf("procs: %s did not end", p.Name)
+	case <-time.After(exitTimeout):
+		return 0, fmt.Errorf("procs: %s did not exit", p.Name)
 	}
 }
 
-// Restart starts a process that has ended again, at the same addresses, with
-// more arguments.
-func (w *Cluster) Restart(name string, more ...string) (*Process, error) {
-	old, err := w.Get(name)
+// Restart waits until a process has exited and starts it again at the same
+// addresses, with additional arguments.
+func (c *Cluster) Restart(name string, extraArgs ...string) (*Process, error) {
+	old, err := c.Get(name)
 	if err != nil {
 		return nil, err
 	}
 	if _, err := old.Wait(); err != nil {
 		return nil, err
 	}
-	args := append(slices.Clone(old.Args), more...)
+	args := append(slices.Clone(old.Args), extraArgs...)
 	for kind, address := range old.Addresses {
 		flag := kind
 		if kind == "serve" {
@@ -171,16 +173,17 @@
 		}
 		args = append(args, "-"+flag, address)
 	}
-	return w.Start(name, old.Program, args...)
+	return c.Start(name, old.Program, args...)
 }
 
-// Stop ends all processes. A frozen one is thawed first, so that it can go.
-func (w *Cluster) Stop() error {
-	if w.relays != nil {
-		defer w.relays.close()
+// Stop kills all processes and closes the relays. A stopped process is
+// continued first, so that it can exit.
+func (c *Cluster) Stop() error {
+	if c.partition != nil {
+		defer c.partition.close()
 	}
 	var errs []error
-	for _, p := range w.All() {
+	for _, p := range c.All() {
 		select {
 		case <-p.Exited:
 			continue
@@ -199,7 +202,7 @@
 	return slices.Sorted(maps.Keys(m))
 }
 
-// PID returns the id of the process.
+// PID returns the process ID.
 func (p *Process) PID() int {
 	return p.cmd.Process.Pid
 }
--- a/sess/procs/relay.go
+++ b/sess/procs/relay.go
@@ -17,96 +17,100 @@
 	"fuchsiashelf.dev/parts/host"
 )
 
-// relays stands between the processes of a world, so that failure domains can
-// be cut off from each other. Entry hosts reach the store through a face of
-// their own domain, whose host list names a relay for each host. A relay
-// passes no bytes between domains that are parted: what is sent arrives late,
-// as in a network partition.
-type relays struct {
+// partition relays connections between the processes of a cluster, so that a
+// failure domain can be cut off from the others. Entry hosts reach the store
+// through a proxy of their own domain, which replaces the address of each host
+// of another domain in the host list by that of a relay. While two domains are
+// cut off from each other, the relays between them hold data back and deliver
+// it afterwards, as a network partition does.
+type partition struct {
 	mu sync.Mutex
-	// faces holds the addresses of the store's faces by domain.
-	faces map[domain.Name]string
-	// paths holds the relays' addresses by domain of the caller and address
-	// of the host.
-	paths     map[path]string
-	listeners []net.Listener
-	homes     map[string]domain.Name
-	// island is the domain that is cut off; empty for none.
-	island domain.Name
-	// healed is closed when the island ends.
-	healed chan struct{}
-	// holding counts the connections whose bytes are held back.
-	holding sync.WaitGroup
+	// storeProxies holds the addresses of the store proxies by domain.
+	storeProxies map[domain.Name]string
+	// relayAddrs holds the addresses of the relays.
+	relayAddrs map[relayKey]string
+	listeners  []net.Listener
+	// entryDomains holds the domains of the entry hosts by name.
+	entryDomains map[string]domain.Name
+	// isolated is the domain that is cut off; empty for none.
+	isolated domain.Name
+	// reconnected is closed when the domain is connected again.
+	reconnected chan struct{}
+	// blocked counts the relayed connections that hold data back.
+	blocked sync.WaitGroup
 }
 
-type path struct {
-	from domain.Name
-	to   string
+// relayKey names a relay by the domain of its clients and the address of its
+// host.
+type relayKey struct {
+	clientDom domain.Name
+	hostAddr  string
 }
 
-// EnablePartitions lets failure domains be cut off from each other. Call it before
-// any entry host starts.
-func (w *Cluster) EnablePartitions() {
-	w.relays = &relays{
-		faces: map[domain.Name]string{}, paths: map[path]string{}, homes: map[string]domain.Name{},
+// EnablePartitions allows failure domains to be cut off from each other. It
+// must be called before an entry host starts.
+func (c *Cluster) EnablePartitions() {
+	c.partition = &partition{
+		storeProxies: map[domain.Name]string{}, relayAddrs: map[relayKey]string{}, entryDomains: map[string]domain.Name{},
 	}
 }
 
 // Partition cuts a failure domain off from the others, but not from the store.
-func (w *Cluster) Partition(in domain.Name) {
-	w.relays.mu.Lock()
-	defer w.relays.mu.Unlock()
-	w.relays.island, w.relays.healed = in, make(chan struct{})
+func (c *Cluster) Partition(dom domain.Name) {
+	c.partition.mu.Lock()
+	defer c.partition.mu.Unlock()
+	c.partition.isolated, c.partition.reconnected = dom, make(chan struct{})
 }
 
 // Isolate cuts a failure domain off from the others and from the store.
-func (w *Cluster) Isolate(in domain.Name) error {
-	w.Partition(in)
-	w.relays.mu.Lock()
+func (c *Cluster) Isolate(dom domain.Name) error {
+	c.Partition(dom)
+	c.partition.mu.Lock()
 	var entries []string
-	for name, home := range w.relays.homes {
-		if home == in {
+	for name, entryDomain := range c.partition.entryDomains {
+		if entryDomain == dom {
 			entries = append(entries, name)
 		}
 	}
-	w.relays.mu.Unlock()
-	return w.InjectFault(StoreName, "cut", strings.Join(entries, ","), 0)
+	c.partition.mu.Unlock()
+	return c.InjectFault(StoreName, "cut", strings.Join(entries, ","), 0)
 }
 
-// Reconnect ends the island. What was held back arrives late, as after a
-// partition; Reconnect returns when it has been passed on.
-func (w *Cluster) Reconnect() error {
-	w.relays.mu.Lock()
-	w.relays.island = ""
-	close(w.relays.healed)
-	w.relays.mu.Unlock()
-	w.relays.holding.Wait()
-	return w.ClearFaults(StoreName)
+// Reconnect ends the partition. It returns when the data that was held back has
+// been delivered.
+func (c *Cluster) Reconnect() error {
+	c.partition.mu.Lock()
+	c.partition.isolated = ""
+	close(c.partition.reconnected)
+	c.partition.mu.Unlock()
+	c.partition.blocked.Wait()
+	return c.ClearFaults(StoreName)
 }
 
-// face returns the address of the store as entry hosts of a domain see it.
-func (r *relays) face(name string, in domain.Name, store string) (string, error) {
-	r.mu.Lock()
-	defer r.mu.Unlock()
-	r.homes[name] = in
-	if r.faces[in] != "" {
-		return r.faces[in], nil
+// storeProxy returns the address of the store proxy of a domain and records
+// that the entry host is in that domain.
+func (p *partition) storeProxy(name string, dom domain.Name, storeAddr string) (string, error) {
+	p.mu.Lock()
+	defer p.mu.Unlock()
+	p.entryDomains[name] = dom
+	if p.storeProxies[dom] != "" {
+		return p.storeProxies[dom], nil
 	}
-	l, err := r.listen()
+	l, err := p.listen()
 	if err != nil {
 		return "", err
 	}
-	proxy := httputil.NewSingleHostReverseProxy(&url.URL{Scheme: "http", Host: store})
-	// A watch that is given up is no error worth a line.
+	proxy := httputil.NewSingleHostReverseProxy(&url.URL{Scheme: "http", Host: storeAddr})
+	// Entry hosts cancel watches as a matter of course; do not log that.
 	proxy.ErrorLog = log.New(io.Discard, "", 0)
-	proxy.ModifyResponse = func(resp *http.Response) error { return r.rewrite(resp, in) }
+	proxy.ModifyResponse = func(resp *http.Response) error { return p.rewriteHostList(resp, dom) }
 	go func() { _ = http.Serve(l, proxy) }()
-	r.faces[in] = l.Addr().String()
-	return r.faces[in], nil
+	p.storeProxies[dom] = l.Addr().String()
+	return p.storeProxies[dom], nil
 }
 
-// rewrite names a relay for each host of a host list.
-func (r *relays) rewrite(resp *http.Response, in domain.Name) error {
+// rewriteHostList replaces the addresses of a host list by those of relays.
+func (p *partition) rewriteHostList(resp *http.Response, dom domain.Name) error {
 	if resp.Request.URL.Path != "/v1/hosts" || resp.StatusCode != http.StatusOK {
 		return nil
 	}
@@ -115,7 +119,7 @@
 		return err
 	}
 	for i, h := range list.Hosts {
-		address, err := r.relay(in, h.Domain, h.Address)
+		address, err := p.relayAddr(dom, h.Domain, h.Address)
 		if err != nil {
 			return err
 		}
@@ -131,69 +135,72 @@
 	return nil
 }
 
-// relay returns the address at which a domain reaches a host.
-func (r *relays) relay(from, in domain.Name, to string) (string, error) {
-	if from == in {
-		return to, nil
+// relayAddr returns the address at which clients in a domain reach a host.
+func (p *partition) relayAddr(clientDom, hostDom domain.Name, hostAddr string) (string, error) {
+	if clientDom == hostDom {
+		return hostAddr, nil
 	}
-	r.mu.Lock()
-	defer r.mu.Unlock()
-	key := path{from, to}
-	if r.paths[key] != "" {
-		return r.paths[key], nil
+	p.mu.Lock()
+	defer p.mu.Unlock()
+	key := relayKey{clientDom, hostAddr}
+	if p.relayAddrs[key] != "" {
+		return p.relayAddrs[key], nil
 	}
-	l, err := r.listen()
+	l, err := p.listen()
 	if err != nil {
 		return "", err
 	}
-	go r.accept(l, from, in, to)
-	r.paths[key] = l.Addr().String()
-	return r.paths[key], nil
+	go p.accept(l, clientDom, hostDom, hostAddr)
+	p.relayAddrs[key] = l.Addr().String()
+	return p.relayAddrs[key], nil
 }
 
-func (r *relays) listen() (net.Listener, error) {
+// listen opens a listener that close closes.
+func (p *partition) listen() (net.Listener, error) {
 	l, err := net.Listen("tcp", "127.0.0.1:0")
 	if err == nil {
-		r.listeners = append(r.listeners, l)
+		p.listeners = append(p.listeners, l)
 	}
 	return l, err
 }
 
-func (r *relays) accept(l net.Listener, from, in domain.Name, to string) {
+// accept serves one relay.
+func (p *partition) accept(l net.Listener, clientDom, hostDom domain.Name, hostAddr string) {
 	for {
 		conn, err := l.Accept()
 		if err != nil {
 			return
 		}
-		go r.carry(conn, from, in, to)
+		go p.forward(conn, clientDom, hostDom, hostAddr)
 	}
 }
 
-func (r *relays) carry(conn net.Conn, from, in domain.Name, to string) {
+// forward connects to the host and copies data in both directions.
+func (p *partition) forward(conn net.Conn, clientDom, hostDom domain.Name, hostAddr string) {
 	defer conn.Close()
-	r.hold(from, in)()
-	out, err := net.Dial("tcp", to)
+	p.waitConnected(clientDom, hostDom)()
+	out, err := net.Dial("tcp", hostAddr)
 	if err != nil {
 		return
 	}
 	defer out.Close()
 	done := make(chan struct{}, 2)
-	pass := func(dst, src net.Conn) {
-		r.pass(dst, src, from, in)
+	copyAndSignal := func(dst, src net.Conn) {
+		p.copyBytes(dst, src, clientDom, hostDom)
 		done <- struct{}{}
 	}
-	go pass(out, conn)
-	go pass(conn, out)
+	go copyAndSignal(out, conn)
+	go copyAndSignal(conn, out)
 	<-done
 }
 
-// pass copies until either side ends, and holds bytes back while the two
-// domains are parted.
-func (r *relays) pass(dst, src net.Conn, from, in domain.Name) {
+// copyBytes copies data until either side closes its connection, and holds it
+// back while the two domains are cut off from each other.
+func (p *partition) copyBytes(dst, src net.Conn, clientDom, hostDom domain.Name) {
 	buffer := make([]byte, 32<<10)
 	for {
 		n, err := src.Read(buffer)
-		release := r.hold(from, in)
+		release := p.waitConnected(clientDom, hostDom)
 		if n > 0 {
 			if _, failed := dst.Write(buffer[:n]); failed != nil {
 				err = failed
@@ -206,32 +213,32 @@
 	}
 }
 
-// hold waits for as long as two domains are parted. The function that it
-// returns says that what was held back has been passed on.
-func (r *relays) hold(from, in domain.Name) (release func()) {
-	r.mu.Lock()
-	parted := r.island != "" && (from == r.island || in == r.island)
-	healed := r.healed
-	if parted {
-		r.holding.Add(1)
-	}
-	r.mu.Unlock()
-	if !parted {
+// waitConnected waits while the two domains are cut off from each other. The
+// caller calls release when it has delivered the data that it held back.
+func (p *partition) waitConnected(clientDom, hostDom domain.Name) (release func()) {
+	p.mu.Lock()
+	disconnected := p.isolated != "" && (clientDom == p.isolated || hostDom == p.isolated)
+	reconnected := p.reconnected
+	if disconnected {
+		p.blocked.Add(1)
+	}
+	p.mu.Unlock()
+	if !disconnected {
 		return func() {}
 	}
-	<-healed
-	return r.holding.Done
+	<-reconnected
+	return p.blocked.Done
 }
 
-// close ends all relays.
-func (r *relays) close() {
-	r.mu.Lock()
-	defer r.mu.Unlock()
-	for _, l := range r.listeners {
+// close closes all listeners and releases the data that is held back.
+func (p *partition) close() {
+	p.mu.Lock()
+	defer p.mu.Unlock()
+	for _, l := range p.listeners {
 		_ = l.Close()
 	}
-	if r.island != "" {
-		r.island = ""
-		close(r.healed)
+	if p.isolated != "" {
+		p.isolated = ""
+		close(p.reconnected)
 	}
 }
--- a/sess/procs/scratch.go
+++ b/sess/procs/scratch.go
@@ -8,37 +8,40 @@
 	"syscall"
 )
 
-// ProgramsIn returns where a program's file is in a directory, for World.Path.
+// ProgramsIn returns a function for Cluster.Path that looks for programs in a
+// directory.
 func ProgramsIn(bin string) func(program string) (string, error) {
 	return func(program string) (string, error) {
 		return filepath.Abs(filepath.Join(bin, program))
 	}
 }
 
-// RunScratch runs a function in a world of its own, with the programs of a
-// directory, and ends the world's processes: also when this process is told
-// to end, since nobody else would. The logs are kept if something failed.
-func RunScratch(bin string, run func(w *Cluster) error) (err error) {
+// RunScratch runs a function with a cluster of its own, whose programs are in
+// the given directory, and then kills the processes of the cluster. It also
+// does so when this process receives a termination signal, since the processes
+// would otherwise keep running. The logs are kept if the function or the
+// cleanup fails.
+func RunScratch(bin string, run func(c *Cluster) error) (err error) {
 	dir, err := os.MkdirTemp("", "fuchsiashelf-")
 	if err != nil {
 		return err
 	}
-	w := &Cluster{Dir: dir, Path: ProgramsIn(bin)}
-	told := make(chan os.Signal, 1)
-	signal.Notify(told, syscall.SIGTERM, syscall.SIGINT)
+	c := &Cluster{Dir: dir, Path: ProgramsIn(bin)}
+	signals := make(chan os.Signal, 1)
+	signal.Notify(signals, syscall.SIGTERM, syscall.SIGINT)
 	go func() {
-		if <-told != nil {
-			_ = w.Stop()
+		if <-signals != nil {
+			_ = c.Stop()
 			os.Exit(1)
 		}
 	}()
 	defer func() {
-		signal.Stop(told)
-		close(told)
-		err = errors.Join(err, w.Stop())
+		signal.Stop(signals)
+		close(signals)
+		err = errors.Join(err, c.Stop())
 		if err == nil {
 			err = os.RemoveAll(dir)
 		}
 	}()
-	return run(w)
+	return run(c)
 }
--- a/sess/secure_test.go
+++ b/sess/secure_test.go
@@ -1,9 +1,9 @@
 package sess
 
-// secureCommands are the commands about certificates.
+// secureCommands are the commands for certificates.
 var secureCommands = map[string]scriptFunc{
-	// secure: programs started from now on have certificates of a new
-	// authority. insecure: they have none.
+	// secure: gives programs that are started from now on certificates of a new
+	// authority. insecure: starts programs without certificates.
 	"secure": command("secure", func(s *session, _ []string) (string, error) { return "", s.EnableTLS() }),
 	"insecure": command("insecure", func(s *session, _ []string) (string, error) {
 		s.DisableTLS()
--- a/sess/session_test.go
+++ b/sess/session_test.go
@@ -1,5 +1,5 @@
-// Package sess holds the golden sessions: scripts that start the real
-// programs as processes, drive them, and compare the whole session.
+// Package sess contains golden sessions: scripts that start the real programs as
+// processes, drive them, and compare the output of the whole session.
 package sess
 
 import (
@@ -23,8 +23,8 @@
 var update = flag.Bool("update", false, "rewrite the golden sessions")
 
 func TestMain(m *testing.M) {
-	// A program with the race detector sleeps a second before it exits; the
-	// sessions run many short ones.
+	// By default, a program with the race detector sleeps for a second before it
+	// exits, which adds up over the many short runs of fsdesk.
 	_ = os.Setenv("GORACE", "atexit_sleep_ms=0")
 	testscript.Main(m, map[string]func(){
 		"fsentry": program(entry.Main),
@@ -34,11 +34,12 @@
 	})
 }
 
-// program makes a command of the test binary out of a program.
+// program turns a program into a command of the test binary.
 func program(main boot.Main) func() {
 	return func() { boot.Run(main) }
 }
 
+// TestSession runs the golden sessions in testdata; -update rewrites them.
 func TestSession(t *testing.T) {
 	testscript.Run(t, testscript.Params{
 		Dir:           "testdata",
@@ -47,13 +48,13 @@
 		Setup: func(env *testscript.Env) error {
 			s := newSession(env)
 			env.Values[sessionKey] = s
-			env.Defer(func() { s.end(env) })
+			env.Defer(func() { s.finish(env) })
 			return nil
 		},
 	})
 }
 
-// allCommands joins the commands of all areas.
+// allCommands returns the script commands of all areas.
 func allCommands() map[string]func(ts *testscript.TestScript, neg bool, args []string) {
 	all := maps.Clone(commands)
 	maps.Copy(all, loadCommands)
@@ -63,8 +64,7 @@
 	return all
 }
 
-// newSession returns a session whose processes are commands of the test
-// binary.
+// newSession returns a session whose programs are commands of the test binary.
 func newSession(env *testscript.Env) *session {
 	path := env.Getenv("PATH")
 	return &session{Cluster: &procs.Cluster{
--- a/sess/settings_test.go
+++ b/sess/settings_test.go
@@ -17,14 +17,14 @@
 	stand "fuchsiashelf.dev/stand/prog"
 )
 
-// settingsPage is written from the programs' own help.
+// settingsPage is generated from the help texts of the programs.
 const settingsPage = "../docs/SETTINGS.md"
 
-// helps are the programs that the page describes.
-var helps = []struct {
+// helpPrograms are the programs that the page describes.
+var helpPrograms = []struct {
 	program string
 	run     boot.Main
-	// roles are subcommands; empty for none.
+	// roles are the subcommands; a program without any has one empty role.
 	roles []string
 }{
 	{"fsentry", entry.Main, []string{""}},
@@ -33,13 +33,13 @@
 	{"fsstand", stand.Main, []string{"store", "engine", "plain"}},
 }
 
-// TestSettingsPage compares docs/SETTINGS.md with the flags that the programs
-// have; -update rewrites it.
+// TestSettingsPage compares docs/SETTINGS.md with the flags of the programs;
+// -update rewrites it.
 func TestSettingsPage(t *testing.T) {
 	c := quicktest.New(t)
 	var page strings.Builder
-	page.WriteString(settingsHead)
-	for _, h := range helps {
+	page.WriteString(settingsHeader)
+	for _, h := range helpPrograms {
 		for _, role := range h.roles {
 			title := strings.TrimSpace(h.program + " " + role)
 			help := help(h.run, role)
@@ -56,7 +56,7 @@
 	c.Assert(string(got), quicktest.Equals, page.String())
 }
 
-const settingsHead = `# Settings
+const settingsHeader = `# Settings
 
 Every setting is a flag, and an environment variable named after the program
 and the flag: ` + "`-max-body`" + ` of fsentry is ` + "`FSENTRY_MAX_BODY`" + `. A flag goes before
@@ -68,7 +68,7 @@
 This page is written by ` + "`cd sess && go test -run TestSettingsPage . -update`" + `.
 `
 
-// help returns what a program prints for -h.
+// help returns the output of a program for -h.
 func help(run boot.Main, role string) string {
 	args := []string{"-h"}
 	if role != "" {
@@ -79,9 +79,9 @@
 	return strings.TrimLeft(out.String()+errs.String(), "\n")
 }
 
-// TestVersions asks every program for its version.
+// TestVersions checks that every program prints its version.
 func TestVersions(t *testing.T) {
-	for _, h := range helps {
+	for _, h := range helpPrograms {
 		var out, errs bytes.Buffer
 		status := h.run(context.Background(), []string{"version"}, strings.NewReader(""), &out, &errs)
 		quicktest.Assert(t, status, quicktest.Equals, 0)
