--- a/entry/gossip/codec.go
+++ b/entry/gossip/codec.go
@@ -14,12 +14,12 @@
 
 // Sizes in bytes.
 const (
-	// minDeflateSize is the smallest message size that is compressed: a configuration
-	// with thousands of routes, sent to a dozen entry hosts at once, would occupy a
-	// slow link for longer than the timeout of an exchange.
+	// minDeflateSize is the size from which messages are compressed. An uncompressed
+	// configuration with thousands of routes, sent to a dozen entry hosts at once,
+	// would occupy a slow link for longer than the timeout of an exchange.
 	minDeflateSize = 2 << 10
-	// maxMessageSize limits a decompressed message, so that a small one cannot
-	// exhaust the memory.
+	// maxMessageSize limits a decompressed message, so that a small compressed one
+	// cannot exhaust memory.
 	maxMessageSize = 32 << 20
 )
 
@@ -31,10 +31,10 @@
 
 var (
 	errEmpty    = errors.New("gossip: empty message")
-	errTooLarge = errors.New("gossip: message too large")
+	errTooLarge = errors.New("gossip: decompressed message too large")
 )
 
-// deflaters reuses writers because of their large tables.
+// deflaters pools compressors, because each allocates large tables.
 var deflaters = sync.Pool{New: func() any {
 	w, err := flate.NewWriter(io.Discard, flate.BestSpeed)
 	if err != nil {
--- a/entry/gossip/codec_test.go
+++ b/entry/gossip/codec_test.go
@@ -21,7 +21,7 @@
 	return &Message{Changes: []mirror.Batch{{Kind: "config", Cursor: 7, Items: []mirror.Object{{Name: "main", Revision: 7, Spec: []byte(spec.String())}}}}}
 }
 
-// Guards against a large configuration that saturates the links of entry hosts when
+// Guards against a large configuration that overloads the links of entry hosts when
 // all of them fetch it at once.
 func TestLargeMessagesAreCompressed(t *testing.T) {
 	for _, routes := range []int{0, 10, 2000} {
@@ -36,8 +36,8 @@
 	}
 }
 
-// Guards against malformed messages and against small ones that exhaust the memory
-// when decompressed.
+// Guards against accepting malformed messages, and small ones that exhaust memory when
+// decompressed.
 func TestInvalidMessagesAreRejected(t *testing.T) {
 	var bomb bytes.Buffer
 	bomb.WriteByte(formatDeflate)
@@ -49,7 +49,7 @@
 	}
 	qt.Assert(t, w.Close(), qt.IsNil)
 	for name, b := range map[string][]byte{
-		"empty": nil, "unknown form": {9, 1}, "no cbor": {formatPlain, 0xff}, "no deflate": {formatDeflate, 1, 2, 3}, "bomb": bomb.Bytes(),
+		"empty": nil, "unknown format": {9, 1}, "no cbor": {formatPlain, 0xff}, "no deflate": {formatDeflate, 1, 2, 3}, "bomb": bomb.Bytes(),
 	} {
 		qt.Check(t, codec{}.Unmarshal(b, &Message{}), qt.IsNotNil, qt.Commentf(name))
 	}
--- a/entry/gossip/drpc.go
+++ b/entry/gossip/drpc.go
@@ -12,7 +12,7 @@
 	"storj.io/drpc/drpcserver"
 )
 
-// exchangeCall is the name of the only RPC.
+// exchangeCall is the name of the only RPC, which sends a Message and returns one.
 const exchangeCall = "/fuchsiashelf.Gossip/Exchange"
 
 // HandleRPC implements drpc.Handler.
@@ -37,7 +37,7 @@
 // client is a connection to another entry host. It makes one exchange at a time.
 type client struct {
 	address string
-	// failing says that the last call failed.
+	// failing says that the last call failed, which is logged only once.
 	failing bool
 
 	mu   sync.Mutex
@@ -56,14 +56,15 @@
 	return true
 }
 
-// release frees the client.
+// release ends the reservation made by acquire.
 func (c *client) release() {
 	c.mu.Lock()
 	defer c.mu.Unlock()
 	c.busy = false
 }
 
-// call makes an exchange. It dials if there is no connection.
+// call sends a message and receives the response. It connects first if there is no
+// connection.
 func (c *client) call(ctx context.Context, sent, received *Message) error {
 	if c.conn == nil {
 		var d net.Dialer
@@ -75,8 +76,7 @@
 	}
 	err := c.conn.Invoke(ctx, exchangeCall, codec{}, sent, received)
 	if err != nil {
-		// The connection may never deliver anything again; the next call dials a new
-		// one.
+		// The connection may be unusable. The next call opens a new one.
 		err = errors.Join(err, c.conn.Close())
 		c.conn = nil
 	}
--- a/entry/gossip/gossip.go
+++ b/entry/gossip/gossip.go
@@ -1,10 +1,11 @@
 // Package gossip exchanges state between entry hosts: objects of the object API that
-// other hosts lack, suspected and slow servers, assignments, the load that each host
-// puts on the servers, and the list of entry hosts.
+// other hosts lack, suspected, slow and saturated servers, assignments, the load that
+// each host puts on the servers, requests that may be poisoned, and the list of entry
+// hosts.
 //
-// Each entry host exchanges with a few others several times a second, and at once
-// when something changes. There is no consensus: every fact carries a revision or an
-// age by which the newer one wins.
+// Each entry host exchanges messages with a few others several times a second, and at
+// once when something changes. There is no consensus protocol: every fact carries a
+// revision or an age, and the newer fact wins.
 package gossip
 
 import (
@@ -24,40 +25,42 @@
 
 // Timeouts, intervals and fan-out.
 const (
-	// An entry host exchanges with one host of its own failure domain every
-	// localInterval, and with one of another domain every remoteInterval: traffic
-	// between domains is expensive.
+	// An entry host exchanges messages with one host of the local domain every
+	// localInterval, and with one of another failure domain every remoteInterval:
+	// traffic between failure domains is expensive.
 	localInterval  = 400 * time.Millisecond
 	remoteInterval = 1200 * time.Millisecond
-	// A broadcast goes to broadcastLocal hosts of the own failure domain and to
-	// broadcastRemote of others.
+	// A broadcast goes to broadcastLocal hosts of the local domain and to
+	// broadcastRemote hosts of other failure domains.
 	broadcastLocal  = 12
 	broadcastRemote = 2
 	// minBroadcastInterval is the minimum time between two broadcasts. After a start
-	// thousands of servers get their assignments, one by one.
+	// thousands of servers get their assignments one by one, and each assignment
+	// asks for a broadcast.
 	minBroadcastInterval = 50 * time.Millisecond
-	// startupLocal and startupRemote are the number of hosts per round while this
-	// host is not settled.
+	// startupLocal and startupRemote are the numbers of hosts per round until this
+	// host is settled.
 	startupLocal  = 2
 	startupRemote = 1
 	// minSeedChance is the minimum probability that a round includes a seed during
 	// settleTime.
 	minSeedChance = 0.5
-	// pullDelay delays a pull of changes from another entry host: most arrive from
-	// the object API in the meantime.
+	// pullDelay is the delay before changes are pulled from another entry host: in
+	// the meantime most of them arrive from the object API.
 	pullDelay = 150 * time.Millisecond
 	// exchangeTimeout limits one exchange.
 	exchangeTimeout = 500 * time.Millisecond
 	// aliveFor is how long an entry host counts as alive after its last message.
 	aliveFor = 2 * time.Second
-	// removeAfter is when an entry host without messages is removed.
+	// removeAfter is how long after its last message an entry host is removed.
 	removeAfter = 15 * time.Second
 )
 
-// Peer is this entry host's part in the gossip. Set the exported fields before Run.
+// Peer exchanges the state of this entry host with others. Set the exported fields
+// before Run.
 type Peer struct {
 	Self Member
-	// Seeds are the addresses of the first exchanges; they may be out of date.
+	// Seeds are addresses of entry hosts to contact first; they may be out of date.
 	Seeds   []string
 	Mirrors []*mirror.Mirror
 	Load    *router.LoadTracker
@@ -87,8 +90,8 @@
 	// Random returns a number in [0, n); nil means math/rand.
 	Random func(n int) int
 
-	// messages counts the messages sent.
-	messages atomic.Uint64
+	// lastSeq is the Seq of the last message.
+	lastSeq atomic.Uint64
 
 	mu sync.Mutex
 	// started is when this entry host began to listen. settled says that a settled
@@ -99,9 +102,9 @@
 	clients map[string]*client
 	// pulls holds the kinds whose changes are being pulled.
 	pulls map[string]bool
-	// lastRemote is when this entry host last exchanged with another failure domain.
+	// lastRemote is when Run last chose a host of another failure domain.
 	lastRemote time.Time
-	// broadcast wakes Run to broadcast.
+	// broadcast tells Run to start a broadcast.
 	broadcast chan struct{}
 	once      sync.Once
 }
@@ -151,9 +154,9 @@
 	}
 }
 
-// fanout returns the numbers of entry hosts of the own failure domain and of others
-// for the next round. A new host exchanges with more, so that all know each other
-// before one of them may become leader.
+// fanout returns how many entry hosts of the local domain and of other failure domains
+// take part in the next round. A host that is not settled contacts more, so that all
+// hosts know each other before one of them may become leader.
 func (p *Peer) fanout(now time.Time) (local, remote int) {
 	if !p.Settled() {
 		return startupLocal, startupRemote
@@ -165,7 +168,7 @@
 	return 1, 1
 }
 
-// round starts exchanges with entry hosts of the own failure domain and of others.
+// round starts exchanges with hosts of the local domain and of other failure domains.
 func (p *Peer) round(ctx context.Context, local, remote int) {
 	for _, address := range p.partners(local, remote) {
 		p.startExchange(ctx, address)
@@ -173,6 +176,7 @@
 }
 
 // startExchange starts an exchange unless one with the same address is in progress.
+// During a pull the response contains no changes, so that none are sent twice.
 func (p *Peer) startExchange(ctx context.Context, address string) {
 	c := p.client(address)
 	if !c.acquire() {
@@ -184,9 +188,10 @@
 	}()
 }
 
-// partners picks entry hosts for a round, and sometimes a seed: groups that started
-// from different seeds would otherwise stay partitioned, each with a leader of its
-// own.
+// partners returns the addresses of random entry hosts for a round, and sometimes that
+// of a seed: without it, groups that started from different seeds would stay
+// partitioned, each with its own leader. It also removes hosts that have sent no
+// message for removeAfter.
 func (p *Peer) partners(local, remote int) []string {
 	p.mu.Lock()
 	defer p.mu.Unlock()
@@ -203,8 +208,8 @@
 		}
 	}
 	if len(localHosts) == 0 {
-		// A host that is alone in its failure domain exchanges with remote hosts as
-		// often.
+		// A host that is alone in its failure domain contacts remote hosts as often
+		// as others contact local ones.
 		remote = max(remote, local)
 	}
 	list := append(p.pick(localHosts, local), p.pick(remoteHosts, remote)...)
@@ -218,12 +223,13 @@
 	return list
 }
 
-// seedChanceScale is the resolution of the random choice of a seed.
+// seedChanceScale is the range of the random number that decides, compared with the
+// seed chance, whether a round includes a seed.
 const seedChanceScale = 1 << 16
 
-// seedChance returns the probability that a round includes a seed. Once settled, all
-// entry hosts together contact the seeds as often as one host contacts others,
-// regardless of their number.
+// seedChance returns the probability that a round includes a seed, given the number of
+// known entry hosts. After settleTime, a seed is contacted about once per round by all
+// entry hosts together, regardless of their number.
 func (p *Peer) seedChance(known int, now time.Time) float64 {
 	chance := float64(len(p.Seeds)) / float64(max(known, 1))
 	if now.Sub(p.started) < settleTime {
@@ -232,14 +238,14 @@
 	return chance
 }
 
-// pick returns at most n random addresses.
+// pick returns at most n of the addresses, chosen at random. It reorders the addresses.
 func (p *Peer) pick(addresses []string, n int) []string {
 	slices.Sort(addresses)
 	p.shuffle(len(addresses), func(i, j int) { addresses[i], addresses[j] = addresses[j], addresses[i] })
 	return addresses[:min(n, len(addresses))]
 }
 
-// shuffle is rand.Shuffle with the numbers of p.random.
+// shuffle works like rand.Shuffle, but takes its numbers from p.random.
 func (p *Peer) shuffle(n int, swap func(i, j int)) {
 	for i := n - 1; i > 0; i-- {
 		swap(i, p.random(i+1))
@@ -266,8 +272,8 @@
 	return c
 }
 
-// exchange sends the local state to one entry host and merges the response, which
-// contains no changes if brief is set.
+// exchange sends the local state, without changes, to one entry host and merges the
+// response, which contains no changes either if brief is set.
 func (p *Peer) exchange(ctx context.Context, c *client, brief bool) {
 	ctx, cancel := context.WithTimeout(ctx, exchangeTimeout)
 	defer cancel()
@@ -288,7 +294,7 @@
 // self returns the current state of this entry host for the next message.
 func (p *Peer) self() Member {
 	self := p.Self
-	self.Seq = p.messages.Add(1)
+	self.Seq = p.lastSeq.Add(1)
 	self.Store = p.StoreUp()
 	self.Leaving = p.Leaving()
 	self.Settled = p.Settled()
--- a/entry/gossip/gossip_test.go
+++ b/entry/gossip/gossip_test.go
@@ -29,9 +29,9 @@
 	}
 }
 
-// Guards against several leaders at once and against members that are never known:
-// with hundreds of entry hosts a message lists only some members, yet each host must
-// soon know the first of each failure domain, and finally nearly all.
+// Guards against several leaders at once, and against hosts that the others never
+// learn of: with hundreds of entry hosts a message lists only some members, yet each
+// host must soon know the first of each failure domain, and later nearly all.
 func TestFirstMembersAreKnownSoon(t *testing.T) {
 	random := rand.New(rand.NewPCG(1, 1))
 	const n = 200
@@ -69,7 +69,7 @@
 }
 
 // Guards against changes that do not reach a host which the object API does not
-// answer, also if that host has no state yet.
+// answer, including a host that has no state yet.
 func TestChangesArePropagated(t *testing.T) {
 	a, b := &mirror.Mirror{Kind: "config"}, &mirror.Mirror{Kind: "config"}
 	a.Replace([]mirror.Object{{Name: "main", Revision: 7, Spec: []byte("x")}}, 9)
@@ -85,8 +85,8 @@
 	qt.Assert(t, b.Cursor(), qt.Equals, uint64(12))
 }
 
-// Guards against entry hosts that each learn which servers are slow only from their
-// own late responses.
+// Guards against each entry host detecting slow servers only from its own late
+// responses.
 func TestSlowServersArePropagated(t *testing.T) {
 	one, other := newPeer(1), newPeer(2)
 	slow := gossip.SlowServer{ID: "s", Times: 12, Left: time.Second}
--- a/entry/gossip/leader.go
+++ b/entry/gossip/leader.go
@@ -2,13 +2,13 @@
 
 import "time"
 
-// settleTime is how long a new entry host listens before it takes hosts without
-// messages for absent. A live host may send none for that long.
+// settleTime is how long a new entry host listens before it treats hosts that it does
+// not know as absent. A live host can go unheard for that long.
 const settleTime = aliveFor
 
-// Settled reports whether this entry host has listened long enough to know which
-// members are absent. Until then it takes no exclusive role: after a power failure
-// all hosts would take it at once.
+// Settled reports whether this entry host has listened long enough to know which hosts
+// are absent, or has a list of members from a settled one. Until then it takes no
+// exclusive role: after a power failure all hosts would take it at once.
 func (p *Peer) Settled() bool {
 	p.init()
 	p.mu.Lock()
@@ -16,8 +16,9 @@
 	return p.settled || time.Since(p.started) >= settleTime
 }
 
-// IsLeader reports whether this entry host places layers. The leader is the first by
-// name of the hosts that the object API answers, or of all hosts if it answers none.
+// IsLeader reports whether this entry host is the leader, which places layers on
+// servers. The leader is the first by name of the hosts that the object API answers,
+// or of all hosts if it answers none.
 func (p *Peer) IsLeader() bool {
 	if p.Leaving() || !p.Settled() {
 		return false
@@ -34,14 +35,14 @@
 	return true
 }
 
-// maxWatcherAge is the age of the last message from which a host is no longer relied
-// on as a watcher of the object API.
+// maxWatcherAge is the age of its last message from which a host no longer counts as
+// a watcher of the object API.
 const maxWatcherAge = 1200 * time.Millisecond
 
 // WatcherRank returns how many entry hosts of the failure domain precede this one in
 // the order in which they watch the object API. Hosts that the object API does not
 // answer count only while it does not answer this one either: then the first hosts
-// retry for all, and the others put no load on it.
+// retry on behalf of all, and the others put no load on it.
 func (p *Peer) WatcherRank() int {
 	storeUp := p.StoreUp()
 	rank := 0
--- a/entry/gossip/leader_test.go
+++ b/entry/gossip/leader_test.go
@@ -63,7 +63,7 @@
 	return c
 }
 
-// leaders returns the hosts that consider themselves leader.
+// leaders returns the names of the hosts that consider themselves the leader.
 func (c cluster) leaders() []string {
 	var list []string
 	for name, p := range c {
@@ -74,7 +74,7 @@
 	return list
 }
 
-// Guards against several leaders placing layers at once after all entry hosts were
+// Guards against several leaders that place layers at once after all entry hosts were
 // restarted together.
 func TestOneLeaderAfterFullRestart(t *testing.T) {
 	for seed := range uint64(3) {
@@ -117,13 +117,13 @@
 // others, or waits longer than necessary.
 func TestNewHostIsSettledByMember(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
-		old, other, fresh := newPeer(1), newPeer(2), newPeer(0)
-		old.init()
+		settled, unsettled, fresh := newPeer(1), newPeer(2), newPeer(0)
+		settled.init()
 		time.Sleep(settleTime)
-		qt.Assert(t, old.IsLeader(), qt.IsTrue)
-		fresh.Merge(other.message(nil))
+		qt.Assert(t, settled.IsLeader(), qt.IsTrue)
+		fresh.Merge(unsettled.message(nil))
 		qt.Assert(t, fresh.IsLeader(), qt.IsFalse)
-		fresh.Merge(old.message(nil))
+		fresh.Merge(settled.message(nil))
 		qt.Assert(t, fresh.IsLeader(), qt.IsTrue)
 	})
 }
@@ -163,20 +163,19 @@
 	qt.Check(t, watchers(), qt.DeepEquals, []int{0, 1})
 }
 
-// Guards against an entry host that counts as unreachable for the object API because
-// an older message, forwarded by a third host, was in transit for longer than its own
-// newer one.
+// Guards against treating an entry host as cut off from the object API because of its
+// older state, which arrives by way of a third host after a newer message of its own.
 func TestNewerStateWins(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		up := false
 		first, third, p := newPeer(1), newPeer(2), newPeer(3)
 		first.StoreUp = func() bool { return up }
 		third.Merge(first.message(nil))
-		old := third.message(nil)
+		older := third.message(nil)
 		up = true
 		p.Merge(first.message(nil))
 		time.Sleep(time.Second)
-		p.Merge(old)
+		p.Merge(older)
 		for _, m := range p.Members() {
 			if m.Name == first.Self.Name {
 				qt.Check(t, m.Store, qt.IsTrue)
--- a/entry/gossip/member.go
+++ b/entry/gossip/member.go
@@ -13,10 +13,10 @@
 	Name    string
 	Address string
 	Domain  domain.Name
-	// Boot orders the runs of an entry host with the same name.
+	// Boot orders the incarnations of an entry host.
 	Boot int64
-	// Seq numbers the messages of one run. Of two states of a member the later one
-	// wins, regardless of their transit times.
+	// Seq numbers the messages of one incarnation. Of two states of a member the one
+	// with the higher Seq wins, regardless of the order in which they arrive.
 	Seq uint64
 	// Age is the time since the member's last message to any entry host.
 	Age time.Duration
@@ -24,11 +24,12 @@
 	Store bool
 	// Leaving says that the member is about to stop.
 	Leaving bool
-	// Settled says that the member has listened long enough to know who is absent.
+	// Settled says that the member has listened long enough to know which hosts are
+	// absent.
 	Settled bool
 }
 
-// memberState is a member and when it sent its last message.
+// memberState holds a member's last known state and when the member sent it.
 type memberState struct {
 	Member
 	lastHeard time.Time
@@ -61,9 +62,9 @@
 	return list
 }
 
-// To limit its size, a message lists only some members: the first by name of each
-// failure domain, from which the leader and the watchers are chosen, and a random
-// sample of the others.
+// To limit its size, a message lists only some members: the first samplePerDomain by
+// name of each failure domain, from which the leader and the watchers of the object
+// API are chosen, and sampleOthers of the others, chosen at random.
 const (
 	samplePerDomain = 4
 	sampleOthers    = 8
@@ -72,11 +73,11 @@
 // sample returns the members to list in a message.
 func (p *Peer) sample() []Member {
 	var list, rest []Member
-	first := map[domain.Name]int{}
+	listed := map[domain.Name]int{}
 	for _, m := range p.Members() {
 		alive := m.Age <= aliveFor && !m.Leaving
-		if alive && first[m.Domain] < samplePerDomain {
-			first[m.Domain]++
+		if alive && listed[m.Domain] < samplePerDomain {
+			listed[m.Domain]++
 			list = append(list, m)
 			continue
 		}
@@ -86,20 +87,21 @@
 	return append(list, rest[:min(sampleOthers, len(rest))]...)
 }
 
-// Alive returns the other entry hosts that have sent a message lately and are not
-// leaving.
+// Alive returns the other entry hosts that have sent a message within aliveFor and are
+// not leaving.
 func (p *Peer) Alive() []Member {
 	return slices.DeleteFunc(p.Members(), func(m Member) bool { return m.Age > aliveFor || m.Leaving })
 }
 
-// mergeMembers merges the sender and the members of a message.
+// mergeMembers merges the states of the sender and of the members that a message lists.
 func (p *Peer) mergeMembers(m *Message) {
 	p.mu.Lock()
 	defer p.mu.Unlock()
 	now := time.Now()
 	sender := m.From
 	sender.Age = 0
-	// The sender's message lists the first hosts of each failure domain.
+	// A settled sender knows which hosts are absent, and its message lists the first
+	// hosts of each failure domain, from which the leader is chosen.
 	p.settled = p.settled || sender.Settled
 	p.mergeMember(sender, now)
 	for _, other := range m.Members {
@@ -107,7 +109,7 @@
 	}
 }
 
-// mergeMember replaces the known state of a member by a newer one. The mutex is held.
+// mergeMember replaces the known state of a member if m is newer. The mutex is held.
 func (p *Peer) mergeMember(m Member, now time.Time) {
 	if m.Name == p.Self.Name || m.Age > removeAfter {
 		return
@@ -129,7 +131,7 @@
 	known.lastHeard = lastHeard
 }
 
-// precedes reports whether one state of a member is older than another.
+// precedes reports whether m was sent before other, a state of the same member.
 func precedes(m, other Member) bool {
 	return m.Boot < other.Boot || m.Boot == other.Boot && m.Seq < other.Seq
 }
--- a/entry/gossip/message.go
+++ b/entry/gossip/message.go
@@ -9,17 +9,17 @@
 	"fuchsiashelf.dev/parts/router"
 )
 
-// Suspect is a suspected server.
+// Suspect is a server that is suspected to have failed, and avoided for a while.
 type Suspect struct {
 	ID string
-	// Left is the remaining time of the suspicion.
+	// Left is the time until the suspicion expires.
 	Left time.Duration
 }
 
-// SlowServer is a server whose work takes longer than usual.
+// SlowServer is a server that takes longer than usual for its work.
 type SlowServer struct {
 	ID string
-	// Times is how many times longer than usual the work takes.
+	// Times is the factor by which its work takes longer than usual.
 	Times float64
 	// Left is the time until the report expires.
 	Left time.Duration
@@ -31,34 +31,40 @@
 	First, End int
 	// Left is the time until the assignment expires.
 	Left time.Duration
-	// Done says that the server has reported it carried out.
+	// Done says that the server has reported that it carried out the assignment.
 	Done bool
 }
 
 // Message is the state that one entry host sends to another. The names of its fields,
 // and of those of the structs in it, are part of the encoding.
 type Message struct {
-	From    Member
+	From Member
+	// Cursors holds the revision of each of the sender's mirrors, by kind.
 	Cursors map[string]uint64
+	// Members holds a sample of the other entry hosts that the sender knows.
 	Members []Member
-	Load    map[string]router.Usage
+	// Load is the load that the sender puts on each server, by server.
+	Load map[string]router.Usage
 	// Waits is how long requests wait for their first event, by server.
 	Waits map[string]time.Duration
-	// Full is how much longer servers that refused requests count as saturated.
+	// Full is how much longer a server that refused requests counts as saturated, by
+	// server.
 	Full     map[string]time.Duration
 	Suspects []Suspect
 	Slows    []SlowServer
 	Orders   []Assignment
-	Marks    []poison.Suspect
-	Changes  []mirror.Batch
-	// Whole holds the kinds whose batch is a complete list.
+	// Marks holds the requests that are suspected of crashing servers.
+	Marks []poison.Suspect
+	// Changes holds the changes that the receiver lacks, one batch per kind.
+	Changes []mirror.Batch
+	// Whole holds the kinds whose batch is a complete list of objects.
 	Whole map[string]bool
 	// Brief asks for a response without changes.
 	Brief bool
 }
 
-// message returns the local state with the changes after the given cursors of another
-// entry host. Nil cursors mean no changes.
+// message returns the local state, with the changes that another entry host with the
+// given cursors lacks. Nil cursors mean that no changes are included.
 func (p *Peer) message(cursors map[string]uint64) *Message {
 	m := &Message{
 		From: p.self(), Cursors: map[string]uint64{}, Members: p.sample(),
@@ -100,9 +106,9 @@
 	return p.message(m.Cursors)
 }
 
-// pull fetches missing changes of a kind from one entry host at a time: dozens
-// announce the same change, and fetching a large one from all of them at once would
-// exceed the timeout of an exchange.
+// pull fetches missing changes of a kind from another entry host unless another pull of
+// the kind is in progress: dozens of hosts announce the same change, and fetching a
+// large one from all of them at once would exceed the timeout of an exchange.
 func (p *Peer) pull(address string, local *mirror.Mirror, cursor uint64) {
 	if !p.beginPull(local.Kind) {
 		return
@@ -121,8 +127,7 @@
 	})
 }
 
-// beginPull reports whether the caller may pull changes of a kind: no other pull of
-// the kind is in progress.
+// beginPull reserves the pull of a kind and reports whether it was free.
 func (p *Peer) beginPull(kind string) bool {
 	p.mu.Lock()
 	defer p.mu.Unlock()
@@ -133,7 +138,7 @@
 	return true
 }
 
-// endPull ends a pull.
+// endPull ends the reservation made by beginPull.
 func (p *Peer) endPull(kind string) {
 	p.mu.Lock()
 	defer p.mu.Unlock()
--- a/entry/gossip/pull_test.go
+++ b/entry/gossip/pull_test.go
@@ -8,8 +8,8 @@
 	"fuchsiashelf.dev/parts/mirror"
 )
 
-// Guards against pulling a large configuration from several entry hosts at once over
-// a link that can carry it only once within the timeout of an exchange.
+// Guards against pulling a large configuration from several entry hosts at once: a slow
+// link can transfer it only once within the timeout of an exchange.
 func TestOnePullPerKind(t *testing.T) {
 	p := newPeer(1)
 	p.Mirrors = []*mirror.Mirror{{Kind: "config"}, {Kind: "servers"}}
@@ -26,7 +26,8 @@
 	qt.Check(t, p.beginPull("config"), qt.IsTrue)
 }
 
-// Guards against regular exchanges that carry the same changes as a pull in progress.
+// Guards against regular exchanges that transfer the changes of a pull in progress a
+// second time.
 func TestBriefResponsesHaveNoChanges(t *testing.T) {
 	p := newPeer(1)
 	config := &mirror.Mirror{Kind: "config"}
