--- a/entry/source/source.go
+++ b/entry/source/source.go
@@ -2,9 +2,9 @@
 // them up to date.
 //
 // One watch per kind waits for changes. A periodic stale read, which costs a tenth of
-// a call, detects a watch that has stopped delivering although its connection is
-// open. When the read fails, the object API counts as unavailable. When it succeeds
-// again, or shows a change that the watch missed, the watch is restarted.
+// other calls, detects a watch that no longer delivers changes although its connection
+// is open. When the read fails, the object API counts as unavailable. When it succeeds
+// again, or shows a change that the watch missed, all watches are restarted.
 package source
 
 import (
@@ -40,25 +40,25 @@
 	// listTimeout limits a list: megabytes, for hundreds of entry hosts that start
 	// together, over one link.
 	listTimeout = 20 * time.Second
-	// fillCheckInterval is how often a pending list is checked for being superseded
-	// by the state of other entry hosts.
+	// fillCheckInterval is how often a watcher that waits for its first list checks
+	// whether other entry hosts have sent the objects in the meantime.
 	fillCheckInterval = 50 * time.Millisecond
 	// readTimeout limits a stale read.
 	readTimeout = 500 * time.Millisecond
-	// readInterval is the interval of the stale reads, and limits how long it goes
-	// unnoticed that the object API does not answer.
+	// readInterval is the interval of the stale reads, and limits how late an outage
+	// of the object API is noticed.
 	readInterval = time.Second
-	// passiveReadInterval is the interval of a passive entry host: only hosts that
-	// watch need to know at once that the object API does not answer.
+	// passiveReadInterval is the interval of the stale reads of a passive entry host:
+	// only hosts that watch need to notice an outage at once.
 	passiveReadInterval = 4 * time.Second
-	// After a watch that returned changes comes a pause of watchPauseShare of
-	// WatchTimeout, so that a burst of changes costs one call. A backup adds up to
-	// backupJitterShare at random: it usually receives the next change from the
-	// primary.
+	// watchPauseShare is the pause after a watch that returned changes, as a fraction
+	// of WatchTimeout, so that a burst of changes costs one call. A backup adds a
+	// random time up to the fraction backupJitterShare: meanwhile it usually receives
+	// the next change from the primary.
 	watchPauseShare   = 0.15
 	backupJitterShare = 0.5
 	// backupTimeoutFactor multiplies the watch timeout of a backup. Changes still
-	// arrive at once; only a watch that has stopped delivering is detected later.
+	// arrive at once; only a change that the watch misses is noticed later.
 	backupTimeoutFactor = 3
 	// roleCheckInterval is how often a passive entry host checks its role.
 	roleCheckInterval = 200 * time.Millisecond
@@ -67,16 +67,17 @@
 	maxBackoff = time.Second
 )
 
-// Role is the part of an entry host in watching objects for its failure domain.
+// Role is the role of an entry host among those of its failure domain that keep
+// mirrors up to date.
 type Role uint8
 
-// The roles.
+// Roles of an entry host.
 const (
-	// Primary watches and distributes the changes.
+	// Primary watches and passes the changes on to other entry hosts.
 	Primary Role = iota
 	// Backup watches with longer timeouts and pauses.
 	Backup
-	// Passive relies on the changes that others distribute and does not watch.
+	// Passive does not watch, and gets the changes from other entry hosts.
 	Passive
 )
 
@@ -88,9 +89,9 @@
 	Log    *slog.Logger
 	// OnChange is called after the mirror changed.
 	OnChange func()
-	// WatchTimeout is how long a watch waits for changes. A watch may miss a change
-	// that is made while the object API drops its history, so this limits how late
-	// the change is noticed.
+	// WatchTimeout is how long a watch waits for changes. A pending watch may miss a
+	// change that is made while the object API compacts its history, and only the
+	// next watch finds it. So this limits how late such a change is noticed.
 	WatchTimeout time.Duration
 	// Role returns the role of this entry host in its failure domain; nil means
 	// Primary.
@@ -134,7 +135,7 @@
 	}
 }
 
-// poll lists the objects if relist is set, and watches for changes otherwise.
+// poll lists the objects if relist is set. Otherwise it makes one Watch call.
 func (w *Watcher) poll(ctx context.Context, relist bool) error {
 	if relist {
 		return w.list(ctx)
@@ -149,6 +150,7 @@
 	batch, err := w.Store.Watch(ctx, w.Mirror.Kind, after, timeout)
 	if err != nil {
 		if ctx.Err() == context.Canceled {
+			// Restart cancelled the watch, or Run is stopping.
 			return nil
 		}
 		return err
@@ -195,6 +197,7 @@
 	}
 	items, cursor, err := w.Store.List(ctx, w.Mirror.Kind)
 	if err != nil && w.Mirror.Cursor() > 0 && ctx.Err() == context.Canceled {
+		// cancelWhenFilled cancelled the list.
 		return nil
 	}
 	if err != nil {
@@ -208,7 +211,7 @@
 	return nil
 }
 
-// cancelWhenFilled cancels a list once other entry hosts have sent the objects.
+// cancelWhenFilled cancels the first list once other entry hosts have sent the objects.
 func (w *Watcher) cancelWhenFilled(ctx context.Context, cancel context.CancelFunc) {
 	for ctx.Err() == nil {
 		if w.Mirror.Cursor() > 0 {
@@ -239,7 +242,8 @@
 	lastAnswer time.Time
 }
 
-// Alive reports whether the last read was answered, and when the last answer came.
+// Alive reports whether the object API answered the last read, and when it last
+// answered one.
 func (m *Monitor) Alive() (bool, time.Time) {
 	m.mu.Lock()
 	defer m.mu.Unlock()
@@ -249,25 +253,26 @@
 // Run checks the object API until the context ends.
 func (m *Monitor) Run(ctx context.Context) {
 	m.setAlive(true)
-	var last time.Time
+	var lastCheck time.Time
 	for ctx.Err() == nil {
 		sleep(ctx, readInterval)
-		if m.passive() && time.Since(last) < passiveReadInterval {
+		if m.passive() && time.Since(lastCheck) < passiveReadInterval {
 			continue
 		}
-		last = time.Now()
+		lastCheck = time.Now()
 		m.check(ctx)
 	}
 }
 
 // passive reports whether this entry host is passive and the object API answered the
-// last read. In an outage every entry host checks for its end.
+// last read. During an outage, passive hosts read as often as others, to notice its end.
 func (m *Monitor) passive() bool {
 	alive, _ := m.Alive()
 	return alive && m.Role != nil && m.Role() == Passive
 }
 
-// check reads the object and restarts the watches if necessary.
+// check reads the revision of the object, and restarts the watches if the object API
+// answers again or a watch has missed a change.
 func (m *Monitor) check(ctx context.Context) {
 	ctx, cancel := context.WithTimeout(ctx, readTimeout)
 	defer cancel()
@@ -292,7 +297,7 @@
 	}
 }
 
-// setAlive records whether a read was answered and returns the previous state.
+// setAlive records whether a read was answered and returns whether the previous one was.
 func (m *Monitor) setAlive(alive bool) (wasAlive bool) {
 	m.mu.Lock()
 	defer m.mu.Unlock()
--- a/entry/source/source_test.go
+++ b/entry/source/source_test.go
@@ -58,8 +58,8 @@
 	return w, changed
 }
 
-// Guards against never learning of changes that the object API has compacted: a watch
-// alone does not return them.
+// Guards against missing changes for good that the object API has compacted: only a
+// new list contains them.
 func TestCompactedHistoryIsRelisted(t *testing.T) {
 	revision := uint64(5)
 	s := &store{}
@@ -82,9 +82,9 @@
 	qt.Assert(t, w.Mirror.Cursor(), qt.Equals, uint64(15))
 }
 
-// Guards against a watch that stops delivering while its connection stays open:
-// without the stale read that shows a newer revision, it would go unnoticed for the
-// whole watch timeout.
+// Guards against a watch that no longer delivers changes while its connection stays
+// open: without the stale read, which shows a newer revision, this would go unnoticed
+// for the whole watch timeout.
 func TestStalledWatchIsRestarted(t *testing.T) {
 	s := &store{list: func() ([]mirror.Object, uint64, error) { return nil, 5, nil }, read: func() (uint64, error) { return 9, nil }}
 	watches := make(chan struct{}, 100)
@@ -98,37 +98,37 @@
 	}
 	w, changed := startWatcher(t, s)
 	<-changed
-	p := &source.Monitor{
+	m := &source.Monitor{
 		Store: s, Kind: "k", Name: "a", Mirror: w.Mirror, Watchers: []*source.Watcher{w}, Log: slog.New(slog.DiscardHandler), OnRecovery: func() {},
 	}
 	ctx, cancel := context.WithCancel(context.Background())
 	defer cancel()
-	go p.Run(ctx)
+	go m.Run(ctx)
 	<-changed
 	qt.Assert(t, w.Mirror.Cursor(), qt.Equals, uint64(9))
 }
 
-// Guards against taking entries that expired in an outage for removed ones: the
-// recovery of the object API must be reported.
+// Guards against treating entries that expired during an outage as removed: the owner
+// of the monitor must learn that the object API answers again.
 func TestRecoveryIsReported(t *testing.T) {
-	returned := make(chan struct{}, 1)
+	recovered := make(chan struct{}, 1)
 	calls := 0
 	s := &store{read: func() (uint64, error) {
 		calls++
 		if calls == 1 {
-			return 0, errors.New("away")
+			return 0, errors.New("unavailable")
 		}
 		return 0, nil
 	}}
-	p := &source.Monitor{
+	m := &source.Monitor{
 		Store: s, Mirror: &mirror.Mirror{}, Log: slog.New(slog.DiscardHandler),
-		OnRecovery: func() { returned <- struct{}{} },
+		OnRecovery: func() { recovered <- struct{}{} },
 	}
 	ctx, cancel := context.WithCancel(context.Background())
 	defer cancel()
-	go p.Run(ctx)
-	<-returned
-	alive, _ := p.Alive()
+	go m.Run(ctx)
+	<-recovered
+	alive, _ := m.Alive()
 	qt.Assert(t, alive, qt.IsTrue)
 }
 
@@ -140,8 +140,8 @@
 	return nil, 0, ctx.Err()
 }
 
-// Guards against an entry host that waits for its own list although others have sent
-// it all objects, when the object API does not answer this host at its start.
+// Guards against an entry host that the object API does not answer at its start, and
+// that waits for its own list although others have sent it all objects.
 func TestListEndsWhenMirrorIsFilled(t *testing.T) {
 	watched := make(chan uint64, 10)
 	s := &hangingLists{store{watch: func(ctx context.Context, after uint64) (mirror.Batch, error) {
@@ -154,9 +154,9 @@
 	qt.Assert(t, <-watched, qt.Equals, uint64(7))
 }
 
-// Guards against serving old keys and routes after a change that is made while the
-// object API drops its history: a pending watch misses it and stays open, so it must
-// end soon by itself.
+// Guards against serving with old keys and routes after a change that is made while
+// the object API compacts its history: a pending watch misses the change and stays
+// open, so that only its timeout ends it.
 func TestWatchTimeoutLimitsMissedChanges(t *testing.T) {
 	watched := make(chan uint64, 10)
 	s := &store{
@@ -184,18 +184,18 @@
 	<-done
 }
 
-// Guards against a number of calls to the object API, at rest and per change, that
-// grows with the number of entry hosts.
-func TestCallsWithoutChanges(t *testing.T) {
+// Guards against passive entry hosts that read as often as those that watch, so that
+// the load on the object API at rest grows with the number of entry hosts.
+func TestPassiveHostsReadRarely(t *testing.T) {
 	for _, role := range []source.Role{source.Primary, source.Passive} {
 		synctest.Test(t, func(t *testing.T) {
 			reads := 0
-			p := &source.Monitor{
+			m := &source.Monitor{
 				Store: &store{read: func() (uint64, error) { reads++; return 0, nil }}, Mirror: &mirror.Mirror{},
 				Log: slog.New(slog.DiscardHandler), OnRecovery: func() {}, Role: func() source.Role { return role },
 			}
 			ctx, cancel := context.WithCancel(t.Context())
-			go p.Run(ctx)
+			go m.Run(ctx)
 			time.Sleep(time.Minute)
 			cancel()
 			synctest.Wait()
@@ -208,8 +208,8 @@
 	}
 }
 
-// Guards against a backup that makes a call for each of several changes in a row,
-// although the primary sends them to it.
+// Guards against a backup that makes a call for each of many changes in a row, although
+// the primary sends them to it.
 func TestBackupMakesFewCalls(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		const watcherCount, changes, gap = 2, 40, 250 * time.Millisecond
@@ -248,7 +248,8 @@
 	})
 }
 
-// changingStore is a store with one object that the test changes.
+// changingStore is a store with one object, whose revision the test advances with
+// change.
 type changingStore struct {
 	mu       sync.Mutex
 	revision uint64
@@ -299,7 +300,7 @@
 	return 0, nil
 }
 
-// waitingStore is a store that records the timeouts of watches.
+// waitingStore is a store whose watches never return. It records their timeouts.
 type waitingStore struct {
 	store
 	waits chan time.Duration
@@ -311,8 +312,8 @@
 	return mirror.Batch{}, ctx.Err()
 }
 
-// Guards against frequent calls of backups that return no changes, and against a
-// primary that notices late that its watch has stopped delivering.
+// Guards against backups that make many calls which return no changes, and against a
+// primary that notices late what its watch has missed.
 func TestBackupWaitsLonger(t *testing.T) {
 	for role, want := range map[source.Role]time.Duration{source.Primary: time.Second, source.Backup: 3 * time.Second} {
 		s := &waitingStore{waits: make(chan time.Duration, 1)}
