--- a/entry/front/front.go
+++ b/entry/front/front.go
@@ -1,9 +1,9 @@
 // Package front serves callers over HTTP: it finds the route of a request, rejects
 // requests that may not be served, and passes the others to a forwarder.
 //
-// It runs on net/http rather than hertz: backend servers must stop working as soon as
-// the caller disconnects. Hertz notices that only on its own transport, which polls
-// descriptors in ways that small hosts do not allow.
+// It runs on net/http rather than hertz: backend servers must stop working on a request
+// as soon as its caller disconnects. Hertz notices a disconnect only on its own
+// transport, which polls descriptors in ways that small hosts do not allow.
 package front
 
 import (
@@ -32,40 +32,41 @@
 type Handler struct {
 	Codec call.Codec
 	State *state.Local
-	// Streams serves services with engines, Plain all others.
+	// Streams forwards requests to services with engines, Plain those to plain
+	// services.
 	Streams, Plain Forwarder
 	Log            *slog.Logger
 	Meter          *Meter
-	// Crashes counts the crashes of servers per request.
+	// Crashes counts the servers that crashed under each request and blocks poisoned
+	// requests.
 	Crashes *poison.Counter
 	// CloseConns is set when the process is about to stop: connections are closed
 	// after their responses.
 	CloseConns atomic.Bool
-	// RefuseStreams is set when a new stream would not end before the process stops:
-	// it is refused, so that its caller goes to another entry host at once instead of
-	// being cut off in the middle of the response. RefuseAll does the same for all
-	// requests.
+	// RefuseStreams is set when new streams would not end before the process stops.
+	// They are refused, so that their callers go to another entry host at once instead
+	// of getting a truncated response. RefuseAll is the same for all requests.
 	RefuseStreams, RefuseAll atomic.Bool
-	// RetryAfter returns the retryAfter of such a refusal: when another entry host is
-	// likely to accept the caller.
+	// RetryAfter returns how long a caller refused in this way should wait before it
+	// retries: by then another entry host is likely to accept the request.
 	RetryAfter func() time.Duration
 
-	active atomic.Int64
+	inFlight atomic.Int64
 }
 
 // maxRequestTime limits requests for which neither the caller nor the route sets a
 // timeout.
 const maxRequestTime = 10 * time.Minute
 
-// Active returns the number of requests in progress.
+// Active returns the number of requests in flight.
 func (h *Handler) Active() int64 {
-	return h.active.Load()
+	return h.inFlight.Load()
 }
 
 // ServeHTTP implements http.Handler.
 func (h *Handler) ServeHTTP(w http.ResponseWriter, r *http.Request) {
-	h.active.Add(1)
-	defer h.active.Add(-1)
+	h.inFlight.Add(1)
+	defer h.inFlight.Add(-1)
 	if h.CloseConns.Load() {
 		w.Header().Set("Connection", "close")
 	}
@@ -87,13 +88,14 @@
 	}
 	h.record(j, r, out, start)
 	if out.Truncated {
-		// The connection is closed, so that the caller notices the truncated
-		// response.
+		// This closes the connection, so that the caller notices that the response
+		// is truncated.
 		panic(http.ErrAbortHandler)
 	}
 }
 
-// newJob reads a request and finds its route, team and service.
+// newJob reads a request and finds its route, team and service. If it fails after it
+// has found the service, it returns the job with the error, for the log and metrics.
 func (h *Handler) newJob(w http.ResponseWriter, r *http.Request, start time.Time) (*call.Job, error) {
 	if h.RefuseAll.Load() {
 		return nil, h.draining()
@@ -139,13 +141,13 @@
 	return j, nil
 }
 
-// draining returns the refusal of a request that could not end before this process
-// stops.
+// draining returns the error for a request that would not end before the process stops.
 func (h *Handler) draining() *fault.Error {
 	return &fault.Error{Code: fault.Draining, Verdict: fault.NotRun, Message: "this entry host ends", RetryAfter: h.RetryAfter()}
 }
 
-// requestTimeout returns the timeout of a request.
+// requestTimeout returns the timeout of a request: the shortest of maxRequestTime, the
+// caller's timeout and the route's.
 func requestTimeout(req *call.Request, r *route.Route) time.Duration {
 	timeout := maxRequestTime
 	if req.Timeout > 0 {
@@ -157,8 +159,8 @@
 	return timeout
 }
 
-// readBody reads a request body. A caller may send it slowly, but not beyond the
-// deadline of the request.
+// readBody reads a request body. It fails if the body exceeds the limit or has not been
+// received by the deadline.
 func readBody(w http.ResponseWriter, r *http.Request, limits route.Limits, deadline time.Time) ([]byte, error) {
 	if r.ContentLength == 0 {
 		return nil, nil
@@ -185,8 +187,9 @@
 	return data, nil
 }
 
-// record counts a request and logs its outcome. Ordinary successes have a message of
-// their own, so that the limit on log lines per message never suppresses a failure.
+// record counts a request and logs its outcome. Requests that succeeded at once and in
+// time have a message of their own: log lines are limited per message, and successes
+// must not suppress failures.
 func (h *Handler) record(j *call.Job, r *http.Request, out call.Outcome, start time.Time) {
 	took := time.Since(start)
 	h.Meter.record(j, out, took)
@@ -213,12 +216,15 @@
 
 // Values of the log attribute "late".
 const (
-	onTime    = "no"
+	// onTime means that the response met the targets of its route.
+	onTime = "no"
+	// lateFirst means that the first byte came later than the route's Target.
 	lateFirst = "first"
-	lateGap   = "pause"
+	// lateGap means that a gap was longer than the route's MaxGap.
+	lateGap = "pause"
 )
 
-// lateness returns which objective of its route a response missed.
+// lateness returns which target of its route a response missed.
 func lateness(j *call.Job, out call.Outcome) string {
 	switch {
 	case j == nil:
@@ -231,7 +237,8 @@
 	return onTime
 }
 
-// exceeds reports whether a duration exceeds its target; zero means no target.
+// exceeds reports whether a duration is longer than its target. Zero means that there
+// is no target.
 func exceeds(took, target time.Duration) bool {
 	return target > 0 && took > target
 }
--- a/entry/front/meter.go
+++ b/entry/front/meter.go
@@ -16,7 +16,7 @@
 	Registry metrics.Registry
 }
 
-// sampleSize is the number of durations kept per histogram.
+// sampleSize is the number of durations that a histogram keeps, chosen at random.
 const sampleSize = 512
 
 // record counts a request and records its durations.
@@ -46,12 +46,12 @@
 	metrics.GetOrRegisterGauge(name, m.Registry).Update(value)
 }
 
-// observe adds a duration to a histogram.
+// observe adds a duration, in milliseconds, to a histogram.
 func (m *Meter) observe(name string, d time.Duration) {
-	h := m.Registry.GetOrRegister(name, func() metrics.Histogram {
+	item := m.Registry.GetOrRegister(name, func() metrics.Histogram {
 		return metrics.NewHistogram(metrics.NewUniformSample(sampleSize))
 	})
-	if histogram, ok := h.(metrics.Histogram); ok {
+	if histogram, ok := item.(metrics.Histogram); ok {
 		histogram.Update(d.Milliseconds())
 	}
 }
@@ -69,7 +69,7 @@
 	return fmt.Sprintf("status-%d", out.Status)
 }
 
-// Write writes all metrics as text, one per line.
+// Write writes all metrics as text, one per line. Durations are in milliseconds.
 func (m *Meter) Write(w io.Writer) {
 	m.Registry.Each(func(name string, item any) {
 		switch item := item.(type) {
@@ -78,8 +78,8 @@
 		case metrics.Gauge:
 			fmt.Fprintf(w, "%s %d\n", name, item.Value())
 		case metrics.Histogram:
-			p := item.Percentiles([]float64{0.5, 0.95, 0.99})
-			fmt.Fprintf(w, "%s count %d p50 %.0f p95 %.0f p99 %.0f ms\n", name, item.Count(), p[0], p[1], p[2])
+			percentiles := item.Percentiles([]float64{0.5, 0.95, 0.99})
+			fmt.Fprintf(w, "%s count %d p50 %.0f p95 %.0f p99 %.0f ms\n", name, item.Count(), percentiles[0], percentiles[1], percentiles[2])
 		}
 	})
 }
--- a/entry/front/server.go
+++ b/entry/front/server.go
@@ -13,27 +13,30 @@
 	"fuchsiashelf.dev/parts/route"
 )
 
-// idleGrace is how much longer than configured an idle connection is kept, so that a
-// caller that reuses it in time does not find it closed.
+// idleGrace is how much longer than its limit an idle connection is kept, so that a
+// caller that reuses it just within the limit does not find it closed.
 const idleGrace = 2 * time.Second
 
 // defaultLimits apply until the first configuration is known.
 var defaultLimits = route.Limits{HeaderBytes: 16 << 10, HeaderTime: 3 * time.Second, Idle: 15 * time.Second}
 
-// Server accepts callers' connections. The limits can change while it runs: each
-// change of a header limit starts a new http.Server for new connections. Open
-// connections keep their header limits, but the new idle timeout applies to them too.
+// Server accepts callers' connections. The limits can change while it runs: each change
+// of a header limit starts another http.Server for new connections. Open connections
+// keep their header limits, but a new idle timeout applies to them too.
 type Server struct {
 	Listener net.Listener
 	Handler  http.Handler
 	Log      *slog.Logger
 
-	mu       sync.Mutex
-	limits   route.Limits
+	mu     sync.Mutex
+	limits route.Limits
+	// servers holds all HTTP servers; the last one serves new connections, which it
+	// gets through accepted.
 	servers  []*http.Server
 	accepted *chanListener
-	idle     map[net.Conn]time.Time
-	stopped  bool
+	// idle holds the idle connections, and since when each has been idle.
+	idle    map[net.Conn]time.Time
+	stopped bool
 }
 
 // Run accepts connections until Stop is called.
@@ -56,11 +59,12 @@
 	}
 }
 
-// acceptBackoff is the pause after a failed accept, for example for lack of file
-// descriptors.
+// acceptBackoff is the pause after an accept that failed, for example because the
+// process has no file descriptor left.
 const acceptBackoff = 20 * time.Millisecond
 
-// SetLimits applies new limits.
+// SetLimits applies new limits. If a header limit changes, it starts another HTTP
+// server.
 func (s *Server) SetLimits(l route.Limits) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
@@ -84,13 +88,14 @@
 	}
 }
 
-// discard drops net/http's own log, which reports callers' broken connections: the
+// discard drops the log of net/http, which reports broken connections of callers: the
 // request log covers them.
 type discard struct{}
 
 func (discard) Write(b []byte) (int, error) { return len(b), nil }
 
-// trackIdle records since when a connection has been idle.
+// trackIdle records when a connection becomes idle, and removes the record when it is
+// no longer idle.
 func (s *Server) trackIdle(c net.Conn, state http.ConnState) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
@@ -104,7 +109,8 @@
 	delete(s.idle, c)
 }
 
-// Sweep closes connections that have been idle for longer than the limits allow.
+// Sweep closes connections that have been idle for longer than the limit, plus
+// idleGrace.
 func (s *Server) Sweep(now time.Time) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
@@ -118,7 +124,7 @@
 	}
 }
 
-// Stop closes the listener and waits for requests in progress until the context ends.
+// Stop closes the listener and waits for requests in flight until the context ends.
 func (s *Server) Stop(ctx context.Context) {
 	s.mu.Lock()
 	s.stopped = true
@@ -139,10 +145,12 @@
 	conns   chan net.Conn
 	address net.Addr
 	once    sync.Once
-	closed  chan struct{}
-	mu      sync.Mutex
+	// closed is closed by Close; done creates it on first use.
+	closed chan struct{}
+	mu     sync.Mutex
 }
 
+// done returns a channel that is closed by Close.
 func (l *chanListener) done() chan struct{} {
 	l.mu.Lock()
 	defer l.mu.Unlock()
