--- a/entry/conns/conns.go
+++ b/entry/conns/conns.go
@@ -1,9 +1,9 @@
 // Package conns keeps a pool of connections to backend servers.
 //
-// It builds on net/http's reading and writing of messages but not on its client,
-// which resends some requests when a reused connection turns out to be closed, so
-// that an at-most-once request could run twice. Here a request is written once, and
-// an error says whether any of it was written.
+// It uses net/http to read and write messages, but not its client, which resends some
+// requests when a reused connection turns out to be closed, so that an at-most-once
+// request could run twice. Here a request is written once, and an error says whether
+// any of it may have been written.
 //
 // A backend server may send a second, late response where the next one is expected on
 // the same connection. A response to another request is skipped, and a connection
@@ -27,8 +27,8 @@
 
 // Timeouts and limits.
 const (
-	// dialTimeout limits the time to connect, which usually takes a millisecond. A
-	// lost SYN is retransmitted after a second; by then another server can respond.
+	// dialTimeout limits the time to connect, which is usually a millisecond. The
+	// kernel retransmits a lost SYN after a second; another server can respond sooner.
 	dialTimeout = 600 * time.Millisecond
 	// userTimeout is how long sent bytes may stay unacknowledged before the kernel
 	// closes the connection. A network partition sends no reset.
@@ -36,11 +36,12 @@
 	// defaultIdleTimeout is the idle timeout of a backend server that does not
 	// announce one.
 	defaultIdleTimeout = 4 * time.Second
-	// idleTimeoutShare is the part of the server's idle timeout for which a
-	// connection is reused, so that a request is not sent while the server closes it.
+	// idleTimeoutShare is the fraction of the server's idle timeout during which an
+	// idle connection may be reused, so that no request is sent while the server
+	// closes the connection.
 	idleTimeoutShare = 0.7
-	// maxResponses limits the responses that are read for one request: interim
-	// responses and those to other requests are skipped.
+	// maxResponses limits the responses that are read for one request, including
+	// interim (1xx) responses and those to other requests, which are skipped.
 	maxResponses = 3
 )
 
@@ -50,16 +51,17 @@
 	idle map[string][]*conn
 }
 
-// conn is a connection to a backend server. expires and idleSince are set when it
-// becomes idle.
+// conn is a connection to a backend server.
 type conn struct {
 	net.Conn
-	br        *bufio.Reader
+	br *bufio.Reader
+	// idleSince is when the connection last became idle, and expires until when it
+	// may be reused.
 	expires   time.Time
 	idleSince time.Time
 }
 
-// ResponseInfo is what the caller of a Pool reads from a response header.
+// ResponseInfo is what Options.Inspect reads from a response header.
 type ResponseInfo struct {
 	// OtherRequest says that the response belongs to another request.
 	OtherRequest bool
@@ -76,16 +78,19 @@
 	address string
 	conn    *conn
 	info    ResponseInfo
-	stop    func() bool
-	eof     bool
-	once    sync.Once
+	// stop detaches the connection from the request's context. It returns false if
+	// the context has ended, which closes the connection.
+	stop func() bool
+	// eof says that the body was read to its end.
+	eof  bool
+	once sync.Once
 }
 
 // Options holds the options of one request.
 type Options struct {
-	// MaxIdle limits how long a reused connection has been idle; zero means no limit.
-	// If the server has closed a reused connection, it is unknown whether the request
-	// ran.
+	// MaxIdle limits how long a reused connection may have been idle; zero means no
+	// limit. If the server closes a reused connection while the request is sent, it is
+	// unknown whether the request ran.
 	MaxIdle time.Duration
 	// NewConn forces a new connection.
 	NewConn bool
@@ -95,8 +100,8 @@
 	Inspect func(*http.Response) ResponseInfo
 }
 
-// Do writes a request and reads the header of the response. The end of the context
-// also ends the response by closing its connection. An error is a *fault.Error, whose
+// Do writes a request and reads the header of the response. When the context ends, the
+// connection is closed, even while the body is read. An error is a *fault.Error, whose
 // verdict is NotRun if nothing was written.
 func (p *Pool) Do(ctx context.Context, address string, req *http.Request, o Options) (*Response, error) {
 	c, err := p.get(ctx, address, o)
@@ -119,7 +124,8 @@
 
 // exchange writes a request and reads up to the header of its response.
 func (p *Pool) exchange(c *conn, req *http.Request, o Options) (*Response, error) {
-	// Header and body are written at once, to be sent in one packet if they fit.
+	// Header and body are written at once, so that they are sent in one packet if they
+	// fit.
 	bw := bufio.NewWriterSize(c.Conn, 2048+int(min(req.ContentLength, 32<<10)))
 	if err := req.Write(bw); err != nil {
 		return nil, err
@@ -149,7 +155,7 @@
 	return nil, errors.New("only answers to other requests")
 }
 
-// Read reads the body. It notes the end, after which the connection may be reused.
+// Read reads the body. The connection may be reused only if the body is read to its end.
 func (r *Response) Read(b []byte) (int, error) {
 	n, err := r.Body.Read(b)
 	if err == io.EOF {
@@ -172,13 +178,12 @@
 	})
 }
 
-// Reset closes the connection. It may be called while another goroutine is reading
-// from it.
+// Reset closes the connection. It may be called while another goroutine reads the body.
 func (r *Response) Reset() {
 	r.conn.Close()
 }
 
-// get returns a reusable idle connection or dials a new one.
+// get returns an idle connection or opens a new one.
 func (p *Pool) get(ctx context.Context, address string, o Options) (*conn, error) {
 	now := time.Now()
 	for !o.NewConn {
@@ -186,8 +191,8 @@
 		if c == nil {
 			break
 		}
-		stale := now.After(c.expires) || o.MaxIdle > 0 && now.Sub(c.idleSince) > o.MaxIdle
-		if !stale && reusable(c.Conn) {
+		expired := now.After(c.expires) || o.MaxIdle > 0 && now.Sub(c.idleSince) > o.MaxIdle
+		if !expired && reusable(c.Conn) {
 			return c, nil
 		}
 		c.Close()
@@ -208,13 +213,13 @@
 	return c
 }
 
-// put adds an idle connection.
-func (p *Pool) put(address string, c *conn, idle time.Duration) {
-	if idle <= 0 {
-		idle = defaultIdleTimeout
+// put adds an idle connection. An idleTimeout of zero means defaultIdleTimeout.
+func (p *Pool) put(address string, c *conn, idleTimeout time.Duration) {
+	if idleTimeout <= 0 {
+		idleTimeout = defaultIdleTimeout
 	}
 	c.idleSince = time.Now()
-	c.expires = c.idleSince.Add(time.Duration(float64(idle) * idleTimeoutShare))
+	c.expires = c.idleSince.Add(time.Duration(float64(idleTimeout) * idleTimeoutShare))
 	p.mu.Lock()
 	defer p.mu.Unlock()
 	if p.idle == nil {
@@ -224,7 +229,7 @@
 }
 
 // CloseIdle closes the idle connections to an address, for example because the server
-// there does not respond.
+// there is unreachable.
 func (p *Pool) CloseIdle(address string) {
 	p.mu.Lock()
 	list := p.idle[address]
@@ -235,7 +240,7 @@
 	}
 }
 
-// CloseExpired closes the connections that have been idle for too long.
+// CloseExpired closes the connections that have been idle for too long to be reused.
 func (p *Pool) CloseExpired(now time.Time) {
 	var expired []*conn
 	p.mu.Lock()
@@ -273,7 +278,7 @@
 const tcpUserTimeout = 0x12
 
 // SetUserTimeout makes the kernel close a connection whose sent bytes stay
-// unacknowledged for userTimeout. It is meant for [net.Dialer.Control].
+// unacknowledged for userTimeout. It is a [net.Dialer.Control] function.
 func SetUserTimeout(_, _ string, raw syscall.RawConn) error {
 	var optErr error
 	err := raw.Control(func(fd uintptr) {
@@ -292,12 +297,12 @@
 	if err != nil {
 		return false
 	}
-	clean := false
+	noData := false
 	err = raw.Read(func(fd uintptr) bool {
 		var b [1]byte
 		_, _, err := syscall.Recvfrom(int(fd), b[:], syscall.MSG_PEEK|syscall.MSG_DONTWAIT)
-		clean = errors.Is(err, syscall.EAGAIN)
+		noData = errors.Is(err, syscall.EAGAIN)
 		return true
 	})
-	return err == nil && clean
+	return err == nil && noData
 }
--- a/entry/conns/conns_test.go
+++ b/entry/conns/conns_test.go
@@ -18,7 +18,8 @@
 	"fuchsiashelf.dev/parts/fault"
 )
 
-// listen accepts connections and calls serve with the number of each.
+// listen accepts connections, calls serve with the number of each, which starts at 1,
+// and returns the address.
 func listen(t *testing.T, serve func(n int, c net.Conn, br *bufio.Reader)) string {
 	l, err := net.Listen("tcp", "127.0.0.1:0")
 	qt.Assert(t, err, qt.IsNil)
@@ -38,7 +39,7 @@
 	return l.Addr().String()
 }
 
-// newRequest returns a request with an ID.
+// newRequest returns a request with an Id header.
 func newRequest(address, id string) *http.Request {
 	return &http.Request{
 		Method: http.MethodGet, Host: address, Header: http.Header{"Id": {id}}, ProtoMajor: 1, ProtoMinor: 1,
@@ -86,8 +87,8 @@
 	qt.Assert(t, opened.Load(), qt.Equals, int64(1))
 }
 
-// Guards against a second response to an older request that is taken for the response
-// to the next one: a caller would get another caller's data.
+// Guards against taking a second response to an earlier request for the response to the
+// next one: a caller would get another caller's data.
 func TestResponseToAnotherRequest(t *testing.T) {
 	address := listen(t, func(_ int, c net.Conn, br *bufio.Reader) {
 		for n := 0; ; n++ {
@@ -109,8 +110,8 @@
 	}
 }
 
-// Guards against reusing a connection on which the server sent bytes after a
-// response: they would precede the next one.
+// Guards against reusing a connection on which the server sent bytes after a response:
+// they would be read as the start of the next response.
 func TestBytesAfterResponse(t *testing.T) {
 	var opened atomic.Int64
 	address := listen(t, func(n int, c net.Conn, br *bufio.Reader) {
@@ -132,9 +133,9 @@
 	qt.Assert(t, opened.Load(), qt.Equals, int64(2))
 }
 
-// Guards against extra bytes that arrive after the next request was written to a
-// reused connection. It is unknown whether that request ran; its caller must not get
-// the bytes as a response, and the connection must not be reused.
+// Guards against taking extra bytes for a response if they arrive after the next request
+// was written to a reused connection. It is unknown whether that request ran, and the
+// connection must not be reused.
 func TestLateBytesAfterResponse(t *testing.T) {
 	address := listen(t, func(n int, c net.Conn, br *bufio.Reader) {
 		for i := 0; ; i++ {
@@ -159,17 +160,17 @@
 	qt.Assert(t, body, qt.Equals, "body of c")
 }
 
-// Guards against resending a request after the server read it and closed the
-// connection: a payment would run twice.
+// Guards against resending a request after the server has read it and closed the
+// connection: a payment, for example, would run twice.
 func TestRequestIsNotResent(t *testing.T) {
-	var got atomic.Int64
+	var received atomic.Int64
 	address := listen(t, func(n int, c net.Conn, br *bufio.Reader) {
 		for i := 0; ; i++ {
 			r, err := http.ReadRequest(br)
 			if err != nil {
 				return
 			}
-			got.Add(1)
+			received.Add(1)
 			if i > 0 || n > 1 {
 				return
 			}
@@ -181,10 +182,11 @@
 	qt.Assert(t, err, qt.IsNil)
 	_, err = do(t, &p, address, "b", conns.Options{})
 	qt.Assert(t, fault.As(err).Verdict, qt.Equals, fault.MayHaveRun)
-	qt.Assert(t, got.Load(), qt.Equals, int64(2))
+	qt.Assert(t, received.Load(), qt.Equals, int64(2))
 }
 
-// Guards against treating a request as possibly run when no connection was made.
+// Guards against the verdict MayHaveRun when no connection was made: the request may
+// safely be sent to another server.
 func TestConnectFailureMeansNotRun(t *testing.T) {
 	l, err := net.Listen("tcp", "127.0.0.1:0")
 	qt.Assert(t, err, qt.IsNil)
@@ -230,9 +232,9 @@
 	qt.Assert(t, err, qt.IsNotNil)
 }
 
-// Guards against a connection that stays open after the caller disconnected: the
+// Guards against a connection that stays open after the caller has disconnected: the
 // server would continue to work on the request.
-func TestCancelClosesTheConnection(t *testing.T) {
+func TestCancelClosesConnection(t *testing.T) {
 	closed := make(chan struct{})
 	read := make(chan struct{})
 	address := listen(t, func(_ int, _ net.Conn, br *bufio.Reader) {
--- a/entry/conns/dial_test.go
+++ b/entry/conns/dial_test.go
@@ -15,9 +15,9 @@
 	"fuchsiashelf.dev/parts/fault"
 )
 
-// unresponsiveAddress returns an address that neither accepts nor refuses
-// connections, like one behind a partition.
-func unresponsiveAddress(t *testing.T) string {
+// unreachableAddress returns an address that neither accepts nor refuses connections,
+// like that of a server behind a network partition: the listener's backlog is full.
+func unreachableAddress(t *testing.T) string {
 	fd, err := syscall.Socket(syscall.AF_INET, syscall.SOCK_STREAM, 0)
 	qt.Assert(t, err, qt.IsNil)
 	t.Cleanup(func() { qt.Check(t, syscall.Close(fd), qt.IsNil) })
@@ -32,10 +32,10 @@
 	return address
 }
 
-// Guards against a short call that spends most of its time on connecting to an
-// unresponsive server while another would respond.
+// Guards against a request that spends most of a short deadline on connecting to an
+// unreachable server, while another server would respond.
 func TestDialTimeout(t *testing.T) {
-	addr := unresponsiveAddress(t)
+	addr := unreachableAddress(t)
 	ctx, cancel := context.WithTimeout(t.Context(), 550*time.Millisecond)
 	defer cancel()
 	req, err := http.NewRequest(http.MethodGet, "http://"+addr+"/", nil)
