--- a/entry/unary/stats.go
+++ b/entry/unary/stats.go
@@ -10,27 +10,28 @@
 	"fuchsiashelf.dev/parts/health"
 )
 
-// Weights of the choice among servers.
+// Parameters of the choice of a server.
 const (
-	// smoothing is the weight of a new duration or outcome in the moving average:
-	// some ten requests show a change.
+	// smoothing is the weight of a new duration or outcome in the moving averages: a
+	// change shows after about ten requests.
 	smoothing = 0.1
 	// initialTime is the assumed duration at a server that has not responded yet.
 	initialTime = 50 * time.Millisecond
-	// failurePenalty is the cost of a failure, as time: the caller waits for a second
-	// response or gets none.
+	// failurePenalty is the cost of a failure, in time: the caller waits for a second
+	// attempt or gets no response. It is multiplied by the failure rate.
 	failurePenalty = 600 * time.Millisecond
-	// remotePenalty keeps requests in the local domain while its servers are about as
-	// fast as others.
+	// remotePenalty is added for servers of other failure domains. It keeps requests in
+	// the local domain while its servers are about as fast.
 	remotePenalty = 8 * time.Millisecond
-	// suspectPenalty ranks suspected servers last.
+	// suspectPenalty is added for suspected servers, so that they rank last.
 	suspectPenalty = 10 * time.Second
-	// maxJitter spreads requests over equally good servers.
+	// maxJitter limits a random addition that spreads requests over servers of about
+	// equal cost.
 	maxJitter = 10 * time.Millisecond
 )
 
-// Stats holds recent durations and failures of plain servers. The zero value is ready
-// to use.
+// Stats holds recent durations and failures of requests to the servers of plain
+// services. The zero value is ready to use.
 type Stats struct {
 	mu      sync.Mutex
 	servers map[string]*serverStats
@@ -70,28 +71,28 @@
 	}
 }
 
-// Pick returns the server that is expected to respond soonest, or nil if there is
-// none.
+// Pick returns the server that is expected to respond soonest, or nil if there is none.
+// It skips servers whose address is in avoid.
 func (s *Stats) Pick(servers []*fleet.Server, localDomain domain.Name, avoid map[string]bool) *fleet.Server {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	now := time.Now()
 	var best *fleet.Server
-	var lowest time.Duration
+	var lowestCost time.Duration
 	for _, server := range servers {
 		if server.Leaving || avoid[server.Address] {
 			continue
 		}
 		cost := s.cost(server, localDomain, now)
-		if best == nil || cost < lowest {
-			best, lowest = server, cost
+		if best == nil || cost < lowestCost {
+			best, lowestCost = server, cost
 		}
 	}
 	return best
 }
 
-// cost returns the expected time until a server responds, with penalties. The mutex
-// is held.
+// cost returns the expected time until a server responds, with penalties and a random
+// jitter. The mutex is held.
 func (s *Stats) cost(server *fleet.Server, localDomain domain.Name, now time.Time) time.Duration {
 	stats := s.get(server.ID)
 	failureRate := stats.failureRate.At(now)
--- a/entry/unary/unary.go
+++ b/entry/unary/unary.go
@@ -1,11 +1,11 @@
-// Package unary forwards requests to backend servers of plain services, each of which
-// returns a whole response by itself.
+// Package unary forwards requests to the backend servers of plain services, each of
+// which returns one whole response.
 //
-// A request that is not idempotent is sent to one server once; if it is unknown
-// whether it ran, the response says so. An idempotent request that fails or times out
-// is retried on another server while the retry budget allows it. A response is
-// buffered, up to maxBufferedBody, before any of it is forwarded, so that a truncated
-// one can be retried.
+// An idempotent request that fails or times out is retried on another server while the
+// retry budget allows it. A request that is not idempotent is retried only if it has
+// certainly not run; if it is unknown whether it ran, the response says so. A response
+// is buffered, up to maxBufferedBody, before any of it is forwarded, so that a
+// truncated one can be retried.
 package unary
 
 import (
@@ -28,22 +28,23 @@
 
 const (
 	// maxBufferedBody limits how much of a response body is buffered before the
-	// caller gets it. A larger response is streamed, or fails if the request is
-	// idempotent.
+	// caller gets it. The rest of a larger response is streamed, but if the request is
+	// idempotent, the attempt fails instead.
 	maxBufferedBody = 1 << 20
 	// maxIdleAtMostOnce is the maximum idle time of a connection that is reused for a
-	// request that is not idempotent: if the server closes the connection, it is
-	// unknown whether the request ran.
+	// request that is not idempotent: if the server closes the connection while the
+	// request is sent, it is unknown whether the request ran.
 	maxIdleAtMostOnce = time.Second
-	// refusalRetryAfter is the default retryAfter of a refused request: queues of a
-	// plain service empty within some tens of milliseconds.
+	// refusalRetryAfter is when the caller of a refused request should retry, unless
+	// the error says otherwise: queues of a plain service empty within some tens of
+	// milliseconds.
 	refusalRetryAfter = 200 * time.Millisecond
-	// attemptTimeoutShare is the timeout of an idempotent request at one server while
-	// another may be tried, as a fraction of the route's target. The rest is enough
-	// for a second response of average duration.
+	// attemptTimeoutShare is the timeout of an attempt of an idempotent request, as a
+	// fraction of the route's target, if another attempt may follow. The rest is
+	// enough for a second attempt of average duration.
 	attemptTimeoutShare = 0.6
 	// connectTimeoutShare is the connect timeout as a fraction of the route's target.
-	// Nothing has been sent by then, so any request may go to another server.
+	// Nothing has been sent before that, so any request may go to another server.
 	connectTimeoutShare = 0.4
 	// minConnectTimeout is the lowest connect timeout: a few round trips.
 	minConnectTimeout = 40 * time.Millisecond
@@ -56,20 +57,20 @@
 	State       *state.Local
 	Stats       *Stats
 	LocalDomain domain.Name
-	// Probe probes a server that failed during a request.
+	// Probe probes a server that did not respond to a request.
 	Probe func(j *call.Job, address, reason string)
 	// RetryBudget returns the retry budget of a service.
 	RetryBudget func(service string) *retry.WindowBudget
 }
 
-// attempt is the outcome of sending a request to one server.
+// attempt is the outcome of one attempt of a request.
 type attempt struct {
 	server string
 	reply  call.Reply
 	header http.Header
 	body   []byte
-	// rest is set if the response body is larger than maxBufferedBody; it reads the
-	// remainder.
+	// rest reads the remainder of a response body that is larger than maxBufferedBody.
+	// It is nil for other responses.
 	rest *conns.Response
 	err  *fault.Error
 }
@@ -81,11 +82,11 @@
 	budget.Record(time.Now())
 	ctx, cancel := context.WithDeadlineCause(ctx, j.Deadline, context.DeadlineExceeded)
 	defer cancel()
-	avoid := map[string]bool{}
+	tried := map[string]bool{}
 	verdict := fault.NotRun
-	// failure is the error response of a server that ran the request. The caller gets
-	// it if no other server does better: a refusal would say that the request had not
-	// run.
+	// failure is the last error response of a server. The caller gets it if no later
+	// attempt has a response: an error with the verdict NotRun would deny that the
+	// server ran the request.
 	var failure *attempt
 	fail := func(e *fault.Error) call.Outcome {
 		if failure != nil && !call.CallerGone(ctx) {
@@ -94,11 +95,11 @@
 		return f.writeError(ctx, w, out, verdict, e)
 	}
 	for {
-		server := f.Stats.Pick(f.State.View().Service(j.Service.Name), f.LocalDomain, avoid)
+		server := f.Stats.Pick(f.State.View().Service(j.Service.Name), f.LocalDomain, tried)
 		if server == nil {
 			return fail(&fault.Error{Code: fault.NoServer, Verdict: fault.NotRun, Message: "no backend server", RetryAfter: time.Second})
 		}
-		avoid[server.Address] = true
+		tried[server.Address] = true
 		out.Server = server.ID
 		mayRetry := out.Sends+1 < j.Route.Attempts
 		a := f.send(ctx, j, server, mayRetry)
@@ -121,13 +122,17 @@
 	}
 }
 
-// retryResponse reports whether a request is retried after an error response.
+// retryResponse reports whether a request is retried after a response, which requires
+// that the response is an error, that the request may run again, and that the retry
+// budget allows it.
 func (f *Forwarder) retryResponse(j *call.Job, a attempt, mayRetry bool, budget *retry.WindowBudget) bool {
 	failed := a.reply.Status >= http.StatusInternalServerError
 	return failed && mayRetry && a.rest == nil && j.Route.Repeatable() && budget.Withdraw(time.Now())
 }
 
-// retryError reports whether a request is retried after a failed attempt.
+// retryError reports whether a request is retried after an attempt without a response
+// for the caller. A request that was not sent is always retried; others only if they
+// have not run or may run again, and within the route's attempts and the retry budget.
 func (f *Forwarder) retryError(ctx context.Context, j *call.Job, a attempt, sends int, budget *retry.WindowBudget) bool {
 	if ctx.Err() != nil {
 		return false
@@ -145,8 +150,8 @@
 	return budget.Withdraw(time.Now())
 }
 
-// send makes one attempt and records its duration and outcome. A server that did not
-// respond is probed.
+// send makes one attempt and records its duration and outcome. If the server did not
+// respond, send closes the idle connections to it and starts a probe.
 func (f *Forwarder) send(ctx context.Context, j *call.Job, server *fleet.Server, mayRetry bool) attempt {
 	done := f.Stats.Begin(server.ID)
 	start := time.Now()
@@ -161,7 +166,7 @@
 	return a
 }
 
-// exchange sends a request to one server and reads the response.
+// exchange sends a request to one server and reads the response, up to maxBufferedBody.
 func (f *Forwarder) exchange(ctx context.Context, j *call.Job, server *fleet.Server, mayRetry bool) attempt {
 	attemptCtx, cancel := context.WithCancel(ctx)
 	if mayRetry && j.Route.Repeatable() && j.Route.Target > 0 {
@@ -219,8 +224,8 @@
 func (f *Forwarder) writeResponse(w http.ResponseWriter, out call.Outcome, j *call.Job, a attempt) call.Outcome {
 	out.Server = a.server
 	if call.StatusMeansNotRun(a.reply.Status) {
-		// The status would promise that the request did not run, which the server did
-		// not confirm.
+		// The status would tell the caller that the request did not run, which the
+		// server has not confirmed.
 		e := &fault.Error{Code: fault.ServerFailed, Verdict: fault.MayHaveRun, Message: "the backend server failed", Server: out.Server}
 		out.Error = e
 		out.Status = call.WriteError(w, f.Codec, e)
