--- a/entry/prog/admin.go
+++ b/entry/prog/admin.go
@@ -11,12 +11,12 @@
 	"fuchsiashelf.dev/parts/view"
 )
 
-// adminWorkers bounds the concurrent requests to other entry hosts on behalf of
+// adminWorkers limits the concurrent requests to other entry hosts on behalf of
 // operators.
 const adminWorkers = 128
 
 // newAdmin creates the components that receive the commands of operators and
-// put them in force.
+// apply them here and on the other entry hosts.
 func (d *daemon) newAdmin(publisher *view.Publisher, recorder *trace.Recorder, api store.API) (*watch.Watcher, *mesh.Mesh, *admin.Server, error) {
 	workers, err := ants.NewPool(adminWorkers)
 	if err != nil {
@@ -37,8 +37,8 @@
 	return watcher, peers, server, nil
 }
 
-// readyFunc returns a function that reports whether the balancer should send
-// callers here.
+// readyFunc returns a function that reports whether the load balancer may send
+// callers to this entry host.
 func (d *daemon) readyFunc(watcher *watch.Watcher) func() bool {
 	return func() bool { return !d.stopping.Load() && watcher.HasSynced() }
 }
--- a/entry/prog/admit.go
+++ b/entry/prog/admit.go
@@ -9,8 +9,8 @@
 )
 
 // newAdmission creates the admission control, which queues requests while their
-// pool is full, and connects it to the entry hosts that share the usage of each
-// team.
+// pool is full. It learns the usage of each team on the other entry hosts from the
+// mesh, and reports the usage on this one to it.
 func (d *daemon) newAdmission(publisher *view.Publisher, recorder *trace.Recorder, peers *mesh.Mesh) *edge.Admission {
 	s := &d.settings.Admit
 	a := &edge.Admission{
--- a/entry/prog/calls.go
+++ b/entry/prog/calls.go
@@ -14,10 +14,11 @@
 	"fuchsiashelf.dev/parts/view"
 )
 
-// newForwarder creates the components that forward calls to plain services.
+// newForwarder creates the components that forward calls to plain services, or to
+// the entry host that owns a call.
 func (d *daemon) newForwarder(publisher *view.Publisher, recorder *trace.Recorder, api store.API, peers *mesh.Mesh) *invoke.Forwarder {
 	owners := &owner.Client{View: publisher, Secret: d.settings.PeerSecret, Client: peers.Client}
-	p := &invoke.Forwarder{
+	forwarder := &invoke.Forwarder{
 		View: publisher, Trace: recorder, Log: d.log,
 		Claims: &claim.Writer{
 			Store: api, Log: d.log, Writes: d.settings.Claims.WriteRate, Done: make(chan struct{}),
@@ -29,7 +30,7 @@
 		Peers:      owners,
 		Done:       make(chan struct{}),
 	}
-	owners.Forwarder = p
+	owners.Forwarder = forwarder
 	peers.Calls = owners
-	return p
+	return forwarder
 }
--- a/entry/prog/guard.go
+++ b/entry/prog/guard.go
@@ -8,8 +8,8 @@
 	"fuchsiashelf.dev/parts/view"
 )
 
-// newGuard creates the component that blocks requests which crash backend
-// servers.
+// newGuard creates the component that blocks poisoned requests, which crash
+// backend servers.
 func (d *daemon) newGuard(publisher *view.Publisher, recorder *trace.Recorder, peers *mesh.Mesh) *crash.Guard {
 	guard := &crash.Guard{View: publisher, Mesh: peers, Engine: &engine.Client{}, Trace: recorder, Log: d.log}
 	peers.HandlePoison = guard.HandlePoison
--- a/entry/prog/mesh.go
+++ b/entry/prog/mesh.go
@@ -9,14 +9,14 @@
 	"fuchsiashelf.dev/parts/view"
 )
 
-// newMesh creates the connections to the other entry hosts.
+// newMesh creates the component that exchanges state with the other entry hosts.
 func (d *daemon) newMesh(publisher *view.Publisher, recorder *trace.Recorder, watcher *watch.Watcher) (*mesh.Mesh, error) {
-	config, err := d.settings.Certs.Client()
+	tlsConfig, err := d.settings.Certs.Client()
 	if err != nil {
 		return nil, err
 	}
 	m := &mesh.Mesh{
-		View: publisher, Trace: recorder, Log: d.log, Secret: d.settings.PeerSecret, TLS: config,
+		View: publisher, Trace: recorder, Log: d.log, Secret: d.settings.PeerSecret, TLS: tlsConfig,
 		Address: d.peers.Addr().String(), Domain: d.settings.LocalDomain(),
 		OnConfig: func(value []byte, _ uint64) { watcher.ApplyEncoded(value) },
 		Local:    mesh.LocalState{StoreSilence: watcher.Staleness, StoreSeen: watcher.EverConnected, Synced: watcher.HasSynced, Apply: watcher.ApplyEncoded},
--- a/entry/prog/modelpath.go
+++ b/entry/prog/modelpath.go
@@ -11,21 +11,22 @@
 	"fuchsiashelf.dev/parts/view"
 )
 
-// Sizes of the goroutine pools. Probes are short and come in bursts, when a
-// server with many streams freezes; polls are rate limited.
+// Sizes of the goroutine pools. Probes are short and come in bursts when a server
+// with many streams freezes; polls are limited in rate.
 const (
 	probeWorkers = 256
 	pollWorkers  = 32
 )
 
-// modelPath holds the components that forward model requests.
+// modelPath holds the components that forward model requests and poll the engines.
 type modelPath struct {
 	forwarder           *relay.Forwarder
 	poller              *poll.Poller
 	probePool, pollPool *ants.Pool
 }
 
-// newModelPath creates the components that forward model requests.
+// newModelPath creates the components that forward model requests and poll the
+// engines.
 func (d *daemon) newModelPath(publisher *view.Publisher, recorder *trace.Recorder) (*modelPath, error) {
 	policy, err := pick.ParsePolicy(d.settings.Policy)
 	if err != nil {
--- a/entry/prog/prog.go
+++ b/entry/prog/prog.go
@@ -47,44 +47,48 @@
 	return 0
 }
 
-// watchTimeout is the timeout of one watch of the object API. It bounds how
-// late an entry host notices a watch that was cut off silently, or a store that
-// went back to an older state. At 320 entry hosts with two watches each, it
+// watchTimeout is the timeout of one watch of the object API. It limits how late
+// an entry host notices a broken connection that was not closed, or an object API
+// that was reset to an older state. At 320 entry hosts with two watches each, it
 // causes 128 calls a second.
 const watchTimeout = 5 * time.Second
 
-// daemon is a running entry host.
+// daemon is a running fsentry process.
 type daemon struct {
 	settings *setup.Settings
 	stdout   io.Writer
 	log      *slog.Logger
+	// stopping is set when the process is told to stop. The entry host is not ready
+	// from then on.
 	stopping atomic.Bool
 
+	// The listeners, by who connects: callers, other entry hosts, operators, and
+	// clients of health checks and metrics.
 	callers, peers, desk, ops net.Listener
 }
 
-// listen opens the listeners.
+// listen opens the listeners, with TLS where it is configured.
 func (d *daemon) listen() error {
 	for _, l := range []struct {
 		flag, address string
-		into          *net.Listener
+		listener      *net.Listener
 	}{
 		{"callers", d.settings.Callers, &d.callers},
 		{"peers", d.settings.Peers, &d.peers},
 		{"desk", d.settings.Desk, &d.desk},
 		{"ops", d.settings.Ops, &d.ops},
 	} {
-		listener, err := net.Listen("tcp", l.address)
+		opened, err := net.Listen("tcp", l.address)
 		if err != nil {
 			return fmt.Errorf("-%s: %w", l.flag, err)
 		}
-		*l.into = listener
+		*l.listener = opened
 	}
 	return d.enableTLS()
 }
 
 // run runs the components. When the context ends, it stops accepting callers,
-// waits for active requests, and then stops the components.
+// waits for requests in flight (see serveCallers), and then stops the components.
 func (d *daemon) run(ctx context.Context) error {
 	if err := d.listen(); err != nil {
 		return err
@@ -138,8 +142,8 @@
 	return err
 }
 
-// serveCallers serves callers until the context ends, and then waits for active
-// requests, at most for the grace period.
+// serveCallers serves callers until the context ends. It then accepts requests for
+// the linger period and waits for those in flight, at most for the grace period.
 func (d *daemon) serveCallers(ctx context.Context, handler *edge.Handler) error {
 	server := &httpd.Server{
 		Listener: d.callers, MaxBody: d.settings.MaxBody, TooLarge: handler.RejectTooLarge,
@@ -155,7 +159,8 @@
 	return server.Run(ctx, d.settings.Grace)
 }
 
-// opsShutdownTimeout bounds how long a stop waits for active metrics requests.
+// opsShutdownTimeout limits how long a stop waits for health checks and metrics
+// requests in flight.
 const opsShutdownTimeout = 200 * time.Millisecond
 
 // serveOps serves health checks and metrics.
--- a/entry/prog/tls.go
+++ b/entry/prog/tls.go
@@ -7,17 +7,17 @@
 	"fuchsiashelf.dev/parts/certs"
 )
 
-// enableTLS wraps the listeners for peers and operators in TLS if certificates
-// are configured.
+// enableTLS wraps the listeners for other entry hosts and operators in TLS if
+// certificates are configured. Each accepts clients of one role only.
 func (d *daemon) enableTLS() error {
 	for _, l := range []struct {
-		from     certs.Role
-		listener *net.Listener
+		clientRole certs.Role
+		listener   *net.Listener
 	}{
 		{certs.Entry, &d.peers},
 		{certs.Desk, &d.desk},
 	} {
-		config, err := d.settings.Certs.Server(l.from)
+		config, err := d.settings.Certs.Server(l.clientRole)
 		if err != nil {
 			return err
 		}
