--- a/entry/internal/edge/admission.go
+++ b/entry/internal/edge/admission.go
@@ -51,7 +51,8 @@
 	if a == nil {
 		return admit.Grant{}, nil
 	}
-	// Counting the peers walks the host list, which only a rate limit needs.
+	// Only a rate limit needs the number of peers, and counting them walks the
+	// host list.
 	if req.team.Quota.Rate > 0 {
 		if e := a.rates.Allow(time.Now(), req.team.Name, req.team.Quota, a.peers(snap)); e != nil {
 			return admit.Grant{}, a.traceRefusal(req, e)
@@ -93,16 +94,16 @@
 	return e
 }
 
-// The concurrency limits of a pool, per server, before its wait has been measured.
-// A model pool starts above its capacity, since too low a limit would refuse
-// requests while there is capacity; the first measurements reduce it. Plain
-// services report no wait, so their limit stays. minInitial is the smallest
-// initial limit of a whole model pool.
+// The concurrency limits of a pool, per server, before its wait has been
+// measured. A model pool starts above its capacity, since too low a limit would
+// refuse requests while there is capacity; the first measurements reduce it.
+// Plain services report no wait, so their limit stays. minInitialLimit is the
+// lower bound of the initial limit of a model pool, not per server.
 const (
-	initialPerServer = 32
-	maxPerServer     = 256
-	plainPerServer   = 256
-	minInitial       = 16
+	initialLimitPerServer = 32
+	maxLimitPerServer     = 256
+	plainLimitPerServer   = 256
+	minInitialLimit       = 16
 )
 
 // controller returns the admission controller of a pool, creating it on first
@@ -115,11 +116,11 @@
 	servers := float64(len(p.Servers))
 	share := max(servers/float64(entryHosts(snap)), 1)
 	ctrl := &admit.Controller{Limits: a.Limits, Limiter: admit.Limiter{
-		Target: a.TargetWait, Min: 1, Max: maxPerServer * servers,
-		Value: max(initialPerServer*share, minInitial),
+		Target: a.TargetWait, Min: 1, Max: maxLimitPerServer * servers,
+		Value: max(initialLimitPerServer*share, minInitialLimit),
 	}}
 	if p.IsPlain() {
-		ctrl.Limiter.Value = plainPerServer * share
+		ctrl.Limiter.Value = plainLimitPerServer * share
 	} else {
 		ctrl.MeasureWait = a.waitMeter(p.Name)
 	}
--- a/entry/internal/edge/admission_test.go
+++ b/entry/internal/edge/admission_test.go
@@ -71,7 +71,7 @@
 			grants = append(grants, grant)
 		}
 	}
-	c.Assert(len(grants), qt.Equals, initialPerServer)
+	c.Assert(len(grants), qt.Equals, initialLimitPerServer)
 	c.Assert(refusal.Code, qt.Equals, fault.Overloaded)
 	c.Assert(refusal.Verdict, qt.Equals, fault.NotRun)
 	grants[0].Release()
--- a/entry/internal/edge/events.go
+++ b/entry/internal/edge/events.go
@@ -9,7 +9,7 @@
 	"fuchsiashelf.dev/parts/fault"
 )
 
-// eventStream writes the answer to a model request as server-sent events. The
+// eventStream writes the response to a model request as server-sent events. The
 // stream starts with the first token, so that an earlier error can still set the
 // HTTP status.
 type eventStream struct {
@@ -44,8 +44,9 @@
 	return s.events.WriteEvent("", kind, value)
 }
 
-// end finishes the answer with an end event, or with an error event if the answer
-// is incomplete. Before the first event, the error becomes the whole response.
+// end finishes the response with an end event, or with an error event if the
+// response is incomplete. Before the first event, the error becomes the whole
+// response.
 func (s *eventStream) end(count int, e *fault.Error) {
 	if e == nil {
 		_ = s.write("end", endEvent{count})
--- a/entry/internal/edge/handler.go
+++ b/entry/internal/edge/handler.go
@@ -1,5 +1,5 @@
-// Package edge serves callers on an entry host: it authenticates them, routes
-// and admits their requests, and passes these on to package relay or invoke.
+// Package edge serves callers on an entry host: it authenticates them, routes and
+// admits their requests, and forwards them with package relay or invoke.
 package edge
 
 import (
@@ -214,8 +214,8 @@
 	}
 	defer grant.Release()
 	queueWait.UpdateSince(stream.startedAt)
-	openAnswers.Inc(1)
-	defer openAnswers.Dec(1)
+	openResponses.Inc(1)
+	defer openResponses.Dec(1)
 	stream.controller = h.Admission.lookup(req.pool.Name)
 	defer stream.report()
 	count, e := h.Relay.Do(ctx, &relay.Request{
--- a/entry/internal/edge/metrics.go
+++ b/entry/internal/edge/metrics.go
@@ -13,7 +13,7 @@
 var (
 	requestCount   = metrics.NewRegisteredCounter("gate.requests", nil)
 	tokenCount     = metrics.NewRegisteredCounter("gate.tokens", nil)
-	openAnswers    = metrics.NewRegisteredCounter("gate.open", nil)
+	openResponses  = metrics.NewRegisteredCounter("gate.open", nil)
 	firstTokenTime = metrics.NewRegisteredTimer("gate.first", nil)
 	tokenGap       = metrics.NewRegisteredTimer("gate.gap", nil)
 	queueWait      = metrics.NewRegisteredTimer("gate.queue", nil)
@@ -37,9 +37,9 @@
 	}
 }
 
-// timedStream is an eventStream that measures the answer. It updates the metrics
-// once, at the end of the answer, so that a token costs a clock reading but no
-// lock.
+// timedStream is an eventStream that measures the response. It updates the
+// metrics once, at the end of the response, so that a token costs a clock reading
+// but no lock.
 type timedStream struct {
 	*eventStream
 	controller  *admit.Controller
@@ -59,7 +59,7 @@
 }
 
 // report updates the metrics and the pool's controller with the timings of the
-// answer.
+// response.
 func (t *timedStream) report() {
 	tokenCount.Inc(int64(t.count))
 	if t.count == 0 {
--- a/entry/internal/edge/plain.go
+++ b/entry/internal/edge/plain.go
@@ -57,8 +57,8 @@
 		return
 	}
 	defer grant.Release()
-	reply, e := h.Forwarder.Call(ctx, &invoke.Call{
-		Request: requestID, Team: tm.Name, ID: id,
+	response, e := h.Forwarder.Call(ctx, &invoke.Call{
+		RequestID: requestID, Team: tm.Name, ID: id,
 		Service: s, Pool: p, Method: string(c.Method()),
 		URI: string(c.Request.URI().RequestURI()), Header: forwardedHeader(c),
 		Body: c.Request.Body(), Deadline: deadline,
@@ -67,7 +67,7 @@
 		writeError(c, e)
 		return
 	}
-	writeReply(c, reply)
+	writeResponse(c, response)
 }
 
 // maxCallID is the maximum length of a caller's id of a call, in bytes.
@@ -142,8 +142,8 @@
 	return header
 }
 
-// removeHopByHop removes the hop-by-hop headers, including those that Connection
-// lists.
+// removeHopByHop removes the hop-by-hop headers, including those named by
+// Connection.
 func removeHopByHop(header http.Header) {
 	for _, list := range header.Values("Connection") {
 		for name := range strings.SplitSeq(list, ",") {
@@ -155,10 +155,10 @@
 	}
 }
 
-// writeReply writes a reply to the caller. Several callers may get the same reply,
-// so it is not modified.
-func writeReply(c *app.RequestContext, reply *invoke.Reply) {
-	header := reply.Header.Clone()
+// writeResponse writes a response to the caller. Several callers may get the same
+// response, so it is not modified.
+func writeResponse(c *app.RequestContext, response *invoke.Response) {
+	header := response.Header.Clone()
 	removeHopByHop(header)
 	header.Del("Content-Length")
 	for name, values := range header {
@@ -171,6 +171,6 @@
 		}
 	}
 	c.Header(fault.Header, fault.Ran.String())
-	c.Status(reply.Status)
-	c.Response.SetBody(reply.Body)
+	c.Status(response.Status)
+	c.Response.SetBody(response.Body)
 }
--- a/entry/internal/edge/plain_test.go
+++ b/entry/internal/edge/plain_test.go
@@ -54,16 +54,16 @@
 	})
 }
 
-// Two callers that send the same call get the same reply. Writing it to one must
-// not remove end-to-end headers for the other.
-func TestWriteReply(t *testing.T) {
-	reply := &invoke.Reply{Status: 201, Body: []byte("ok"), Header: http.Header{
+// Two callers that send the same call get the same response. Writing it to one
+// must not remove end-to-end headers for the other.
+func TestWriteResponse(t *testing.T) {
+	response := &invoke.Response{Status: 201, Body: []byte("ok"), Header: http.Header{
 		"Set-Cookie": {"a=1", "b=2"}, "X-End": {"kept"}, "Connection": {"X-Hop"}, "X-Hop": {"1"},
 		"Fuchsia-Verdict": {"not-run"}, "Content-Type": {"text/plain"},
 	}}
 	for range 2 {
 		var c app.RequestContext
-		writeReply(&c, reply)
+		writeResponse(&c, response)
 		qt.Assert(t, c.Response.StatusCode(), qt.Equals, 201)
 		qt.Assert(t, string(c.Response.Header.Peek("X-End")), qt.Equals, "kept")
 		qt.Assert(t, string(c.Response.Header.Peek("Fuchsia-Verdict")), qt.Equals, "ran")
@@ -71,7 +71,7 @@
 		qt.Assert(t, len(c.Response.Header.Peek("X-Hop")), qt.Equals, 0)
 		qt.Assert(t, len(c.Response.Header.GetCookies()), qt.Equals, 2)
 	}
-	qt.Assert(t, reply.Header.Get("X-Hop"), qt.Equals, "1")
+	qt.Assert(t, response.Header.Get("X-Hop"), qt.Equals, "1")
 }
 
 // A caller gives several ids or one that is too long. Using either of two ids
--- a/entry/internal/edge/request.go
+++ b/entry/internal/edge/request.go
@@ -23,30 +23,30 @@
 
 // parseRequest decodes and validates the body of a model request. It rejects
 // unknown fields: a misspelt one would otherwise be ignored and silently change
-// the answer.
+// the response.
 func parseRequest(body []byte) (generateRequest, *fault.Error) {
-	var in generateRequest
+	var req generateRequest
 	decoder := json.NewDecoder(bytes.NewReader(body))
 	decoder.DisallowUnknownFields()
-	if err := decoder.Decode(&in); err != nil {
-		return in, decodeError(err)
+	if err := decoder.Decode(&req); err != nil {
+		return req, decodeError(err)
 	}
 	if _, err := decoder.Token(); !errors.Is(err, io.EOF) {
-		return in, badRequest("body", "more than one JSON value")
+		return req, badRequest("body", "more than one JSON value")
 	}
 	switch {
-	case in.Service == "":
-		return in, badRequest("service", "missing")
-	case in.Prompt == "":
-		return in, badRequest("prompt", "missing")
-	case in.Max < 1 || in.Max > maxTokens:
-		return in, badRequest("max", fmt.Sprintf("want 1 to %d, not %d", maxTokens, in.Max))
+	case req.Service == "":
+		return req, badRequest("service", "missing")
+	case req.Prompt == "":
+		return req, badRequest("prompt", "missing")
+	case req.Max < 1 || req.Max > maxTokens:
+		return req, badRequest("max", fmt.Sprintf("want 1 to %d, not %d", maxTokens, req.Max))
 	}
-	return in, nil
+	return req, nil
 }
 
-// decodeError converts an error of the decoder into one that names the wrong
-// field and the JSON types, without Go's names.
+// decodeError converts a decoder error into one for callers, which names the
+// wrong field and JSON types instead of Go types.
 func decodeError(err error) *fault.Error {
 	var mismatch *json.UnmarshalTypeError
 	if errors.As(err, &mismatch) {
--- a/entry/internal/invoke/attempt.go
+++ b/entry/internal/invoke/attempt.go
@@ -20,22 +20,22 @@
 // maxAttempts is the maximum number of servers that a call is sent to.
 const maxAttempts = 3
 
-// replyDeposit is what a successful call adds to the retry budget of its pool, in
-// tokens: ten responses pay for one retry.
-const replyDeposit = 5
+// responseDeposit is what a successful call adds to the retry budget of its pool,
+// in tokens: ten responses pay for one retry.
+const responseDeposit = 5
 
 // callRetryable sends a retryable call, to another server when one fails. A retry
 // of a call that may have run withdraws from the pool's budget. A retry of a call
 // that did not run is free, since it adds almost no load.
-func (f *Forwarder) callRetryable(ctx context.Context, call *Call) (*Reply, *fault.Error) {
+func (f *Forwarder) callRetryable(ctx context.Context, call *Call) (*Response, *fault.Error) {
 	budget := f.budget(call.Pool.Name)
-	reply, e := f.sendWithRetries(ctx, call, func() bool { return ctx.Err() == nil }, func(e *fault.Error) bool {
+	response, e := f.sendWithRetries(ctx, call, func() bool { return ctx.Err() == nil }, func(e *fault.Error) bool {
 		return ctx.Err() == nil && (e.Verdict == fault.NotRun || budget.Withdraw())
 	})
 	if e == nil {
-		budget.Deposit(replyDeposit, 0)
+		budget.Deposit(responseDeposit, 0)
 	}
-	return reply, e
+	return response, e
 }
 
 // budget returns the retry budget of a pool.
@@ -49,7 +49,7 @@
 
 // callOnce sends a call that must run at most once. It goes to another server
 // only if none of the earlier ones ran it.
-func (f *Forwarder) callOnce(ctx context.Context, call *Call, canSend func() bool) (*Reply, *fault.Error) {
+func (f *Forwarder) callOnce(ctx context.Context, call *Call, canSend func() bool) (*Response, *fault.Error) {
 	return f.sendWithRetries(ctx, call, canSend, func(e *fault.Error) bool {
 		return e.Verdict == fault.NotRun && ctx.Err() == nil
 	})
@@ -58,14 +58,14 @@
 // sendWithRetries sends a call to one server after another, as long as
 // shouldRetry allows it after the last error. The verdict of the returned error
 // covers all attempts.
-func (f *Forwarder) sendWithRetries(ctx context.Context, call *Call, canSend func() bool, shouldRetry func(*fault.Error) bool) (*Reply, *fault.Error) {
+func (f *Forwarder) sendWithRetries(ctx context.Context, call *Call, canSend func() bool, shouldRetry func(*fault.Error) bool) (*Response, *fault.Error) {
 	verdict := fault.NotRun
 	tried := map[string]bool{}
 	var lastErr *fault.Error
 	for {
-		reply, e := f.sendToNext(ctx, call, tried, canSend)
+		response, e := f.sendToNext(ctx, call, tried, canSend)
 		if e == nil {
-			return reply, nil
+			return response, nil
 		}
 		verdict = verdict.Weaken(e.Verdict)
 		noneLeft := e.Code == fault.NoServer
@@ -79,13 +79,13 @@
 			return nil, e
 		}
 		lastErr = e
-		f.Trace.Record("pass", call.Request, "retry after: "+e.Error())
+		f.Trace.Record("pass", call.RequestID, "retry after: "+e.Error())
 		increment("pass.retries")
 	}
 }
 
 // sendToNext sends a call to a server that was not tried yet.
-func (f *Forwarder) sendToNext(ctx context.Context, call *Call, tried map[string]bool, canSend func() bool) (*Reply, *fault.Error) {
+func (f *Forwarder) sendToNext(ctx context.Context, call *Call, tried map[string]bool, canSend func() bool) (*Response, *fault.Error) {
 	snap := f.View.Load()
 	usable := usableServers(snap, call.Pool, tried)
 	if len(usable) == 0 {
@@ -107,9 +107,9 @@
 	}
 	defer f.View.Release(to.Name)
 	increment("pass.attempts")
-	reply, e := send(ctx, call, to, canSend)
+	response, e := send(ctx, call, to, canSend)
 	f.recordResult(snap.Meters[to.Name], to.Name, e)
-	return reply, e
+	return response, e
 }
 
 // recordResult marks a server as suspected after a failure or a refusal, for
@@ -141,9 +141,9 @@
 
 // usableServers returns the servers of a pool that take new work and were not
 // tried yet.
-func usableServers(snap *view.Snapshot, from pool.Pool, tried map[string]bool) []host.Host {
+func usableServers(snap *view.Snapshot, p pool.Pool, tried map[string]bool) []host.Host {
 	var usable []host.Host
-	for _, name := range from.Servers {
+	for _, name := range p.Servers {
 		h, listed := snap.Hosts[name]
 		_, cordoned := snap.Cordoned[name]
 		if listed && !cordoned && !tried[name] {
@@ -153,10 +153,10 @@
 	return usable
 }
 
-func noServerError(from pool.Pool) *fault.Error {
+func noServerError(p pool.Pool) *fault.Error {
 	return &fault.Error{
 		Code: fault.NoServer, Verdict: fault.NotRun,
-		Message: "no server of pool " + from.Name + " takes calls", RetryAfter: time.Second,
+		Message: "no server of pool " + p.Name + " takes calls", RetryAfter: time.Second,
 	}
 }
 
--- a/entry/internal/invoke/claim.go
+++ b/entry/internal/invoke/claim.go
@@ -10,9 +10,10 @@
 	"fuchsiashelf.dev/parts/fault"
 )
 
-// callWithClaim runs a call under a claim, or returns the outcome of the call that
-// has the claim. ctx ends when the caller disconnects, work does not.
-func (f *Forwarder) callWithClaim(ctx, work context.Context, call *Call) (*Reply, *fault.Error) {
+// callWithClaim runs a call under a claim, or returns the outcome of the call
+// that has the claim. ctx ends when the caller disconnects, callCtx only at the
+// deadline of the call.
+func (f *Forwarder) callWithClaim(ctx, callCtx context.Context, call *Call) (*Response, *fault.Error) {
 	key := claim.KeyOf(call.Team, call.ID)
 	body := claim.DigestOf(call.Method, call.URI, call.Body)
 	// The nonce must not be zero, which stands for no nonce.
@@ -20,28 +21,28 @@
 	now := time.Now()
 	flight, own, voidNonce := f.flights.Begin(key, body, nonce, now.Add(f.ClaimTerms.Expiry))
 	if !own {
-		return f.joinFlight(ctx, work, call, flight, body)
+		return f.joinFlight(ctx, callCtx, call, flight, body)
 	}
 	c := &claimedCall{Forwarder: f, call: call, flight: flight, claimedAt: now, voidNonce: voidNonce, record: claim.Record{
 		Key: key, Body: body, Nonce: nonce, Holder: f.Holder, Until: f.ClaimTerms.Until(now),
 	}}
-	c.run(work)
+	c.run(callCtx)
 	result := flight.Result()
-	return result.reply, result.err
+	return result.response, result.err
 }
 
 // joinFlight waits for a call that is in progress on this entry host.
-func (f *Forwarder) joinFlight(ctx, work context.Context, call *Call, flight *claim.Flight[callResult], body claim.Digest) (*Reply, *fault.Error) {
+func (f *Forwarder) joinFlight(ctx, callCtx context.Context, call *Call, flight *claim.Flight[callResult], body claim.Digest) (*Response, *fault.Error) {
 	if flight.Body != body {
 		return nil, idReusedError()
 	}
-	f.Trace.Record("pass", call.Request, "joined the same call")
+	f.Trace.Record("pass", call.RequestID, "joined the same call")
 	select {
 	case <-flight.Done:
 		result := flight.Result()
-		return result.reply, result.err
+		return result.response, result.err
 	case <-ctx.Done():
-	case <-work.Done():
+	case <-callCtx.Done():
 	}
 	return nil, repeatedError("the same call is under way", time.Second)
 }
@@ -56,25 +57,25 @@
 	claimedAt time.Time
 	// voidNonce is the nonce of a void claim that may be replaced.
 	voidNonce uint64
-	// attempts counts the claims requested.
-	attempts int
+	// claimAttempts counts the claims requested.
+	claimAttempts int
 }
 
-// maxClaimAttempts bounds the claims of one call, each of which but the first
+// maxClaimAttempts bounds the claims of one call, each of which after the first
 // replaces a void claim.
 const maxClaimAttempts = 3
 
 // run acquires the claim, acts on the outcome and gives the flight a result.
-func (c *claimedCall) run(work context.Context) {
-	c.attempts++
-	found, e := c.Claims.Acquire(work, claim.Take{Record: c.record, Replaces: c.voidNonce})
+func (c *claimedCall) run(callCtx context.Context) {
+	c.claimAttempts++
+	found, e := c.Claims.Acquire(callCtx, claim.Take{Record: c.record, Replaces: c.voidNonce})
 	if e != nil {
-		c.claimFailed(work, found, e)
+		c.claimFailed(callCtx, found, e)
 		return
 	}
 	switch found := found.(type) {
 	case claim.Granted:
-		c.dispatch(work)
+		c.dispatch(callCtx)
 	case claim.Completed:
 		c.finish(replay(found.Record))
 	case claim.Reused:
@@ -85,20 +86,20 @@
 			Message: "too many calls are claimed", RetryAfter: time.Minute,
 		})
 	case claim.Held:
-		c.claimHeld(work, found.Record)
+		c.claimHeld(callCtx, found.Record)
 	}
 }
 
 // claimFailed handles a call whose claim could not be written. The backend servers
 // of a guarded service reject repeats themselves, so it is sent without a claim.
-func (c *claimedCall) claimFailed(work context.Context, found claim.OpResult, e *fault.Error) {
-	if c.call.Service.Guarded && work.Err() == nil {
-		c.Trace.Record("pass", c.call.Request, "sent without a claim, its servers refuse repeats")
-		c.dispatch(work)
+func (c *claimedCall) claimFailed(callCtx context.Context, found claim.OpResult, e *fault.Error) {
+	if c.call.Service.Guarded && callCtx.Err() == nil {
+		c.Trace.Record("pass", c.call.RequestID, "sent without a claim, its servers refuse repeats")
+		c.dispatch(callCtx)
 		return
 	}
 	// The verdict covers this call only. Whether an earlier call with the id ran
-	// is recorded in the store, which cannot be read.
+	// is recorded in the object API, which cannot be read.
 	notSent := *e
 	notSent.Message += "; this sending was not run"
 	c.flight.Finish(callResult{err: &notSent}, true)
@@ -116,14 +117,14 @@
 }
 
 // dispatch sends a call whose claim is granted and records the outcome.
-func (c *claimedCall) dispatch(work context.Context) {
+func (c *claimedCall) dispatch(callCtx context.Context) {
 	c.flight.Start()
-	reply, e := c.callOnce(work, c.call, c.claimFresh)
+	response, e := c.callOnce(callCtx, c.call, c.claimFresh)
 	switch {
 	case e == nil:
-		c.flight.Finish(callResult{reply: reply}, false)
+		c.flight.Finish(callResult{response: response}, false)
 		c.record.Done = time.Now().UnixMilli()
-		c.record.Outcome = recordedOutcome(reply)
+		c.record.Outcome = recordedOutcome(response)
 		c.forgetWhenWritten(c.Claims.Settle(claim.Settle{Record: c.record}), c.resultTTL())
 	case e.Verdict == fault.NotRun:
 		c.flight.Finish(callResult{err: e}, true)
@@ -135,19 +136,19 @@
 	}
 }
 
-// claimHeld handles a call that is already claimed, by another entry host or by an
-// earlier run of this one.
-func (c *claimedCall) claimHeld(work context.Context, r claim.Record) {
+// claimHeld handles a call that is already claimed, by another entry host or by
+// an earlier incarnation of this one.
+func (c *claimedCall) claimHeld(callCtx context.Context, r claim.Record) {
 	status := ClaimStatus{}
 	if r.Holder != c.Holder {
-		status = c.Peers.AwaitClaim(work, r.Holder, c.call, r.Nonce)
+		status = c.Peers.AwaitClaim(callCtx, r.Holder, c.call, r.Nonce)
 	}
 	switch {
-	case status.Reply != nil:
-		c.finish(status.Reply, nil)
-	case status.NeverSent && c.attempts < maxClaimAttempts:
+	case status.Response != nil:
+		c.finish(status.Response, nil)
+	case status.NeverSent && c.claimAttempts < maxClaimAttempts:
 		c.voidNonce = r.Nonce
-		c.run(work)
+		c.run(callCtx)
 	case status.Pending:
 		c.finish(nil, repeatedError("the same call is under way on "+r.Holder.Entry, time.Second))
 	default:
@@ -155,16 +156,16 @@
 	}
 }
 
-// finish ends a flight that has sent nothing under its claim, or about which the
-// claim holds all that is known.
-func (c *claimedCall) finish(reply *Reply, e *fault.Error) {
-	c.flight.Finish(callResult{reply, e}, false)
+// finish ends a flight and forgets it at once. Nothing was sent under its claim,
+// or the claim stays in the object API and records that the call may have run.
+func (c *claimedCall) finish(response *Response, e *fault.Error) {
+	c.flight.Finish(callResult{response, e}, false)
 	c.flights.Forget(c.flight)
 }
 
-// resultTTL is how long the reply is kept in memory after it was recorded, so that
-// a resend through this entry host gets it even while the store is down. A large
-// reply is not kept, to save memory.
+// resultTTL is how long the response is kept in memory after it was recorded, so
+// that a resend through this entry host gets it even while the object API is
+// down. A large response is not kept, to save memory.
 func (c *claimedCall) resultTTL() time.Duration {
 	if c.record.Outcome == nil {
 		return 0
@@ -173,7 +174,7 @@
 }
 
 // forgetWhenWritten drops the flight after a delay that starts when the write to
-// the store is done.
+// the object API is done.
 func (c *claimedCall) forgetWhenWritten(written <-chan struct{}, delay time.Duration) {
 	go func() {
 		select {
@@ -184,29 +185,29 @@
 	}()
 }
 
-// recordedOutcome returns the outcome to record for a reply, nil if it is too
+// recordedOutcome returns the outcome to record for a response, nil if it is too
 // large.
-func recordedOutcome(reply *Reply) *claim.Outcome {
-	contentType := reply.Header.Get("Content-Type")
-	if len(reply.Body)+len(contentType) > claim.MaxOutcome {
+func recordedOutcome(response *Response) *claim.Outcome {
+	contentType := response.Header.Get("Content-Type")
+	if len(response.Body)+len(contentType) > claim.MaxOutcome {
 		return nil
 	}
-	return &claim.Outcome{Status: reply.Status, Type: contentType, Body: reply.Body}
+	return &claim.Outcome{Status: response.Status, Type: contentType, Body: response.Body}
 }
 
-// replay returns the recorded reply of a call that has run.
-func replay(r claim.Record) (*Reply, *fault.Error) {
+// replay returns the recorded response of a call that has run.
+func replay(r claim.Record) (*Response, *fault.Error) {
 	if r.Outcome == nil {
 		return nil, &fault.Error{
 			Code: fault.Repeated, Verdict: fault.Ran,
 			Message: "the call has run; its answer is not kept",
 		}
 	}
-	reply := &Reply{Status: r.Outcome.Status, Header: http.Header{}, Body: r.Outcome.Body}
+	response := &Response{Status: r.Outcome.Status, Header: http.Header{}, Body: r.Outcome.Body}
 	if r.Outcome.Type != "" {
-		reply.Header.Set("Content-Type", r.Outcome.Type)
+		response.Header.Set("Content-Type", r.Outcome.Type)
 	}
-	return reply, nil
+	return response, nil
 }
 
 func idReusedError() *fault.Error {
--- a/entry/internal/invoke/forwarder.go
+++ b/entry/internal/invoke/forwarder.go
@@ -33,9 +33,9 @@
 	Claims *claim.Writer
 	// ClaimTerms holds the longest deadline of a call and the expiry of claims.
 	ClaimTerms claim.Timing
-	// Holder identifies this run of this entry host.
+	// Holder identifies this incarnation of this entry host.
 	Holder claim.Holder
-	// Started is when this run began.
+	// Started is when this incarnation started.
 	Started time.Time
 	// Signer issues and verifies tickets.
 	Signer ticket.Signer
@@ -53,10 +53,10 @@
 // Peers queries other entry hosts about calls.
 type Peers interface {
 	// AwaitClaim asks the holder of a claim for the status of its call, and waits
-	// for the reply for a bounded time.
+	// for the answer for a bounded time.
 	AwaitClaim(ctx context.Context, holder claim.Holder, call *Call, nonce uint64) ClaimStatus
 	// Forward forwards a call to the entry host that issued its ticket.
-	Forward(ctx context.Context, entry string, call *Call) (*Reply, *fault.Error)
+	Forward(ctx context.Context, entry string, call *Call) (*Response, *fault.Error)
 }
 
 // ClaimStatus is the status of a claimed call as its holder reports it. The zero
@@ -64,16 +64,16 @@
 type ClaimStatus struct {
 	// NeverSent means that the call was not sent and never will be.
 	NeverSent bool
-	// Reply is the response, if there is one.
-	Reply *Reply
+	// Response is the response to the call; nil if there is none.
+	Response *Response
 	// Pending means that the holder is alive and the call is in progress.
 	Pending bool
 }
 
 // Call is one call of a plain service.
 type Call struct {
-	Request string
-	Team    string
+	RequestID string
+	Team      string
 	// ID is the caller's id of the call, from the Idempotency-Key header.
 	ID      string
 	Service rule.Service
@@ -86,17 +86,17 @@
 	Deadline time.Time
 }
 
-// Reply is the response of a backend server.
-type Reply struct {
+// Response is what a backend server sent back for a call.
+type Response struct {
 	Status int
 	Header http.Header
 	Body   []byte
 }
 
-// callResult is the outcome of a call: a reply or an error.
+// callResult is the outcome of a call: either a response or an error.
 type callResult struct {
-	reply *Reply
-	err   *fault.Error
+	response *Response
+	err      *fault.Error
 }
 
 // IDHeader is the header with the caller's id of a call.
@@ -122,17 +122,17 @@
 
 // Call forwards a call and returns the response, or the error to report to the
 // caller.
-func (f *Forwarder) Call(ctx context.Context, call *Call) (*Reply, *fault.Error) {
-	reply, e := f.forward(ctx, call)
+func (f *Forwarder) Call(ctx context.Context, call *Call) (*Response, *fault.Error) {
+	response, e := f.forward(ctx, call)
 	if e != nil {
-		f.Trace.Record("pass", call.Request, "refused: "+e.Verdict.String()+": "+e.Error())
+		f.Trace.Record("pass", call.RequestID, "refused: "+e.Verdict.String()+": "+e.Error())
 		increment("pass.refused." + e.Verdict.String())
 	}
-	return reply, e
+	return response, e
 }
 
 // forward runs a call by the mechanism that its service and its id require.
-func (f *Forwarder) forward(ctx context.Context, call *Call) (*Reply, *fault.Error) {
+func (f *Forwarder) forward(ctx context.Context, call *Call) (*Response, *fault.Error) {
 	if call.Service.Retryable {
 		ctx, cancel := context.WithDeadline(ctx, call.Deadline)
 		defer cancel()
@@ -144,15 +144,15 @@
 	}
 	// A call that was sent continues after its caller disconnects, so that its
 	// outcome is known.
-	work, cancel := context.WithDeadline(context.WithoutCancel(ctx), call.Deadline)
+	callCtx, cancel := context.WithDeadline(context.WithoutCancel(ctx), call.Deadline)
 	defer cancel()
 	switch {
 	case ticket.Is(call.ID):
-		return f.callWithTicket(ctx, work, call)
+		return f.callWithTicket(ctx, callCtx, call)
 	case call.ID != "":
-		return f.callWithClaim(ctx, work, call)
+		return f.callWithClaim(ctx, callCtx, call)
 	case call.Service.OptionalID:
-		return f.callOnce(work, call, func() bool { return time.Now().Before(call.Deadline) })
+		return f.callOnce(callCtx, call, func() bool { return time.Now().Before(call.Deadline) })
 	}
 	return nil, &fault.Error{
 		Code: fault.IDNeeded, Verdict: fault.NotRun, Field: IDHeader,
--- a/entry/internal/invoke/send.go
+++ b/entry/internal/invoke/send.go
@@ -26,8 +26,8 @@
 	DeadlineHeader = "Fuchsia-Deadline"
 )
 
-// maxReplyBytes bounds the body of a response.
-const maxReplyBytes = 16 << 20
+// maxResponseBytes bounds the body of a response.
+const maxResponseBytes = 16 << 20
 
 // dialTimeout bounds the time to connect to a backend server.
 const dialTimeout = 2 * time.Second
@@ -105,7 +105,7 @@
 type oneShotBody struct{ io.Reader }
 
 // send sends a call to a backend server once, if canSend still allows it.
-func send(ctx context.Context, call *Call, to host.Host, canSend func() bool) (*Reply, *fault.Error) {
+func send(ctx context.Context, call *Call, to host.Host, canSend func() bool) (*Response, *fault.Error) {
 	s := &sendGuard{canSend: canSend}
 	ctx = httptrace.WithClientTrace(ctx, &httptrace.ClientTrace{
 		GotConn: func(info httptrace.GotConnInfo) { info.Conn.(*guardedConn).guard.Store(s) },
@@ -125,11 +125,11 @@
 			RetryAfter: time.Second,
 		}
 	}
-	replyBody, err := io.ReadAll(io.LimitReader(resp.Body, maxReplyBytes+1))
-	if err != nil || len(replyBody) > maxReplyBytes {
+	responseBody, err := io.ReadAll(io.LimitReader(resp.Body, maxResponseBytes+1))
+	if err != nil || len(responseBody) > maxResponseBytes {
 		return nil, &fault.Error{Code: fault.BrokenAnswer, Server: to.Name, Message: "half an answer came", Cause: err}
 	}
-	return &Reply{Status: resp.StatusCode, Header: resp.Header, Body: replyBody}, nil
+	return &Response{Status: resp.StatusCode, Header: resp.Header, Body: responseBody}, nil
 }
 
 // newRequest returns the HTTP request of a call to a backend server.
@@ -142,7 +142,7 @@
 	req.ContentLength = int64(len(call.Body))
 	req.Header = call.Header.Clone()
 	req.Header.Set(TeamHeader, call.Team)
-	req.Header.Set(RequestHeader, call.Request)
+	req.Header.Set(RequestHeader, call.RequestID)
 	req.Header.Set(DeadlineHeader, strconv.FormatInt(call.Deadline.UnixMilli(), 10))
 	return req, nil
 }
--- a/entry/internal/invoke/ticket.go
+++ b/entry/internal/invoke/ticket.go
@@ -20,7 +20,7 @@
 }
 
 // Redeem runs a call that another entry host received with a ticket of this one.
-func (f *Forwarder) Redeem(ctx context.Context, call *Call) (*Reply, *fault.Error) {
+func (f *Forwarder) Redeem(ctx context.Context, call *Call) (*Response, *fault.Error) {
 	t, err := f.Signer.Parse(call.ID, call.Team)
 	if err != nil || t.Entry != f.Holder.Entry {
 		return nil, repeatedError("not a ticket of this entry host", 0)
@@ -30,7 +30,7 @@
 
 // callWithTicket runs a call under a ticket of this entry host, and forwards a
 // call with another ticket to its issuer.
-func (f *Forwarder) callWithTicket(ctx, work context.Context, call *Call) (*Reply, *fault.Error) {
+func (f *Forwarder) callWithTicket(ctx, callCtx context.Context, call *Call) (*Response, *fault.Error) {
 	t, err := f.Signer.Parse(call.ID, call.Team)
 	if err != nil {
 		return nil, &fault.Error{
@@ -38,10 +38,11 @@
 		}
 	}
 	if t.Entry != f.Holder.Entry {
-		f.Trace.Record("pass", call.Request, "handed to "+t.Entry+", which issued its ticket")
-		return f.Peers.Forward(work, t.Entry, call)
+		f.Trace.Record("pass", call.RequestID, "handed to "+t.Entry+", which issued its ticket")
+		return f.Peers.Forward(callCtx, t.Entry, call)
 	}
-	// An earlier run issued the ticket; it is not known whether the call ran.
+	// An earlier incarnation issued the ticket; whether the call ran is not
+	// known.
 	if t.Incarnation != f.Holder.Incarnation {
 		return nil, repeatedError("the entry host that issued the ticket has restarted", 0)
 	}
@@ -49,22 +50,22 @@
 	if !usable() {
 		return nil, repeatedError("the ticket has expired", 0)
 	}
-	return f.callWithOwnTicket(ctx, work, call, t, usable)
+	return f.callWithOwnTicket(ctx, callCtx, call, t, usable)
 }
 
-// callWithOwnTicket sends a call under a ticket of this run, or joins the call
-// that was sent under it. The flight is kept until no call can be sent under the
-// ticket any more.
-func (f *Forwarder) callWithOwnTicket(ctx, work context.Context, call *Call, t ticket.Ticket, usable func() bool) (*Reply, *fault.Error) {
+// callWithOwnTicket sends a call under a ticket of this incarnation, or joins the
+// call that was sent under it. The flight is kept until no call can be sent under
+// the ticket any more.
+func (f *Forwarder) callWithOwnTicket(ctx, callCtx context.Context, call *Call, t ticket.Ticket, usable func() bool) (*Response, *fault.Error) {
 	key := claim.KeyOf(call.Team, fmt.Sprintf("%s%d", ticket.Prefix, t.Serial))
 	body := claim.DigestOf(call.Method, call.URI, call.Body)
 	until := f.Started.Add(t.Issued + ticket.TTL + f.ClaimTerms.MaxDeadline)
 	flight, own, _ := f.flights.Begin(key, body, t.Serial, until)
 	if !own {
-		return f.joinFlight(ctx, work, call, flight, body)
+		return f.joinFlight(ctx, callCtx, call, flight, body)
 	}
 	flight.Start()
-	reply, e := f.callOnce(work, call, func() bool {
+	response, e := f.callOnce(callCtx, call, func() bool {
 		return usable() && time.Now().Before(call.Deadline)
 	})
 	// If the ticket expired during the call, an earlier call may have used it and
@@ -72,8 +73,8 @@
 	if e != nil && !usable() {
 		e.Verdict = e.Verdict.Weaken(fault.MayHaveRun)
 	}
-	flight.Finish(callResult{reply, e}, e != nil && e.Verdict == fault.NotRun)
-	return reply, e
+	flight.Finish(callResult{response, e}, e != nil && e.Verdict == fault.NotRun)
+	return response, e
 }
 
 // ClaimStatus returns the status of a call that this entry host has claimed, for
@@ -91,5 +92,5 @@
 	if flight.Phase() == claim.NotSent {
 		return ClaimStatus{NeverSent: true}
 	}
-	return ClaimStatus{Reply: flight.Result().reply}
+	return ClaimStatus{Response: flight.Result().response}
 }
--- a/entry/internal/owner/client.go
+++ b/entry/internal/owner/client.go
@@ -42,9 +42,9 @@
 	maxForwardBytes = 3 << 20
 )
 
-// call sends a request to another entry host and cancels it when the membership
-// no longer has that entry host alive. A frozen host keeps its connections, so a
-// caller would otherwise wait for its whole deadline.
+// call sends a request to another entry host and cancels it once the membership
+// no longer counts that entry host as alive. A frozen entry host keeps its
+// connections, so a caller would otherwise wait for its whole deadline.
 func (c *Client) call(ctx context.Context, h host.Host, ask *wire.CallAsk) (*wire.CallReply, error) {
 	ctx, cancel := context.WithCancel(ctx)
 	defer cancel()
@@ -102,7 +102,7 @@
 	case reply.Never:
 		return invoke.ClaimStatus{NeverSent: true}
 	case reply.Code == "":
-		return invoke.ClaimStatus{Reply: decodeReply(reply)}
+		return invoke.ClaimStatus{Response: decodeResponse(reply)}
 	}
 	return invoke.ClaimStatus{Pending: reply.RetryAfterMs > 0}
 }
@@ -110,7 +110,7 @@
 // Forward implements invoke.Peers. If the issuer cannot be reached the verdict is
 // MayHaveRun: an earlier call under the ticket may have run, and only its issuer
 // knows.
-func (c *Client) Forward(ctx context.Context, entry string, call *invoke.Call) (*invoke.Reply, *fault.Error) {
+func (c *Client) Forward(ctx context.Context, entry string, call *invoke.Call) (*invoke.Response, *fault.Error) {
 	unknownOutcome := func(message string, cause error) *fault.Error {
 		return &fault.Error{Code: fault.Repeated, Verdict: fault.MayHaveRun, Message: message, Cause: cause}
 	}
@@ -131,7 +131,7 @@
 	if reply.Code != "" {
 		return nil, decodeError(reply)
 	}
-	return decodeReply(reply), nil
+	return decodeResponse(reply), nil
 }
 
 // encodeHeader returns the wire form of a header.
@@ -154,9 +154,9 @@
 	return h
 }
 
-// decodeReply returns the reply that a remote entry host sent.
-func decodeReply(reply *wire.CallReply) *invoke.Reply {
-	return &invoke.Reply{Status: int(reply.Status), Header: decodeHeader(reply.Headers), Body: reply.Body}
+// decodeResponse returns the response that a remote entry host sent.
+func decodeResponse(reply *wire.CallReply) *invoke.Response {
+	return &invoke.Response{Status: int(reply.Status), Header: decodeHeader(reply.Headers), Body: reply.Body}
 }
 
 // decodeError returns the error that a remote entry host sent.
--- a/entry/internal/owner/handler.go
+++ b/entry/internal/owner/handler.go
@@ -20,11 +20,11 @@
 	if ask.Nonce != 0 {
 		return c.claimStatus(ctx, ask)
 	}
-	reply, e := c.redeem(ctx, ask, deadline)
+	response, e := c.redeem(ctx, ask, deadline)
 	if e != nil {
-		return newErrorReply(e)
+		return encodeError(e)
 	}
-	return newCallReply(reply)
+	return encodeResponse(response)
 }
 
 // claimStatus reports the status of a claimed call without running anything.
@@ -37,8 +37,8 @@
 	switch {
 	case status.NeverSent:
 		return &wire.CallReply{Code: string(fault.NotFound), Verdict: fault.NotRun.String(), Never: true}
-	case status.Reply != nil:
-		return newCallReply(status.Reply)
+	case status.Response != nil:
+		return encodeResponse(status.Response)
 	case status.Pending:
 		unknown.RetryAfterMs = time.Second.Milliseconds()
 	}
@@ -47,7 +47,7 @@
 
 // redeem runs a call under a ticket of this entry host, routed by the
 // configuration in force here.
-func (c *Client) redeem(ctx context.Context, ask *wire.CallAsk, deadline time.Time) (*invoke.Reply, *fault.Error) {
+func (c *Client) redeem(ctx context.Context, ask *wire.CallAsk, deadline time.Time) (*invoke.Response, *fault.Error) {
 	if !ticket.Is(ask.Id) {
 		return nil, &fault.Error{Code: fault.BadRequest, Verdict: fault.MayHaveRun, Message: "not a ticket"}
 	}
@@ -60,27 +60,27 @@
 		}
 	}
 	return c.Forwarder.Redeem(ctx, &invoke.Call{
-		Request: ask.Id, Team: ask.Team, ID: ask.Id, Service: snap.Config.Services[ask.Service], Pool: p,
+		RequestID: ask.Id, Team: ask.Team, ID: ask.Id, Service: snap.Config.Services[ask.Service], Pool: p,
 		Method: ask.Method, URI: ask.Uri, Header: decodeHeader(ask.Headers), Body: ask.Body, Deadline: deadline,
 	})
 }
 
-// newCallReply returns the wire form of a reply, or of an error if its body is
-// too large to forward.
-func newCallReply(reply *invoke.Reply) *wire.CallReply {
-	if len(reply.Body) > maxForwardBytes {
-		return newErrorReply(&fault.Error{
+// encodeResponse returns the wire form of a response, or of an error if its body
+// is too large to forward.
+func encodeResponse(response *invoke.Response) *wire.CallReply {
+	if len(response.Body) > maxForwardBytes {
+		return encodeError(&fault.Error{
 			Code: fault.BrokenAnswer, Verdict: fault.Ran, Message: "the answer is too large to be handed on",
 		})
 	}
 	return &wire.CallReply{
-		Status: uint32(reply.Status), Headers: encodeHeader(reply.Header), Body: reply.Body,
+		Status: uint32(response.Status), Headers: encodeHeader(response.Header), Body: response.Body,
 		Verdict: fault.Ran.String(),
 	}
 }
 
-// newErrorReply returns the wire form of an error.
-func newErrorReply(e *fault.Error) *wire.CallReply {
+// encodeError returns the wire form of an error.
+func encodeError(e *fault.Error) *wire.CallReply {
 	message := e.Message
 	if message == "" {
 		message = e.Error()
