--- a/entry/internal/crash/guard.go
+++ b/entry/internal/crash/guard.go
@@ -36,19 +36,19 @@
 
 	mu       sync.Mutex
 	trackers map[string]*poison.Tracker
-	// deadSince holds when servers were found dead.
+	// deadSince holds the times at which servers were found dead.
 	deadSince map[string]time.Time
 }
 
 const (
-	// maxTrackerHosts is how many entry hosts are candidates for the tracker of
-	// a pool before the local one is used.
+	// maxTrackerHosts is the number of entry hosts queried for the tracker of a
+	// pool before the local tracker is used.
 	maxTrackerHosts = 3
 	// queryTimeout bounds one query to an entry host.
 	queryTimeout = 150 * time.Millisecond
-	// broadcastTimeout bounds how long the final answer waits until all other
-	// entry hosts know that the request is blocked. Without the wait a resend
-	// through another entry host could overtake the mark and crash a third
+	// broadcastTimeout bounds how long the final error is held back until all
+	// other entry hosts know that the request is blocked. Otherwise a resend
+	// through another entry host could arrive before the mark and crash a third
 	// server.
 	broadcastTimeout = 300 * time.Millisecond
 	// suspectTTL is how long the mark of a suspected request lasts. It is short,
@@ -105,8 +105,8 @@
 )
 
 // query sends a query to the entry host that runs the tracker of the pool, or to
-// the next candidate if it does not answer. If all fail, the local tracker
-// answers.
+// the next candidate if it does not answer. If all of them fail, or the local
+// entry host is next, the local tracker answers.
 func (g *Guard) query(ctx context.Context, ask *wire.PoisonAsk) *wire.PoisonReply {
 	ask.Secret = g.Mesh.Secret
 	for _, p := range g.trackerHosts(ask.Pool) {
@@ -135,7 +135,8 @@
 
 // trackerHosts returns the entry hosts that may run the tracker of a pool, in
 // order of preference. Rendezvous hashing gives all entry hosts that see the same
-// members the same order. The local entry host has no address in the result.
+// members the same order. The result holds the local entry host without an
+// address.
 func (g *Guard) trackerHosts(pool string) []view.Peer {
 	snap := g.View.Load()
 	all := []view.Peer{{Name: snap.Self}}
@@ -149,11 +150,11 @@
 	return all[:min(len(all), maxTrackerHosts)]
 }
 
-// block broadcasts that a request is blocked and returns the final answer.
-func (g *Guard) block(request string, f poison.Fingerprint) *fault.Error {
+// block broadcasts that a request is blocked and returns its final error.
+func (g *Guard) block(requestID string, f poison.Fingerprint) *fault.Error {
 	metrics.GetOrRegisterCounter("guard.convicted", nil).Inc(1)
-	g.Trace.Record("guard", request, "request convicted: it crashed two servers")
-	g.Log.Error("guard: request convicted", "request", request, "fingerprint", f)
+	g.Trace.Record("guard", requestID, "request convicted: it crashed two servers")
+	g.Log.Error("guard: request convicted", "request", requestID, "fingerprint", f)
 	until := time.Now().Add(poison.BlockFor)
 	ctx, cancel := context.WithTimeout(context.Background(), broadcastTimeout)
 	defer cancel()
@@ -163,7 +164,8 @@
 	return poisonedError(until, fault.MayHaveRun)
 }
 
-// poisonedError returns the answer to a request that is refused until a time.
+// poisonedError returns the error of a request that is refused until the given
+// time.
 func poisonedError(until time.Time, verdict fault.Verdict) *fault.Error {
 	return &fault.Error{
 		Code: fault.Poisoned, Verdict: verdict,
--- a/entry/internal/crash/tracker.go
+++ b/entry/internal/crash/tracker.go
@@ -15,19 +15,19 @@
 	"fuchsiashelf.dev/parts/wire"
 )
 
-// Tracker tracks the crashes of servers under one copy of a request. Only the
-// goroutine that runs the request may use it.
-type Tracker struct {
-	guard   *Guard
-	request string
-	team    string
-	pool    string
-	body    []string
+// RequestTracker tracks the crashes of servers under one copy of a request. Only
+// the goroutine that runs the request may use it.
+type RequestTracker struct {
+	guard     *Guard
+	requestID string
+	team      string
+	pool      string
+	body      []string
 
 	cachedFingerprint poison.Fingerprint
 	// crashed holds the servers that crashed under this copy.
 	crashed []string
-	// restricted means that each attempt needs the permission of the poison
+	// restricted means that each attempt needs permission from the poison
 	// tracker.
 	restricted bool
 	// suspected means that the poison tracker has an entry for the request,
@@ -40,8 +40,8 @@
 // Track returns the tracker of a request, which is identified by its team and
 // body. It returns an error if the request is blocked. With a nil Guard the
 // tracker does nothing.
-func (g *Guard) Track(request, team, pool string, body ...string) (*Tracker, *fault.Error) {
-	t := &Tracker{guard: g, request: request, team: team, pool: pool, body: body}
+func (g *Guard) Track(requestID, team, pool string, body ...string) (*RequestTracker, *fault.Error) {
+	t := &RequestTracker{guard: g, requestID: requestID, team: team, pool: pool, body: body}
 	if g == nil {
 		return t, nil
 	}
@@ -53,7 +53,7 @@
 	f := string(t.fingerprint())
 	if until := snap.PoisonedRequests[f]; now.Before(until) {
 		metrics.GetOrRegisterCounter("guard.refused", nil).Inc(1)
-		g.Trace.Record("guard", request, "request refused: it crashed two servers")
+		g.Trace.Record("guard", requestID, "request refused: it crashed two servers")
 		return nil, poisonedError(until, fault.NotRun)
 	}
 	t.restricted = now.Before(snap.SuspectedRequests[f])
@@ -61,7 +61,7 @@
 }
 
 // fingerprint returns the fingerprint of the request, which it computes once.
-func (t *Tracker) fingerprint() poison.Fingerprint {
+func (t *RequestTracker) fingerprint() poison.Fingerprint {
 	if t.cachedFingerprint == "" {
 		t.cachedFingerprint = poison.NewFingerprint(t.team, t.body...)
 	}
@@ -69,11 +69,11 @@
 }
 
 const (
-	// trialTimeout bounds how long a suspected request waits for permission to
-	// run in isolation.
-	trialTimeout = 2 * time.Second
-	// trialInterval is the delay between two queries for that permission.
-	trialInterval = 10 * time.Millisecond
+	// permissionTimeout bounds how long a suspected request waits for permission
+	// to run in isolation.
+	permissionTimeout = 2 * time.Second
+	// permissionInterval is the delay between two queries for that permission.
+	permissionInterval = 10 * time.Millisecond
 	// suspectRetryAfter is the retry delay of a suspected request that got no
 	// permission in time.
 	suspectRetryAfter = 2 * time.Second
@@ -81,8 +81,8 @@
 
 // Admit calls choose until the request may run on the servers that it returned
 // last. A request that is not restricted runs on the first ones.
-func (t *Tracker) Admit(ctx context.Context, choose func() ([]string, *fault.Error)) *fault.Error {
-	end := time.Now().Add(trialTimeout)
+func (t *RequestTracker) Admit(ctx context.Context, choose func() ([]string, *fault.Error)) *fault.Error {
+	end := time.Now().Add(permissionTimeout)
 	for {
 		t.attemptStart = time.Now()
 		servers, e := choose()
@@ -96,10 +96,10 @@
 			return nil
 		case poison.Isolated:
 			t.suspected = true
-			t.guard.Trace.Record("guard", t.request, "suspect tried alone")
+			t.guard.Trace.Record("guard", t.requestID, "suspect tried alone")
 			return nil
 		case poison.Blocked:
-			return t.guard.block(t.request, t.fingerprint())
+			return t.guard.block(t.requestID, t.fingerprint())
 		case poison.Wait:
 		}
 		if ctx.Err() != nil || time.Now().After(end) {
@@ -107,33 +107,33 @@
 			e.Message = "this request is suspected of crashing backend servers, and could not be tried alone in time"
 			return e
 		}
-		wait.For(ctx, trialInterval)
+		wait.For(ctx, permissionInterval)
 	}
 }
 
 // AttemptFailed records that an attempt failed at a server, if that server has
 // crashed. Progressed says that the attempt had received a token. A non-nil error
-// is the final answer: the request must not be tried again.
-func (t *Tracker) AttemptFailed(ctx context.Context, server, address string, progressed bool) *fault.Error {
+// is final: the request must not be retried.
+func (t *RequestTracker) AttemptFailed(ctx context.Context, server, address string, progressed bool) *fault.Error {
 	if t.guard == nil || address == "" || !t.guard.isDead(ctx, address) {
 		return nil
 	}
-	if t.guard.diedBefore(server, t.attemptStart) {
+	if t.guard.foundDeadBefore(server, t.attemptStart) {
 		return nil
 	}
 	reply := t.query(ctx, &wire.PoisonAsk{Step: uint32(stepCrashed), Server: server, Progressed: progressed})
 	outcome := poison.Outcome(reply.Outcome)
-	t.guard.Trace.Record("guard", t.request, "server "+server+" died under the request: "+outcome.String())
+	t.guard.Trace.Record("guard", t.requestID, "server "+server+" died under the request: "+outcome.String())
 	if int(reply.Count) > len(t.crashed) {
-		// Only a crash attributed to this request is passed on to the next
-		// entry host that tracks the pool.
+		// The poison tracker attributed the crash to this request. Only such
+		// crashes are reported to an entry host that takes over the tracker.
 		t.crashed = append(t.crashed, server)
 	}
 	t.restricted = outcome == poison.Isolated
 	t.suspected = true
 	switch outcome {
 	case poison.Blocked:
-		return t.guard.block(t.request, t.fingerprint())
+		return t.guard.block(t.requestID, t.fingerprint())
 	case poison.Isolated:
 		t.guard.Mesh.Mark(peer.Mark{
 			Kind: peer.PoisonRequest, Name: string(t.fingerprint()),
@@ -145,35 +145,35 @@
 
 // Progressed records that the request received a token, which clears it of
 // suspicion.
-func (t *Tracker) Progressed() {
+func (t *RequestTracker) Progressed() {
 	if !t.suspected {
 		return
 	}
 	t.suspected, t.restricted, t.crashed = false, false, nil
 	t.query(context.Background(), &wire.PoisonAsk{Step: uint32(stepClear)})
-	t.guard.Trace.Record("guard", t.request, "suspicion cleared by a token")
+	t.guard.Trace.Record("guard", t.requestID, "suspicion cleared by a token")
 }
 
 // Close ends the tracking. If a run in isolation ended without a result, it
 // allows the next one.
-func (t *Tracker) Close() {
+func (t *RequestTracker) Close() {
 	if t.suspected && t.restricted {
 		t.query(context.Background(), &wire.PoisonAsk{Step: uint32(stepRelease)})
 	}
 }
 
 // query sends a query about the request to its poison tracker.
-func (t *Tracker) query(ctx context.Context, ask *wire.PoisonAsk) *wire.PoisonReply {
+func (t *RequestTracker) query(ctx context.Context, ask *wire.PoisonAsk) *wire.PoisonReply {
 	ask.Pool, ask.Fingerprint = t.pool, string(t.fingerprint())
-	ask.Holder = t.guard.View.Load().Self + "/" + t.request
+	ask.Holder = t.guard.View.Load().Self + "/" + t.requestID
 	ask.Dead = t.crashed
 	return t.guard.query(ctx, ask)
 }
 
-// diedBefore reports whether a server was found dead before a time, and records
-// that it is dead now. A chain may include a server that is already dead; a
-// request sent there did not crash it.
-func (g *Guard) diedBefore(server string, start time.Time) bool {
+// foundDeadBefore reports whether a server was found dead before a time, and
+// records that it is dead now. A chain may include a server that is already dead,
+// and a request sent there did not crash it.
+func (g *Guard) foundDeadBefore(server string, start time.Time) bool {
 	g.mu.Lock()
 	defer g.mu.Unlock()
 	now := time.Now()
@@ -189,8 +189,8 @@
 }
 
 // isDead reports whether the process of a server is gone: its host refuses or
-// resets connections. A server that answers is alive, whatever happened to the
-// request. A timeout proves nothing, since the link may be cut or the process
+// resets connections. A server that answers is alive even if the request failed
+// there. A timeout proves nothing, since the link may be cut or the process
 // paused.
 func (g *Guard) isDead(ctx context.Context, address string) bool {
 	ctx, cancel := context.WithTimeout(ctx, probeTimeout)
--- a/entry/internal/relay/attempt.go
+++ b/entry/internal/relay/attempt.go
@@ -15,7 +15,7 @@
 // attempt sends the request to one chain and forwards its tokens to the caller.
 func (d *delivery) attempt(parent context.Context) *fault.Error {
 	attempts.Inc(1)
-	e := d.suspicion.Admit(parent, func() ([]string, *fault.Error) {
+	e := d.crashTracker.Admit(parent, func() ([]string, *fault.Error) {
 		e := d.pickChain(d.View.Load(), time.Now())
 		return serverNames(d.stages), e
 	})
@@ -56,9 +56,8 @@
 }
 
 // reportCrash reports to the guard that this request may have crashed a server,
-// and returns the final error if the request must not be retried. It reports
-// neither a server that never got the request nor one that hangs without
-// having crashed.
+// and returns the final error if the request must not be retried. A server that
+// never got the request, or that hangs, has not crashed and is not reported.
 func (d *delivery) reportCrash(ctx context.Context, e *fault.Error, progressed bool) *fault.Error {
 	if e.Verdict == fault.NotRun || errors.Is(e.Cause, errSilent) {
 		return e
@@ -70,7 +69,7 @@
 		if d.stages[i].Server != e.Server {
 			continue
 		}
-		if final := d.suspicion.AttemptFailed(ctx, e.Server, d.stages[i].Address, progressed); final != nil {
+		if final := d.crashTracker.AttemptFailed(ctx, e.Server, d.stages[i].Address, progressed); final != nil {
 			return final
 		}
 	}
@@ -96,7 +95,7 @@
 	return &fault.Error{Code: code, Verdict: e.Verdict, Message: "no whole answer came in time", Cause: ctx.Err()}
 }
 
-// stream starts the attempt on its chain and copies the answer to the caller.
+// stream starts the attempt on its chain and copies the response to the caller.
 func (d *delivery) stream(ctx context.Context, m *monitor, startedAt time.Time) *fault.Error {
 	stream, err := d.Engine.Generate(ctx, &engine.Request{
 		RequestID: d.req.ID, Attempt: d.attemptNumber, Model: d.req.Pool.Model,
@@ -114,8 +113,8 @@
 	return d.copyTokens(stream, validator, m, startedAt)
 }
 
-// copyTokens forwards tokens to the caller until the answer is complete or the
-// attempt fails. The gap before a token is counted from last.
+// copyTokens forwards tokens to the caller until the response is complete or the
+// attempt fails. The gap before the first token is measured from last.
 func (d *delivery) copyTokens(stream *engine.Stream, validator *frame.Validator, m *monitor, last time.Time) *fault.Error {
 	first := true
 	for {
@@ -138,7 +137,7 @@
 				return e
 			}
 			last = time.Now()
-			m.token(last)
+			m.recordToken(last)
 		case frame.End:
 			return nil
 		case frame.Failed, frame.Invalid:
@@ -147,12 +146,12 @@
 	}
 }
 
-// deliver writes a token to the caller. The monitor is paused meanwhile: the
-// stream is not read while the caller is slow, so that its silence says nothing
-// about the chain.
+// deliver writes a token to the caller. The monitor is paused during the write:
+// the stream is not read then, so a gap between tokens would not mean that the
+// chain is silent.
 func (d *delivery) deliver(f *engine.Frame, m *monitor) *fault.Error {
 	m.pause()
-	d.suspicion.Progressed()
+	d.crashTracker.Progressed()
 	d.sent = append(d.sent, f.Token)
 	if err := d.sink.Token(f.Index, f.Token); err != nil {
 		return &fault.Error{Code: fault.Cancelled, Cause: err}
--- a/entry/internal/relay/fake_test.go
+++ b/entry/internal/relay/fake_test.go
@@ -24,30 +24,30 @@
 type fakeServer struct {
 	*httptest.Server
 	name string
-	// script answers a request, or returns false for the default answer.
-	script atomic.Pointer[func(r *replyWriter, req *engine.Request) bool]
+	// script answers a request, or returns false for the default response.
+	script atomic.Pointer[func(r *frameWriter, req *engine.Request) bool]
 	// frozen makes the server leave status requests unanswered.
 	frozen atomic.Bool
 	// calls counts the attempts, cancelled those that the client cancelled while
-	// the script answered.
+	// the script ran.
 	calls, cancelled atomic.Int64
 }
 
-// replyWriter writes the frames of an answer.
-type replyWriter struct {
+// frameWriter writes the frames of a response.
+type frameWriter struct {
 	http.ResponseWriter
 	ctx context.Context
 	req *engine.Request
 }
 
-func (r *replyWriter) frame(f engine.Frame) {
+func (r *frameWriter) frame(f engine.Frame) {
 	f.Request, f.Attempt = r.req.RequestID, r.req.Attempt
 	_ = json.NewEncoder(r).Encode(f)
 	r.ResponseWriter.(http.Flusher).Flush()
 }
 
 // token writes the token with the given index, which is the same on all servers.
-func (r *replyWriter) token(index int) {
+func (r *frameWriter) token(index int) {
 	f := engine.Frame{Index: index, Token: tokenText(r.req.Prompt, index)}
 	for _, s := range r.req.Chain {
 		f.Spans = append(f.Spans, engine.Span{Server: s.Server, First: s.First, End: s.End, RunUs: 1000})
@@ -73,7 +73,7 @@
 		return
 	}
 	f.calls.Add(1)
-	out := &replyWriter{w, r.Context(), req}
+	out := &frameWriter{w, r.Context(), req}
 	if script := f.script.Load(); script != nil && (*script)(out, req) {
 		if r.Context().Err() != nil {
 			f.cancelled.Add(1)
@@ -86,7 +86,7 @@
 	out.frame(engine.Frame{End: true, Count: req.Max})
 }
 
-func (f *fakeServer) setScript(script func(r *replyWriter, req *engine.Request) bool) {
+func (f *fakeServer) setScript(script func(r *frameWriter, req *engine.Request) bool) {
 	f.script.Store(&script)
 }
 
@@ -163,7 +163,7 @@
 	return nil
 }
 
-// wantTokens returns the tokens of a complete answer.
+// wantTokens returns the tokens of a complete response.
 func wantTokens(prompt string, total int) []string {
 	var all []string
 	for i := range total {
@@ -172,7 +172,7 @@
 	return all
 }
 
-// encodedFrames returns the encoded frames of a complete answer, each with one
+// encodedFrames returns the encoded frames of a complete response, each with one
 // span per stage of the chain.
 func encodedFrames(req *engine.Request, total int) [][]byte {
 	var all [][]byte
--- a/entry/internal/relay/monitor.go
+++ b/entry/internal/relay/monitor.go
@@ -16,7 +16,7 @@
 
 // monitor cancels one attempt if its chain stays silent for too long. The stream
 // only stores the time of its last token, and a timer checks it periodically, so
-// that no token has to reset a timer.
+// that tokens do not reset the timer.
 type monitor struct {
 	forwarder *Forwarder
 	stages    []engine.Stage
@@ -37,8 +37,8 @@
 	gaps retry.Gaps
 }
 
-// paused is the value of lastToken while the caller reads: a time in the far
-// future.
+// paused is the value of lastToken while a token is written to the caller: a time
+// in the far future.
 const paused = math.MaxInt64 / 2
 
 // startMonitor starts a monitor of an attempt.
@@ -55,8 +55,8 @@
 	return m
 }
 
-// token records that a token was received and forwarded to the caller.
-func (m *monitor) token(now time.Time) {
+// recordToken records that a token was received and forwarded to the caller.
+func (m *monitor) recordToken(now time.Time) {
 	m.setTimeouts(m.gaps.Timeouts())
 	m.lastToken.Store(int64(now.Sub(m.startedAt)))
 }
--- a/entry/internal/relay/probe.go
+++ b/entry/internal/relay/probe.go
@@ -46,7 +46,7 @@
 		p.sent.Store(true)
 		ctx, cancel := context.WithTimeout(context.Background(), probeTimeout)
 		defer cancel()
-		// Any answer other than a valid status counts as none.
+		// Only a valid status counts as an answer.
 		if _, err := f.Engine.Status(ctx, address); err == nil {
 			p.answered.Store(true)
 		}
--- a/entry/internal/relay/relay.go
+++ b/entry/internal/relay/relay.go
@@ -1,5 +1,5 @@
 // Package relay forwards model requests: it picks a chain of servers, validates
-// each frame of the answer, and resumes on another chain when one fails.
+// each frame of the response, and resumes on another chain when one fails.
 //
 // The caller's stream continues across such a failure: the next chain gets the
 // prompt and the tokens that the caller already has, and continues with the
@@ -58,7 +58,7 @@
 	Priority int
 }
 
-// Sink receives the tokens of an answer, in order and each exactly once.
+// Sink receives the tokens of a response, in order and each exactly once.
 type Sink interface {
 	Token(index int, text string) error
 }
@@ -75,19 +75,20 @@
 	recovery = metrics.NewRegisteredTimer("relay.recovery", nil)
 )
 
-// Do forwards a request and its answer. It returns the number of tokens sent to
-// the caller, and the error to return to the caller if the answer is incomplete.
+// Do forwards a request and its response. It returns the number of tokens sent to
+// the caller, and the error to return to the caller if the response is
+// incomplete.
 func (f *Forwarder) Do(ctx context.Context, req *Request, sink Sink) (int, *fault.Error) {
 	caller := ctx
 	ctx, cancel := context.WithDeadline(ctx, req.Deadline)
 	defer cancel()
-	suspicion, e := f.Guard.Track(req.ID, req.Team, req.Pool.Name, req.Pool.Model, req.Prompt)
+	tracker, e := f.Guard.Track(req.ID, req.Team, req.Pool.Name, req.Pool.Model, req.Prompt)
 	if e != nil {
 		return 0, e
 	}
-	defer suspicion.Close()
+	defer tracker.Close()
 	d := &delivery{
-		Forwarder: f, req: req, sink: sink, suspicion: suspicion,
+		Forwarder: f, req: req, sink: sink, crashTracker: tracker,
 		pool: f.stateOf(req.Pool.Name), verdict: fault.NotRun,
 	}
 	for d.attemptNumber = 1; ; d.attemptNumber++ {
@@ -115,20 +116,23 @@
 	*Forwarder
 	req  *Request
 	sink Sink
-	// suspicion tracks for the guard whether this request crashes servers.
-	suspicion *crash.Tracker
-	pool      *poolState
+	// crashTracker tracks for the guard whether this request crashes servers.
+	crashTracker *crash.RequestTracker
+	pool         *poolState
 	// attemptNumber is the number of the current attempt, from 1.
 	attemptNumber int
-	sent          []string
-	verdict       fault.Verdict
+	// sent holds the tokens forwarded to the caller.
+	sent []string
+	// verdict covers all attempts so far.
+	verdict fault.Verdict
 	// failedAt is when an attempt first failed since the last token, zero if none
 	// has.
 	failedAt time.Time
-	// skip holds the servers that this request avoids besides the suspected ones.
-	skip   []string
-	hops   []pick.Hop
-	stages []engine.Stage
+	// avoided holds the servers that this request avoids besides the suspected
+	// ones, the most recent one last.
+	avoided []string
+	hops    []pick.Hop
+	stages  []engine.Stage
 }
 
 // allowRetry reports whether another chain may be tried, and withdraws from the
@@ -146,16 +150,15 @@
 }
 
 // avoidedServers returns the servers that this request avoids, with the time
-// until which it does; servers with a later time are avoided more. Those that
-// failed this request come after all other suspects, the most recent one last:
-// otherwise, when all servers of a stage are suspected, each attempt could pick
-// the same dead one.
+// until which it does. If a stage has no other server, the one with the earliest
+// time is preferred. Servers in avoided get later times than all other suspects,
+// since each attempt could otherwise pick the same dead server.
 func (d *delivery) avoidedServers(snap *view.Snapshot) map[string]time.Time {
-	if len(d.skip) == 0 {
+	if len(d.avoided) == 0 {
 		return snap.SuspectedServers
 	}
 	return view.Edit(snap.SuspectedServers, func(m map[string]time.Time) {
-		for i, name := range d.skip {
+		for i, name := range d.avoided {
 			m[name] = d.req.Deadline.Add(time.Duration(i+1) * time.Hour)
 		}
 	})
--- a/entry/internal/relay/relay_test.go
+++ b/entry/internal/relay/relay_test.go
@@ -16,14 +16,15 @@
 )
 
 // A server fails at any token: it closes the stream, reports a failure, ends the
-// answer too early, or skips a token. The caller still gets every token once.
+// response too early, or skips a token. The caller still gets every token exactly
+// once.
 func TestResumeAtEachToken(t *testing.T) {
 	const total = 6
-	ends := map[string]func(r *replyWriter){
-		"closed":  func(*replyWriter) {},
-		"failure": func(r *replyWriter) { r.frame(engine.Frame{Fail: &engine.Failure{Server: r.req.Chain[0].Server}}) },
-		"early":   func(r *replyWriter) { r.frame(engine.Frame{End: true, Count: total}) },
-		"skipped": func(r *replyWriter) { r.token(total) },
+	ends := map[string]func(r *frameWriter){
+		"closed":  func(*frameWriter) {},
+		"failure": func(r *frameWriter) { r.frame(engine.Frame{Fail: &engine.Failure{Server: r.req.Chain[0].Server}}) },
+		"early":   func(r *frameWriter) { r.frame(engine.Frame{End: true, Count: total}) },
+		"skipped": func(r *frameWriter) { r.token(total) },
 	}
 	for name, end := range ends {
 		t.Run(name, func(t *testing.T) {
@@ -31,7 +32,7 @@
 			for index := range total {
 				cl := newCluster(t, "a1", "a2")
 				for _, f := range cl.servers {
-					f.setScript(func(r *replyWriter, req *engine.Request) bool {
+					f.setScript(func(r *frameWriter, req *engine.Request) bool {
 						if req.Attempt > 1 {
 							return false
 						}
@@ -53,7 +54,7 @@
 	}
 }
 
-// Two servers fail one after the other during the same answer, the second
+// Two servers fail one after the other during the same response, the second
 // possibly before its first token.
 func TestTwoFailures(t *testing.T) {
 	c := quicktest.New(t)
@@ -63,7 +64,7 @@
 			cl := newCluster(t, "a1", "a2", "a3")
 			ends := []int{first, second}
 			for _, f := range cl.servers {
-				f.setScript(func(r *replyWriter, req *engine.Request) bool {
+				f.setScript(func(r *frameWriter, req *engine.Request) bool {
 					if req.Attempt > len(ends) {
 						return false
 					}
@@ -81,14 +82,14 @@
 	}
 }
 
-// A server freezes during an answer: its connections stay open, and it answers
-// no probes. Another server completes the answer, and the attempt on the frozen
+// A server freezes during a response: its connections stay open, and it answers
+// no probes. Another server completes the response, and the attempt on the frozen
 // one is cancelled.
 func TestFrozenServerIsReplaced(t *testing.T) {
 	c := quicktest.New(t)
 	cl := newCluster(t, "a1", "a2")
 	for _, f := range cl.servers {
-		f.setScript(func(r *replyWriter, req *engine.Request) bool {
+		f.setScript(func(r *frameWriter, req *engine.Request) bool {
 			if req.Attempt > 1 {
 				return false
 			}
@@ -128,7 +129,7 @@
 	c := quicktest.New(t)
 	cl := newCluster(t, "a1", "a2", "b1", "b2", "b3")
 	cl.splitLayers(0, 0, 1, 1, 1)
-	deliverSilently := func() *delivery {
+	failSilently := func() *delivery {
 		d := &delivery{Forwarder: cl.forwarder, req: cl.request("q", 5), pool: cl.forwarder.stateOf("lake")}
 		for len(d.stages) == 0 || d.stages[0].Server != "a1" {
 			c.Assert(d.pickChain(cl.forwarder.View.Load(), time.Now()) == nil, quicktest.IsTrue)
@@ -137,7 +138,7 @@
 		return d
 	}
 	// The request avoids all servers of the chain.
-	d := deliverSilently()
+	d := failSilently()
 	chain := serverNames(d.stages)
 	for range 100 {
 		c.Assert(d.pickChain(cl.forwarder.View.Load(), time.Now()) == nil, quicktest.IsTrue)
@@ -153,7 +154,7 @@
 		}
 	}
 	resetSilences()
-	d = deliverSilently()
+	d = failSilently()
 	resetSilences()
 	suspects := cl.forwarder.View.Load().SuspectedServers
 	c.Assert(suspects, quicktest.HasLen, 1)
@@ -165,12 +166,12 @@
 	c.Assert(cl.forwarder.View.Load().Meters["a1"].Failures.Load(), quicktest.Equals, int64(1))
 }
 
-// A caller disconnects during its answer. The attempt is cancelled and not
+// A caller disconnects during its response. The attempt is cancelled and not
 // retried: otherwise connected callers would wait for work that nobody reads.
 func TestCallerDisconnects(t *testing.T) {
 	c := quicktest.New(t)
 	cl := newCluster(t, "a1")
-	cl.servers[0].setScript(func(r *replyWriter, _ *engine.Request) bool {
+	cl.servers[0].setScript(func(r *frameWriter, _ *engine.Request) bool {
 		r.token(0)
 		<-r.ctx.Done()
 		return true
@@ -192,7 +193,7 @@
 	cl := newCluster(t, "a1", "a2")
 	release := make(chan struct{})
 	for _, f := range cl.servers {
-		f.setScript(func(r *replyWriter, req *engine.Request) bool {
+		f.setScript(func(r *frameWriter, req *engine.Request) bool {
 			for i := len(req.Sent); i < 6; i++ {
 				if i == 4 {
 					<-release
@@ -227,8 +228,8 @@
 // Every server refuses or fails. The caller gets the verdict whether the request
 // may have run, and when to retry.
 func TestAllServersFail(t *testing.T) {
-	refuse := func(reason string) func(*replyWriter, *engine.Request) bool {
-		return func(r *replyWriter, _ *engine.Request) bool {
+	refuse := func(reason string) func(*frameWriter, *engine.Request) bool {
+		return func(r *frameWriter, _ *engine.Request) bool {
 			r.Header().Set(engine.NotRunHeader, reason)
 			r.WriteHeader(503)
 			return true
@@ -236,14 +237,14 @@
 	}
 	for _, test := range []struct {
 		name    string
-		script  func(*replyWriter, *engine.Request) bool
+		script  func(*frameWriter, *engine.Request) bool
 		code    fault.Code
 		verdict fault.Verdict
 	}{
 		{"leaving", refuse(engine.Leaving), fault.NoCover, fault.NotRun},
 		{"full", refuse("full"), fault.ServerRefused, fault.NotRun},
-		{"broken", func(r *replyWriter, _ *engine.Request) bool { r.WriteHeader(500); return true }, fault.ServerFailed, fault.MayHaveRun},
-		{"later stage refuses", func(r *replyWriter, _ *engine.Request) bool {
+		{"broken", func(r *frameWriter, _ *engine.Request) bool { r.WriteHeader(500); return true }, fault.ServerFailed, fault.MayHaveRun},
+		{"later stage refuses", func(r *frameWriter, _ *engine.Request) bool {
 			r.frame(engine.Frame{Fail: &engine.Failure{Server: "a1", Message: "full", Refused: true}})
 			return true
 		}, fault.ServerRefused, fault.MayHaveRun},
@@ -301,7 +302,7 @@
 	c := quicktest.New(t)
 	cl := newCluster(t, "a1", "a2")
 	for _, f := range cl.servers {
-		f.setScript(func(r *replyWriter, _ *engine.Request) bool { r.WriteHeader(500); return true })
+		f.setScript(func(r *frameWriter, _ *engine.Request) bool { r.WriteHeader(500); return true })
 	}
 	const requests = 100
 	for range requests {
@@ -352,7 +353,7 @@
 		wire.Chain = append(wire.Chain, engine.Stage{Server: name, First: i, End: i + 1})
 	}
 	all := encodedFrames(wire, total)
-	cl.servers[0].setScript(func(r *replyWriter, _ *engine.Request) bool {
+	cl.servers[0].setScript(func(r *frameWriter, _ *engine.Request) bool {
 		for _, line := range all {
 			_, _ = r.Write(line)
 		}
--- a/entry/internal/relay/suspect.go
+++ b/entry/internal/relay/suspect.go
@@ -41,7 +41,7 @@
 		return
 	}
 	if e.Message != engine.Leaving {
-		d.skip = append(d.skip, e.Server)
+		d.avoided = append(d.avoided, e.Server)
 		d.suspectUntil(time.Now().Add(health.SuspectFor(1)), e.Server)
 		return
 	}
@@ -54,9 +54,9 @@
 	d.Trace.Record("relay", d.req.ID, "server "+e.Server+" is leaving")
 }
 
-// maxSilences is the number of silent chains in a row, without a token in
+// maxSilentChains is the number of silent chains in a row, without a token in
 // between, after which a server in all of them is suspected.
-const maxSilences = 2
+const maxSilentChains = 2
 
 // handleSilence handles a chain that fell silent although all its servers
 // answered their probes. One of its links must be down, but which one is
@@ -68,8 +68,8 @@
 func (d *delivery) handleSilence() {
 	d.avoidLinks()
 	for i := range d.hops {
-		d.skip = append(d.skip, d.stages[i].Server)
-		if d.hops[i].Meter.SilentChains.Add(1) >= maxSilences {
+		d.avoided = append(d.avoided, d.stages[i].Server)
+		if d.hops[i].Meter.SilentChains.Add(1) >= maxSilentChains {
 			d.suspectServers(d.stages[i].Server)
 		}
 	}
@@ -79,7 +79,7 @@
 // row. All streams of a server fail together with it, so failures during its
 // suspicion are not counted again.
 func (d *delivery) suspectServers(servers ...string) {
-	d.skip = append(d.skip, servers...)
+	d.avoided = append(d.avoided, servers...)
 	now := time.Now()
 	suspects := d.View.Load().SuspectedServers
 	for i := range d.stages {
--- a/entry/internal/relay/table.go
+++ b/entry/internal/relay/table.go
@@ -46,10 +46,10 @@
 	return ps.(*poolState)
 }
 
-// table returns the table of a pool for a snapshot. Requests wait for a new
-// table only if the snapshot's epoch differs from that of the cached one. When
-// the table has only reached tableMaxAge, one request rebuilds it while the
-// others use the cached one.
+// table returns the table of a pool for a snapshot. Requests wait for a new table
+// only if the cached one has another epoch, since its servers may then be
+// outdated. When a table has only reached tableMaxAge, one request rebuilds it
+// while the others use the cached one.
 func (ps *poolState) table(snap *view.Snapshot, routed *pool.Pool, now time.Time) (*pick.Table, *fault.Error) {
 	p, current := currentPool(snap, routed)
 	if !current {
