--- a/entry/internal/watch/objects.go
+++ b/entry/internal/watch/objects.go
@@ -16,7 +16,8 @@
 )
 
 // errOldObjects is the failure of a watch that returned only objects received
-// before. It is retried after a wait, so that the watch does not spin.
+// before. Like any failure, it is retried after a delay, which keeps the watch
+// from spinning.
 var errOldObjects = errors.New("watch returned only objects that were received before")
 
 // watchObjects applies the configuration and the teams from a watch that resumes
@@ -30,15 +31,15 @@
 			continue
 		}
 		if changes.Version < after {
-			// The store's version counter decreased, so it was restored from an
-			// older copy. A watch from the old version would miss all new
+			// The version counter of the object API decreased, so it was restored
+			// from an older copy. A watch from the old version would miss all new
 			// versions up to it, without any error.
 			w.Log.Error("watch: store version decreased", "from", after, "to", changes.Version)
 			after = 0
 			continue
 		}
-		// The next watch resumes after the newest object received, not after
-		// the store's counter: if the answer comes from an older copy, the
+		// The next watch resumes after the newest object received, not after the
+		// object API's counter: if the answer comes from an older copy, the
 		// counter would skip a version that was never received.
 		newest := after
 		for _, o := range changes.Objects {
@@ -58,8 +59,8 @@
 	}
 }
 
-// applyObject applies an object of the store. If the configuration is older than
-// the one in force, the store is checked.
+// applyObject applies an object received from the object API. If the
+// configuration is older than the one in force, the object API is checked.
 func (w *Watcher) applyObject(ctx context.Context, o store.Object) {
 	switch o.Key {
 	case conf.Key:
@@ -92,10 +93,10 @@
 
 // entryHosts returns the number of known entry hosts, including this one. After
 // each watch without changes, one of them on average reads the configuration from
-// the store: a store restored from an older copy sends no event, and writes of
-// other objects soon move its counter past the old version. If every entry host
-// read it each time, the store's nodes would exceed their budget for control
-// traffic many times over.
+// the object API, since a restore of the object API from an older copy causes no
+// event, and writes of other objects soon move its counter past the old version.
+// If every entry host read it each time, the nodes of the object API would exceed
+// their budget for control traffic many times over.
 func (w *Watcher) entryHosts() int {
 	if w.Peers == nil {
 		return 1
@@ -103,9 +104,9 @@
 	return len(w.Peers.Others()) + 1
 }
 
-// checkStore reads the configuration from the store, and raises an alarm if it
-// lacks lines that are in force. An old configuration from the watch is no proof of
-// that, since the watch may lag behind what peers have passed on.
+// checkStore reads the configuration from the object API, and reports it as stale
+// if it lacks lines that are in force. An old configuration from the watch does
+// not prove that, since the watch may lag behind what peers have passed on.
 func (w *Watcher) checkStore(ctx context.Context) {
 	current := w.View.Load().Config
 	o, err := w.Store.Get(ctx, conf.Key)
@@ -133,13 +134,15 @@
 	return 0
 }
 
-// StoreStale returns a channel that receives when the store holds an older
-// configuration than the one in force here, which has to be written back.
+// StoreStale returns a channel that receives a value when the object API holds an
+// older configuration than the one in force here, which then has to be written
+// back.
 func (w *Watcher) StoreStale() <-chan struct{} {
 	return w.storeStale
 }
 
-// MarkStoreStale makes the channel of StoreStale receive.
+// MarkStoreStale sends a value to the channel of StoreStale, unless one is
+// pending.
 func (w *Watcher) MarkStoreStale() {
 	select {
 	case w.storeStale <- struct{}{}:
--- a/entry/internal/watch/sync.go
+++ b/entry/internal/watch/sync.go
@@ -14,26 +14,26 @@
 	"fuchsiashelf.dev/parts/wire"
 )
 
-// maxSyncPeers is the number of peers queried at the start. One peer and the store
-// are enough while nothing else fails; more are queried since peers may be cut off
-// themselves. The state of the others arrives through the regular exchange between
-// entry hosts.
+// maxSyncPeers is the number of peers queried at the start. One peer and the
+// object API are enough while nothing else fails; more are queried since peers
+// may be cut off themselves. The state of the others arrives by gossip.
 const maxSyncPeers = 8
 
 // peerTimeout bounds a query of one peer.
 const peerTimeout = time.Second
 
-// HasSynced reports whether this entry host has queried its peers and the store
-// and has a configuration, hosts and teams. Before that, callers could be routed by
-// a configuration that was replaced long ago: only peers know the newest one while
-// the store is down, and a store restored from an older copy does not hold it.
+// HasSynced reports whether this entry host has queried its peers and the object
+// API and has a configuration, hosts and teams. Before that, callers could be
+// routed by a configuration that was replaced long ago: only peers know the
+// newest one while the object API is down, and an object API restored from an
+// older copy does not hold it.
 func (w *Watcher) HasSynced() bool {
 	snap := w.View.Load()
 	return w.synced.Load() && snap.Config != nil && snap.HostsRevision > 0 && snap.Teams != nil
 }
 
-// syncPeers queries peers until one answers, or once none does and the store has
-// answered.
+// syncPeers queries peers until one answers, or until none answers but the object
+// API has.
 func (w *Watcher) syncPeers(ctx context.Context) {
 	for ctx.Err() == nil {
 		storeAnswered := w.objectsReceived.Load() && w.View.Load().HostsRevision > 0
@@ -45,8 +45,8 @@
 	}
 }
 
-// queryPeers queries up to maxSyncPeers peers and seeds and applies their replies.
-// It reports whether any of them replied with a configuration or teams.
+// queryPeers queries up to maxSyncPeers of the peers and seeds, and applies their
+// replies. It reports whether any of them replied with a configuration or teams.
 func (w *Watcher) queryPeers(ctx context.Context) bool {
 	if w.Peers == nil {
 		return false
@@ -71,8 +71,8 @@
 	return answered
 }
 
-// queryPeer queries a peer and applies its reply. It reports whether the reply held
-// a configuration or teams.
+// queryPeer queries a peer and applies its reply. It reports whether the reply
+// held a configuration or teams.
 func (w *Watcher) queryPeer(ctx context.Context, h host.Host) bool {
 	ctx, cancel := context.WithTimeout(ctx, peerTimeout)
 	defer cancel()
@@ -90,7 +90,8 @@
 	return len(reply.Object) > 0 || len(reply.Teams) > 0
 }
 
-// applyReply applies what is newer in a peer's reply.
+// applyReply applies the parts of a peer's reply that are newer than the
+// snapshot.
 func (w *Watcher) applyReply(reply *wire.ConfigReply) {
 	if len(reply.Object) > 0 {
 		w.ApplyEncoded(reply.Object)
@@ -120,7 +121,7 @@
 }
 
 // FillReply adds the host list and the teams to the reply to a peer that starts
-// while the store is down.
+// while the object API is down.
 func FillReply(s *view.Snapshot, reply *wire.ConfigReply) error {
 	list := host.List{Revision: s.HostsRevision}
 	for _, h := range s.Hosts {
--- a/entry/internal/watch/watch.go
+++ b/entry/internal/watch/watch.go
@@ -3,11 +3,11 @@
 //
 // They come from the platform's object API through two long-polling watches, one
 // for the objects and one for the host list. Other entry hosts also pass on their
-// configuration, so that an entry host cut off from the platform still follows.
-// Whatever the source, a configuration comes into force only if its revision is
-// higher than that of the current one: an older copy that arrives late never
-// reverts an accepted change. The exception is the start, before an entry host
-// has synced with its peers.
+// configuration, so that an entry host cut off from the platform still gets
+// changes. A configuration from either source comes into force only if its
+// revision is higher than that of the current one, so that an older copy that
+// arrives late does not revert an accepted change. The exception is the start,
+// before an entry host has synced with its peers.
 package watch
 
 import (
@@ -49,8 +49,8 @@
 	Peers Peers
 	// Secret is the secret shared by the entry hosts.
 	Secret string
-	// Seeds are the addresses of other entry hosts, used when this one starts while
-	// the store is down.
+	// Seeds are the addresses of other entry hosts, used when this one starts
+	// while the object API is down.
 	Seeds []string
 	// Done is closed when Run returns; it may be nil.
 	Done chan struct{}
@@ -59,9 +59,9 @@
 	// objects and hosts are the states of the two watches.
 	objects, hosts watchState
 
-	// objectsReceived says that the store has answered the watch of objects.
+	// objectsReceived says that the object API has answered the watch of objects.
 	objectsReceived atomic.Bool
-	// synced says that a peer has answered, or the store has and no peer did.
+	// synced says that a peer has answered, or that only the object API has.
 	synced     atomic.Bool
 	storeStale chan struct{}
 }
@@ -103,8 +103,8 @@
 }
 
 // Staleness returns the time since the object API last answered the watch of the
-// configuration, or zero if the watch's last call was answered. An entry host that
-// is cut off keeps serving with the configuration that it has.
+// configuration, or zero if it answered the last call. An entry host that is cut
+// off keeps serving with the configuration that it has.
 func (w *Watcher) Staleness() time.Duration {
 	answeredAt := w.objects.answeredAt.Load()
 	if answeredAt == 0 {
@@ -129,8 +129,9 @@
 	return w.applyIf(c, c.Supersedes)
 }
 
-// applyFromPeer applies a configuration that is in force on another entry host. At
-// the start it may replace one with a higher revision, from a restored store.
+// applyFromPeer applies a configuration that is in force on another entry host.
+// Before the sync it may replace one with a higher revision, which came from a
+// restored object API.
 func (w *Watcher) applyFromPeer(c *conf.Config) bool {
 	if w.synced.Load() {
 		return w.Apply(c)
@@ -143,9 +144,9 @@
 func (w *Watcher) applyIf(c *conf.Config, supersedes func(*conf.Config) bool) bool {
 	applied, diverged := false, false
 	w.View.Update(func(s *view.Snapshot) {
-		// An older copy comes from a restored store, a watch that lags, or a peer
-		// that was cut off. Applying it would revert lines already confirmed to
-		// operators.
+		// An older copy comes from a restored object API, a watch that lags, or a
+		// peer that was cut off. Applying it would revert lines already confirmed
+		// to operators.
 		if !supersedes(s.Config) {
 			diverged = s.Config != nil && s.Config.Revision < c.Revision
 			return
@@ -155,8 +156,8 @@
 		updateCordons(s, time.Now())
 	})
 	if diverged {
-		// This happens only after a restore of the store: new lines were accepted
-		// on top of an older copy that lacks lines in force here.
+		// This happens only after a restore of the object API: new lines were
+		// accepted on top of an older copy that lacks lines in force here.
 		metrics.GetOrRegisterCounter("watch.diverged", nil).Inc(1)
 		w.Log.Error("watch: configuration not applied: lines in force are missing", "revision", c.Revision)
 		w.Trace.Record("watch", "", fmt.Sprintf("revision %d lacks lines in force, not taken", c.Revision))
@@ -171,8 +172,8 @@
 
 // watchState is the state of one watch.
 type watchState struct {
-	// answeredAt is when a call was last answered, in Unix nanoseconds; zero if none
-	// ever was.
+	// answeredAt is when a call was last answered, in Unix nanoseconds; zero if
+	// none ever was.
 	answeredAt atomic.Int64
 	// failing says that the last call failed.
 	failing atomic.Bool
--- a/entry/internal/watch/watch_test.go
+++ b/entry/internal/watch/watch_test.go
@@ -59,7 +59,8 @@
 	return host.List{}, ctx.Err()
 }
 
-// onePeer is a single peer that sends its reply, or is down without one.
+// onePeer is a single peer that sends its reply, or is unreachable if it has
+// none.
 type onePeer struct{ reply *wire.ConfigReply }
 
 func (onePeer) Others() []host.Host { return []host.Host{{Name: "e2", Address: "e2"}} }
@@ -123,9 +124,10 @@
 	return store.Changes{Version: version, Objects: []store.Object{{Key: conf.Key, Version: version, Value: value}}}
 }
 
-// The store is restored from an older copy, and its version counter decreases. A
-// watch for versions above the last one seen would return nothing until the counter
-// gets there, and the older configuration must not come into force.
+// The object API is restored from an older copy, and its version counter
+// decreases. A watch for versions above the last one seen would return nothing
+// until the counter gets there, and the older configuration must not come into
+// force.
 func TestStoreRestored(t *testing.T) {
 	c := quicktest.New(t)
 	api := newStore()
@@ -144,8 +146,9 @@
 	waitFor(w, func(s *view.Snapshot) bool { return s.Config.Revision == 6 })
 }
 
-// An entry host starts while the store is down. Without the configuration, hosts
-// and teams of its peers it would refuse every caller until the store is back.
+// An entry host starts while the object API is down. Without the configuration,
+// hosts and teams of its peers it would refuse every caller until the object API
+// is back.
 func TestSyncFromPeers(t *testing.T) {
 	c := quicktest.New(t)
 	api := newStore()
@@ -160,8 +163,8 @@
 	})
 }
 
-// An entry host starts, and neither the store nor a peer answers. It has no routes
-// and must not count as synced, or it would be sent callers.
+// An entry host starts, and neither the object API nor a peer answers. It has no
+// routes and must not count as synced, or it would be sent callers.
 func TestNoSyncSource(t *testing.T) {
 	c := quicktest.New(t)
 	api := newStore()
@@ -174,10 +177,10 @@
 	c.Assert(w.HasSynced(), quicktest.IsFalse)
 }
 
-// The store is restored from an older copy, and writes of other objects move its
-// counter past the old version before the next watch. No event shows the restore;
-// without a check of the store, the newest lines would be lost with the last entry
-// host that has them.
+// The object API is restored from an older copy, and writes of other objects move
+// its counter past the old version before the next watch. No event shows the
+// restore; without a check of the object API, the newest lines would be lost with
+// the last entry host that has them.
 func TestStoreRestoredWithoutEvent(t *testing.T) {
 	c := quicktest.New(t)
 	api := newStore()
