--- a/entry/internal/admin/accept.go
+++ b/entry/internal/admin/accept.go
@@ -14,11 +14,12 @@
 	"fuchsiashelf.dev/parts/wire"
 )
 
-// acceptTimeout bounds the time to get a line accepted. It is far above the
-// object API's usual few milliseconds, so that a slow one still answers.
+// acceptTimeout bounds the time to get a line accepted. The object API usually
+// answers in a few milliseconds; the bound leaves room for a slow one.
 const acceptTimeout = 8 * time.Second
 
-// outageTimeout bounds the retries of a line that certainly changed nothing.
+// outageTimeout bounds the retries of a line while no write of it can have taken
+// effect.
 const outageTimeout = 3 * time.Second
 
 // retryInterval is the mean delay between two attempts.
@@ -27,7 +28,7 @@
 // maxObjectBytes is the largest configuration that the object API holds, in bytes.
 const maxObjectBytes = 1 << 20
 
-// submission is the state of one line until it is accepted or refused.
+// submission is the state of one line until it is answered.
 type submission struct {
 	*Server
 	line   *wire.Line
@@ -35,7 +36,7 @@
 	// seenRevision is the revision that the operator saw.
 	seenRevision uint64
 	write        conf.Write
-	// config is the configuration built last, and encoded its encoding.
+	// config is the configuration built last, and encoded its encoded form.
 	config  *conf.Config
 	encoded []byte
 }
@@ -71,10 +72,10 @@
 	if !sub.awaitHosts(ctx) {
 		return conf.Line{}, &wire.Answer{Outcome: Refused, Message: hostsUnknown + "; nothing was changed"}
 	}
-	known := sub.survey(ctx)
+	survey := sub.survey(ctx)
 	var lastErr error
 	for {
-		accepted, answer, err := sub.attempt(ctx, known)
+		accepted, answer, err := sub.attempt(ctx, survey)
 		if answer != nil {
 			return conf.Line{}, answer
 		}
@@ -93,10 +94,10 @@
 
 // attempt reads the object and takes the next step. If the read fails, the line
 // may still be in force here, received from a watch or a peer.
-func (sub *submission) attempt(ctx context.Context, known surveyResult) (*conf.Line, *wire.Answer, error) {
+func (sub *submission) attempt(ctx context.Context, survey surveyResult) (*conf.Line, *wire.Answer, error) {
 	object, stored, err := sub.readConfig(ctx)
 	if err == nil {
-		return sub.handleRead(ctx, object, stored, known)
+		return sub.handleRead(ctx, object, stored, survey)
 	}
 	if line := sub.findLine(nil); line != nil && line.Text == sub.line.Text {
 		return line, nil, nil
@@ -114,8 +115,9 @@
 	return object, stored, err
 }
 
-// timeoutAnswer returns the answer when the time is up. A line that was never
-// written, or whose writes are all known to have failed, has changed nothing.
+// timeoutAnswer returns the answer to a line that was not accepted in time. A
+// line that was never written, or whose writes are all known to have failed, has
+// changed nothing.
 func (sub *submission) timeoutAnswer(lastErr error) *wire.Answer {
 	message := "the object API does not answer"
 	if lastErr != nil {
@@ -132,7 +134,7 @@
 
 // handleRead takes the next step after a read of the object. It returns the
 // accepted line, the answer, or an error after which to read again.
-func (sub *submission) handleRead(ctx context.Context, object store.Object, stored *conf.Config, known surveyResult) (*conf.Line, *wire.Answer, error) {
+func (sub *submission) handleRead(ctx context.Context, object store.Object, stored *conf.Config, survey surveyResult) (*conf.Line, *wire.Answer, error) {
 	switch step := sub.write.Read(object.Version, stored, sub.findLine(stored)).(type) {
 	case conf.Accepted:
 		if step.Line.Text != sub.line.Text {
@@ -141,7 +143,7 @@
 		sub.Watch.Apply(stored)
 		return &step.Line, nil, nil
 	case conf.Build:
-		base, err := sub.baseConfig(ctx, stored, known)
+		base, err := sub.baseConfig(ctx, stored, survey)
 		if err != nil {
 			return nil, nil, err
 		}
@@ -165,8 +167,8 @@
 	return "the object API answers with an older copy"
 }
 
-// findLine returns the record of the line in the stored configuration or in the
-// one in force, which is newer if the object API has lost writes.
+// findLine returns the record of the line in the stored configuration, or else in
+// the one in force, which is newer if the object API has lost writes.
 func (sub *submission) findLine(stored *conf.Config) *conf.Line {
 	for _, c := range []*conf.Config{stored, sub.View.Load().Config} {
 		if line, ok := c.Find(sub.line.Id); ok {
@@ -176,8 +178,8 @@
 	return nil
 }
 
-// idReused returns the answer to a line whose id an accepted line with another
-// text has.
+// idReused returns the answer to a line whose id was already used by an accepted
+// line with another text.
 func (sub *submission) idReused(accepted conf.Line) *wire.Answer {
 	return &wire.Answer{
 		Outcome: Refused,
--- a/entry/internal/admin/confirm.go
+++ b/entry/internal/admin/confirm.go
@@ -18,8 +18,8 @@
 const confirmInterval = 50 * time.Millisecond
 
 // pushConfigAfter is how long an entry host may lag before the status query
-// carries the configuration. By then most have received it from the store's
-// watch, so it is not sent twice.
+// carries the configuration. By then most have received it from their watch of
+// the object API, so it is not sent twice.
 const pushConfigAfter = 250 * time.Millisecond
 
 // confirm waits until every live entry host has an accepted line in force. A
@@ -63,7 +63,7 @@
 	return answer
 }
 
-// hostsUnknown explains an answer that does not cover all entry hosts.
+// hostsUnknown is the message of an answer that may not cover all entry hosts.
 const hostsUnknown = "the host list is not known here, so neither are all entry hosts"
 
 // hasLine reports whether a configuration records the line with the id.
@@ -72,11 +72,11 @@
 	return found
 }
 
-// confirmRound queries hosts once and returns those that have not confirmed.
-// With push, hosts that answered an earlier round without the line, which
-// lagging marks, are sent the configuration. A host that does not answer holds
-// a worker for statusTimeout only, so that an unreachable failure domain does
-// not keep the others from being queried.
+// confirmRound queries hosts once and returns those that have not confirmed. It
+// marks in lagging the hosts that answered without having the line; with push,
+// those of earlier rounds are sent the configuration. A host that does not answer
+// occupies a worker for statusTimeout only, so that an unreachable failure domain
+// does not keep the others from being queried.
 func (s *Server) confirmRound(
 	ctx context.Context, id string, hosts []host.Host, lagging map[string]bool, push bool,
 ) []host.Host {
--- a/entry/internal/admin/restore.go
+++ b/entry/internal/admin/restore.go
@@ -13,19 +13,20 @@
 	"fuchsiashelf.dev/parts/wait"
 )
 
-// Limits of the random delay before a configuration is restored. It is drawn up
-// to minRestoreDelay at first, so that one of many entry hosts goes first and the
-// others find the configuration restored. The bound doubles up to maxRestoreDelay,
-// since a store that keeps answering with an older copy refuses every write.
+// The delay before a configuration is restored is random, so that one of many
+// entry hosts goes first and the others find the configuration restored. Its
+// upper limit starts at initialRestoreDelay and doubles after each failure up to
+// maxRestoreDelay, since an object API that keeps answering with an older copy
+// refuses every write.
 const (
-	minRestoreDelay = time.Second
-	maxRestoreDelay = 30 * time.Second
+	initialRestoreDelay = time.Second
+	maxRestoreDelay     = 30 * time.Second
 )
 
 // restoreLoop restores the newest configuration in force to the object API each
 // time the watch detects that the object API has lost it.
 func (s *Server) restoreLoop(ctx context.Context) {
-	maxDelay := minRestoreDelay
+	maxDelay := initialRestoreDelay
 	for {
 		select {
 		case <-ctx.Done():
@@ -42,7 +43,7 @@
 			maxDelay = min(2*maxDelay, maxRestoreDelay)
 			continue
 		}
-		maxDelay = minRestoreDelay
+		maxDelay = initialRestoreDelay
 	}
 }
 
@@ -56,17 +57,17 @@
 	if err != nil || stored.DescendsFrom(s.View.Load().Config) {
 		return err
 	}
-	known := s.survey(ctx)
+	survey := s.survey(ctx)
 	object, stored, err := s.readConfig(ctx)
 	if err != nil {
 		return err
 	}
-	base, err := s.baseConfig(ctx, stored, known)
+	base, err := s.baseConfig(ctx, stored, survey)
 	if err != nil || base == stored {
 		return err
 	}
 	if base.Revision == stored.Revision {
-		// The store holds other lines under this revision; see
+		// The object API holds other lines under this revision; see
 		// conf.ChooseBasis.
 		base.Revision++
 	}
--- a/entry/internal/admin/server_test.go
+++ b/entry/internal/admin/server_test.go
@@ -33,7 +33,8 @@
 	store.API
 	mu     sync.Mutex
 	object store.Object
-	// loseReplies is how many writes take effect but report a lost reply.
+	// loseReplies is the number of writes that take effect but whose reply is
+	// lost.
 	loseReplies int
 	puts        int
 	// written, if set, receives a value after each write.
@@ -66,8 +67,8 @@
 
 const secret = "of the tests"
 
-// entry is an entry host without running watches and exchange: it knows only
-// what the test gives it.
+// entry is an entry host without watches and gossip: it has only the state that
+// the test gives it.
 type entry struct {
 	view  *view.Publisher
 	watch *watch.Watcher
@@ -149,9 +150,9 @@
 		goleak.IgnoreAnyFunction("github.com/panjf2000/ants/v2.(*poolCommon).ticktock"))
 }
 
-// An entry host is cut off from the store and from the gossip exchange. If
-// status queries did not carry the configuration, every line would end as
-// partial and its callers would be routed by outdated rules.
+// An entry host is cut off from the object API and from gossip. If status queries
+// did not carry the configuration, every line would be answered as partial, and
+// callers of that entry host would be routed by outdated rules.
 func TestConfirmPushesConfig(t *testing.T) {
 	c := quicktest.New(t)
 	first, second := newEntry(c, "e1"), newEntry(c, "e2")
@@ -181,9 +182,9 @@
 	c.Assert(other.Outcome, quicktest.Equals, admin.Refused)
 }
 
-// The store was restored from an older copy, and one entry host, which may
-// have a newer configuration than all others, does not answer. A line built
-// now could undo lines that are in force there.
+// The object API was restored from an older copy, and one entry host, which may
+// have a newer configuration than all others, does not answer. A line built now
+// could undo lines that are in force there.
 func TestRestoredStoreRefusesLines(t *testing.T) {
 	c := quicktest.New(t)
 	first, second := newEntry(c, "e1"), newEntry(c, "e2")
@@ -213,7 +214,7 @@
 	c.Assert(found, quicktest.IsTrue)
 }
 
-// The store was restored from an older copy while no lines are sent. If the
+// The object API was restored from an older copy while no lines are sent. If the
 // newest configuration were not written back, it would be lost with the last
 // entry host that has it in force.
 func TestConfigIsRestored(t *testing.T) {
--- a/entry/internal/admin/show.go
+++ b/entry/internal/admin/show.go
@@ -53,9 +53,9 @@
 	return answer
 }
 
-// staleAfter is the silence of the object API after which an answer carries a
-// warning: a line accepted on another entry host should be in force here within
-// this time.
+// staleAfter is how long the object API may leave this entry host unanswered
+// before answers carry a warning. A line accepted on another entry host should be
+// in force here within this time.
 const staleAfter = 4 * time.Second
 
 func showResources(c *conf.Config, snap *view.Snapshot, kind string, out *rows) {
@@ -143,7 +143,7 @@
 }
 
 // showCommand reports the outcome of a line. If the line is not in force here it
-// reads the object API, since the line may have been accepted anyway.
+// reads the object API, where the line may have been accepted already.
 func (s *Server) showCommand(ctx context.Context, id string) *wire.Answer {
 	ctx, cancel := context.WithTimeout(ctx, acceptTimeout)
 	defer cancel()
--- a/entry/internal/admin/stops.go
+++ b/entry/internal/admin/stops.go
@@ -13,9 +13,9 @@
 	"fuchsiashelf.dev/parts/wire"
 )
 
-// showStops reports for each planned stop whether the server can be taken away
-// safely. If an entry host does not answer, the outcome is Partial and no stop
-// is safe.
+// showStops reports for each planned stop whether the server can be stopped
+// safely. If an entry host does not answer, the outcome is Partial and no stop is
+// safe.
 func (s *Server) showStops(ctx context.Context, c *conf.Config, answer *wire.Answer, out *rows) {
 	others := s.Mesh.Others()
 	replies := s.statuses(ctx, others)
--- a/entry/internal/admin/survey.go
+++ b/entry/internal/admin/survey.go
@@ -18,21 +18,21 @@
 
 // surveyResult holds the revisions that the other entry hosts have in force.
 type surveyResult struct {
-	// newest is the host with the highest revision, which is revision.
+	// newest is a host with the highest revision, and revision that revision.
 	newest   host.Host
 	revision uint64
 	// unresponsive names the hosts that did not answer, sorted.
 	unresponsive []string
 }
 
-// surveyTimeout bounds a survey. A live host answers in milliseconds; the rest
+// surveyTimeout bounds a survey. A live host answers in milliseconds; the bound
 // allows for many hosts that do not answer and occupy the workers.
 const surveyTimeout = time.Second
 
 // awaitHosts waits until the host list is known, which it is shortly after an
-// entry host starts, and reports whether it is. Without the list a line could
-// not be checked, and a store that has lost what other entry hosts have in force
-// would go unnoticed.
+// entry host starts, and reports whether it is. Without the list a line could not
+// be checked, and it would go unnoticed that the object API has lost lines that
+// are in force on other entry hosts.
 func (s *Server) awaitHosts(ctx context.Context) bool {
 	ctx, cancel := context.WithTimeout(ctx, outageTimeout)
 	defer cancel()
@@ -49,7 +49,7 @@
 	}
 }
 
-// survey queries the revision of all other entry hosts.
+// survey queries the revisions of all other entry hosts.
 func (s *Server) survey(ctx context.Context) surveyResult {
 	others := s.Mesh.Others()
 	replies := s.statuses(ctx, others)
@@ -88,12 +88,12 @@
 	ctx context.Context, s *Server, hosts []host.Host, ask func(context.Context, host.Host) (T, error),
 ) map[string]T {
 	var mu sync.Mutex
-	var all sync.WaitGroup
+	var wg sync.WaitGroup
 	replies := map[string]T{}
 	for _, h := range hosts {
-		all.Add(1)
+		wg.Add(1)
 		err := s.Workers.Submit(func() {
-			defer all.Done()
+			defer wg.Done()
 			reply, err := ask(ctx, h)
 			if err != nil {
 				return
@@ -103,10 +103,10 @@
 			replies[h.Name] = reply
 		})
 		if err != nil {
-			all.Done()
+			wg.Done()
 		}
 	}
-	all.Wait()
+	wg.Wait()
 	return replies
 }
 
@@ -122,30 +122,30 @@
 // baseConfig returns the configuration to build the next line on; see
 // conf.ChooseBasis. The survey must be older than the read of the stored
 // configuration.
-func (s *Server) baseConfig(ctx context.Context, stored *conf.Config, known surveyResult) (*conf.Config, error) {
-	own := s.View.Load().Config
-	basis := conf.ChooseBasis(stored, own, known.revision, len(known.unresponsive) > 0)
+func (s *Server) baseConfig(ctx context.Context, stored *conf.Config, survey surveyResult) (*conf.Config, error) {
+	local := s.View.Load().Config
+	basis := conf.ChooseBasis(stored, local, survey.revision, len(survey.unresponsive) > 0)
 	if basis == conf.Stored {
 		return stored, nil
 	}
-	highest := max(known.revision, revisionOf(own))
+	highest := max(survey.revision, revisionOf(local))
 	metrics.GetOrRegisterCounter("seat.store_behind", nil).Inc(1)
 	s.Log.Error("seat: the object API lacks lines that are in force",
 		"held", stored.Revision, "in_force", highest)
-	base := own
+	base := local
 	switch basis {
 	case conf.Peers:
-		fetched, err := s.fetchConfig(ctx, known.newest)
+		fetched, err := s.fetchConfig(ctx, survey.newest)
 		if err != nil {
 			return nil, err
 		}
-		if !fetched.Supersedes(own) {
-			return nil, fmt.Errorf("%s has other lines in force than this entry host", known.newest.Name)
+		if !fetched.Supersedes(local) {
+			return nil, fmt.Errorf("%s has other lines in force than this entry host", survey.newest.Name)
 		}
 		base = fetched
 	case conf.None:
 		return nil, fmt.Errorf("the object API holds revision %d and lacks lines of revision %d in force, and %s does not answer",
-			stored.Revision, highest, strings.Join(known.unresponsive, " "))
+			stored.Revision, highest, strings.Join(survey.unresponsive, " "))
 	}
 	return base.RebaseOnto(stored), nil
 }
