--- a/entry/internal/mesh/marks.go
+++ b/entry/internal/mesh/marks.go
@@ -9,7 +9,7 @@
 	"fuchsiashelf.dev/parts/view"
 )
 
-// refusalTTL is how long a mark that a server takes no new work lasts. The entry
+// refusalTTL is the lifetime of a mark that a server takes no new work. The entry
 // host that observes the refusal renews the mark; it expires when that entry host
 // is gone or the server accepts work again.
 const refusalTTL = 10 * time.Second
@@ -58,7 +58,7 @@
 		extends(snap.SuspectedServers, r.suspectServers) || extends(snap.PoisonedRequests, r.poisonedRequests) || extends(snap.SuspectedRequests, r.suspectedRequests)
 }
 
-// extends reports whether a mark lasts longer than the map says.
+// extends reports whether any mark ends later than its time in the map.
 func extends(times map[string]time.Time, marks map[string]peer.Mark) bool {
 	for name, mark := range marks {
 		if mark.Until.After(times[name]) {
@@ -68,9 +68,10 @@
 	return false
 }
 
-// publishMarks marks what this entry host has observed itself. It does not renew
-// cordons that peers reported, or two entry hosts would renew each other's marks
-// forever.
+// publishMarks adds marks for the suspected servers of the snapshot, and for the
+// servers that this entry host itself has cordoned after a refusal or by the host
+// list. It does not renew cordons that peers reported, or two entry hosts would
+// renew each other's marks forever.
 func (m *Mesh) publishMarks(snap *view.Snapshot, now time.Time) {
 	for name, until := range snap.SuspectedServers {
 		m.peer.Mark(peer.Mark{Kind: peer.SuspectServer, Name: name, Until: until})
@@ -85,8 +86,8 @@
 	}
 }
 
-// mergeMarks returns a copy of the map with the times of longer marks, without
-// expired entries.
+// mergeMarks returns a copy of the map without expired entries, updated with the
+// marks that end later.
 func mergeMarks(times map[string]time.Time, marks map[string]peer.Mark, now time.Time) map[string]time.Time {
 	return view.Edit(times, func(m map[string]time.Time) {
 		for name, until := range m {
--- a/entry/internal/mesh/mesh.go
+++ b/entry/internal/mesh/mesh.go
@@ -33,7 +33,7 @@
 	Trace  *trace.Recorder
 	Log    *slog.Logger
 	Secret string
-	// Local reports the state that LocalStatus adds to the snapshot's.
+	// Local reads state of other components that LocalStatus reports.
 	Local LocalState
 	// Address is host:port of the peers' listener.
 	Address string
@@ -41,10 +41,9 @@
 	Domain domain.Name
 	// TLS secures connections to other entry hosts; nil for plain TCP.
 	TLS *tls.Config
-	// Seeds are addresses of peers to start with while the store is down.
+	// Seeds are addresses of peers to start with while the object API is down.
 	Seeds []string
-	// Object returns the configuration object in force and its version in
-	// the store; nil means the one of the snapshot, its version unknown.
+	// Object is unused: peers get the configuration of the snapshot.
 	Object func() (value []byte, version uint64)
 	// OnConfig receives a configuration object fetched from a peer; nil disables
 	// fetching.
@@ -120,8 +119,8 @@
 	return local
 }
 
-// drains returns the requests of this entry host in flight on each server with a
-// planned stop that takes no new work.
+// drains returns the number of requests of this entry host in flight on each
+// cordoned server with a planned stop.
 func (m *Mesh) drains(snap *view.Snapshot) []peer.Drain {
 	if snap.Config == nil {
 		return nil
@@ -152,7 +151,7 @@
 	}
 }
 
-// syncInterval bounds the staleness of the peers in the snapshot.
+// syncInterval bounds how long the snapshot lags behind the membership.
 const syncInterval = time.Second
 
 // syncLoop writes the state of the membership into the snapshot and fetches newer
@@ -257,7 +256,7 @@
 	m.syncMarks(time.Now())
 }
 
-// Mark adds a mark, which the next exchange rounds spread.
+// Mark adds a mark, which then spreads by gossip.
 func (m *Mesh) Mark(mark peer.Mark) {
 	m.peer.Mark(mark)
 }
--- a/entry/internal/mesh/status.go
+++ b/entry/internal/mesh/status.go
@@ -12,8 +12,8 @@
 // LocalState reads the state of other components of this entry host, and applies
 // configurations. Any field may be nil.
 type LocalState struct {
-	// StoreSilence returns how long the object API has not answered this entry
-	// host, and StoreSeen reports whether it ever has.
+	// StoreSilence returns for how long the object API has not answered this
+	// entry host, and StoreSeen whether it ever has.
 	StoreSilence func() time.Duration
 	StoreSeen    func() bool
 	// Ready reports whether this entry host accepts callers.
