--- a/entry/internal/order/order.go
+++ b/entry/internal/order/order.go
@@ -1,5 +1,5 @@
-// Package order sends orders to engines while this entry host holds the lease for
-// them.
+// Package order sends orders to the backend servers that run models, while this
+// entry host holds the lease for them.
 package order
 
 import (
@@ -19,7 +19,7 @@
 	"fuchsiashelf.dev/parts/engine"
 	"fuchsiashelf.dev/parts/fault"
 	"fuchsiashelf.dev/parts/lease"
-	rules "fuchsiashelf.dev/parts/order"
+	orders "fuchsiashelf.dev/parts/order"
 	"fuchsiashelf.dev/parts/store"
 	"fuchsiashelf.dev/parts/trace"
 	"fuchsiashelf.dev/parts/view"
@@ -28,7 +28,7 @@
 // LeaseKey is the key of the lease in the object API.
 const LeaseKey = "lease/orders"
 
-// Controller sends orders to engines. Set the exported fields, then call Run.
+// Controller sends orders to servers. Set the exported fields, then call Run.
 type Controller struct {
 	View   *view.Publisher
 	Store  store.API
@@ -42,7 +42,7 @@
 
 	candidate lease.Candidate
 	pool      *ants.Pool
-	// recordedDrains holds the engines that may be drained, which the next
+	// recordedDrains holds the servers that may be drained, which the next
 	// renewal writes into the lease; orderedDrains holds those that this holder
 	// has ordered to drain.
 	recordedDrains, orderedDrains []string
@@ -57,7 +57,7 @@
 	roundsPerTerm = 8
 	// An order is sent only if at least Term/minTermDivisor is left of the lease,
 	// and its deadline is Term/marginDivisor before the end of the lease. The
-	// margin covers the clock difference between two hosts, since the engine
+	// margin covers the clock difference between two hosts, since the server
 	// checks the deadline against its own clock.
 	minTermDivisor, marginDivisor = 4, 10
 	// maxConcurrentOrders bounds the orders in progress.
@@ -92,7 +92,8 @@
 }
 
 // isContender reports whether this entry host holds the lease or is one of the
-// few that contend for it, chosen by rendezvous hashing over the live entry hosts.
+// maxContenders that contend for it, chosen by rendezvous hashing over the live
+// entry hosts.
 func (c *Controller) isContender() bool {
 	if c.isHolder {
 		return true
@@ -162,40 +163,40 @@
 	if snap.HostsRevision == 0 {
 		return
 	}
-	c.recordedDrains = rules.FilterListed(c.recordedDrains, snap.Hosts)
-	c.orderedDrains = rules.FilterListed(c.orderedDrains, snap.Hosts)
-	due := c.readyOrders(rules.Plan(snap.Config, snap.Hosts, c.recordedDrains, c.orderedDrains, time.Now()))
-	results := make(chan rules.Pending, len(due))
+	c.recordedDrains = orders.FilterListed(c.recordedDrains, snap.Hosts)
+	c.orderedDrains = orders.FilterListed(c.orderedDrains, snap.Hosts)
+	due := c.readyOrders(orders.Plan(snap.Config, snap.Hosts, c.recordedDrains, c.orderedDrains, time.Now()))
+	results := make(chan orders.Pending, len(due))
 	for _, pending := range due {
 		err := c.pool.Submit(func() {
 			if !c.sendOrder(ctx, pending) {
-				pending = rules.Pending{}
+				pending = orders.Pending{}
 			}
 			results <- pending
 		})
 		if err != nil {
-			results <- rules.Pending{}
+			results <- orders.Pending{}
 		}
 	}
 	for range due {
 		switch pending := <-results; pending.Kind {
-		case rules.Drain:
-			c.orderedDrains = rules.Insert(c.orderedDrains, pending.Host.Name)
-		case rules.Load:
-			c.orderedDrains = rules.Remove(c.orderedDrains, pending.Host.Name)
-			c.recordedDrains = rules.Remove(c.recordedDrains, pending.Host.Name)
+		case orders.Drain:
+			c.orderedDrains = orders.Insert(c.orderedDrains, pending.Host.Name)
+		case orders.Load:
+			c.orderedDrains = orders.Remove(c.orderedDrains, pending.Host.Name)
+			c.recordedDrains = orders.Remove(c.recordedDrains, pending.Host.Name)
 		}
 	}
 }
 
 // readyOrders returns the orders that may be sent now. A drain is first recorded
 // in the lease and sent in a later round.
-func (c *Controller) readyOrders(due []rules.Pending) []rules.Pending {
-	var ready []rules.Pending
+func (c *Controller) readyOrders(due []orders.Pending) []orders.Pending {
+	var ready []orders.Pending
 	written := c.candidate.Note()
 	for _, pending := range due {
-		if pending.Kind == rules.Drain && !slices.Contains(written, pending.Host.Name) {
-			c.recordedDrains = rules.Insert(c.recordedDrains, pending.Host.Name)
+		if pending.Kind == orders.Drain && !slices.Contains(written, pending.Host.Name) {
+			c.recordedDrains = orders.Insert(c.recordedDrains, pending.Host.Name)
 			c.candidate.Renew()
 			continue
 		}
@@ -204,13 +205,13 @@
 	return ready
 }
 
-// sendOrder sends one order and reports whether the engine accepted it. The lease
+// sendOrder sends one order and reports whether the server accepted it. The lease
 // is checked last, on the monotonic clock, since the process may have been paused
 // for any time before. The order carries a deadline within the lease, since it
 // may be delayed after the check. A successor waits until the lease has expired,
-// so an engine that rejects late orders accepts none of this holder after one of
-// the successor, even if it does not check fencing numbers.
-func (c *Controller) sendOrder(ctx context.Context, pending rules.Pending) bool {
+// so a server that rejects late orders accepts none from this holder after one
+// from the successor, even if it does not check fencing numbers.
+func (c *Controller) sendOrder(ctx context.Context, pending orders.Pending) bool {
 	number, until, held := c.candidate.Held(time.Now(), c.Term/minTermDivisor)
 	if !held {
 		metrics.GetOrRegisterCounter("order.lapsed", nil).Inc(1)
@@ -226,7 +227,7 @@
 	})
 	if err != nil {
 		c.trace("", fmt.Sprintf("order %s for %s failed: %s", pending.Kind, pending.Host.Name, fault.As(err).Error()))
-		c.Log.Warn("order: engine did not accept the order", "order", pending.Kind, "server", pending.Host.Name, "err", err)
+		c.Log.Warn("order: server did not accept the order", "order", pending.Kind, "server", pending.Host.Name, "err", err)
 		return false
 	}
 	metrics.GetOrRegisterCounter("order.taken", nil).Inc(1)
