--- a/entry/internal/poll/poll.go
+++ b/entry/internal/poll/poll.go
@@ -2,7 +2,8 @@
 // the snapshot: load, capacity, whether a server is leaving, and whether it
 // answers at all.
 //
-// Reports lag, so they never override a later refusal of a request.
+// A report may be older than the refusal of a request, and then does not override
+// it.
 package poll
 
 import (
@@ -31,12 +32,12 @@
 	Engine *engine.Client
 	Trace  *trace.Recorder
 	Log    *slog.Logger
-	// Workers runs the calls.
+	// Workers runs the polls.
 	Workers *ants.Pool
 	// Interval is the time between two polls of a server.
 	Interval time.Duration
 	// MaxRate is the maximum number of polls per second of all servers together.
-	// With many servers, it makes the interval longer.
+	// With many servers it makes the time between two polls longer than Interval.
 	MaxRate float64
 	// Done is closed when Run returns. It must be set.
 	Done chan struct{}
@@ -115,8 +116,9 @@
 	}
 }
 
-// recordFailure suspects a server that does not answer until after the next poll.
-// Otherwise a request would try a frozen server each time its suspicion ends.
+// recordFailure marks a server that does not answer as suspected until after its
+// next poll. If the suspicion ended before, a request would try a frozen server
+// each time.
 func (p *Poller) recordFailure(name string, meter *server.Meter, now time.Time) {
 	until := now.Add(p.Interval + health.SuspectFor(meter.Failures.Add(1)))
 	p.View.Update(func(s *view.Snapshot) { s.Suspect(name, until, now) })
--- a/entry/internal/setup/admission.go
+++ b/entry/internal/setup/admission.go
@@ -10,13 +10,13 @@
 type AdmissionSettings struct {
 	// MaxWait is the maximum time that a request waits for its pool.
 	MaxWait time.Duration
-	// TargetWait is the target for the wait of tokens at backend servers, in steps
-	// of the server.
+	// TargetWait is the target for the mean time that tokens wait at backend
+	// servers, in units of their run time.
 	TargetWait float64
 	// MaxRequests and MaxBytes bound the requests that wait for one pool.
 	MaxRequests, MaxBytes int
-	// Reserve is the capacity above a pool's limit for teams below their share, as a
-	// fraction of the limit.
+	// Reserve is the capacity above a pool's limit for teams below their share,
+	// as a fraction of the limit.
 	Reserve float64
 	// Credit is the number of tokens, for each unit of its share, that a team may
 	// accumulate while it uses less than its share.
--- a/entry/internal/setup/claims.go
+++ b/entry/internal/setup/claims.go
@@ -13,7 +13,8 @@
 type ClaimSettings struct {
 	// Timing holds the deadlines and expiry of claims.
 	claim.Timing
-	// WriteRate is the maximum number of claim writes per second; 0 means no limit.
+	// WriteRate is the maximum number of claim writes per second; 0 means no
+	// limit.
 	WriteRate float64
 }
 
@@ -21,7 +22,7 @@
 const (
 	defaultMaxDeadline = 30 * time.Second
 	// defaultWriteRate is a quarter of the claim writes per second that the
-	// platform's object API accepts, for four entry hosts.
+	// platform's object API accepts, which suits four entry hosts.
 	defaultWriteRate = 75
 )
 
--- a/entry/internal/setup/setup.go
+++ b/entry/internal/setup/setup.go
@@ -63,8 +63,8 @@
 // EnvPrefix is the prefix of the environment variables.
 const EnvPrefix = "FSENTRY"
 
-// Parse reads the settings from flags and environment variables and validates them.
-// The error lists every invalid setting with the name of its flag.
+// Parse reads the settings from flags and environment variables and validates
+// them. The error lists every invalid setting with the name of its flag.
 func Parse(args []string, stderr io.Writer) (*Settings, error) {
 	s := &Settings{}
 	fs := s.Flags(stderr)
--- a/entry/internal/setup/setup_test.go
+++ b/entry/internal/setup/setup_test.go
@@ -9,8 +9,8 @@
 	"fuchsiashelf.dev/entry/internal/setup"
 )
 
-// The error lists every invalid setting, each with its flag: a script replaces
-// hosts, and reporting one error per run would cost a run for each.
+// The error must list every invalid setting with its flag. Entry hosts are
+// replaced by a script, which would otherwise need one run per error.
 func TestParseInvalidSettings(t *testing.T) {
 	c := quicktest.New(t)
 	_, err := setup.Parse([]string{
