--- a/entry/internal/relay/relay.go
+++ b/entry/internal/relay/relay.go
@@ -131,8 +131,9 @@
 	// avoided holds the servers that this request avoids besides the suspected
 	// ones, the most recent one last.
 	avoided []string
-	hops    []pick.Hop
-	stages  []engine.Stage
+	// hops and stages describe the chain of the current attempt.
+	hops   []pick.Hop
+	stages []engine.Stage
 }
 
 // allowRetry reports whether another chain may be tried, and withdraws from the
--- a/entry/internal/relay/table.go
+++ b/entry/internal/relay/table.go
@@ -16,10 +16,13 @@
 
 // poolState is the state that a Forwarder keeps for one pool.
 type poolState struct {
-	budget   *retry.Budget
+	budget *retry.Budget
+	// baseline estimates the typical gaps and first-token times of the pool.
 	baseline retry.Baseline
+	// inFlight counts the attempts in progress.
 	inFlight atomic.Int64
 
+	// mu is held while a table is built, and cached is the table built last.
 	mu     sync.Mutex
 	cached atomic.Pointer[cachedTable]
 }
