--- a/parts/router/cost.go
+++ b/parts/router/cost.go
@@ -16,28 +16,29 @@
 	// busyPassFactor multiplies the time of a step: a request that arrives at a
 	// server waits for the pass in progress.
 	busyPassFactor = 1.3
-	// remoteStartSeconds is the cost of starting a chain in another failure domain.
-	// Only events cross the link then, but a partition interrupts them. Requests
-	// leave the local domain when it is slow, before it is full.
+	// remoteStartSeconds is the extra cost of starting a chain in another failure
+	// domain. Only the events of the response cross the link then, but a partition
+	// interrupts them. The cost is low enough that requests leave a slow local domain
+	// before it is full.
 	remoteStartSeconds = 0.6
 	// crossingWeight multiplies the time of a transfer between failure domains within
-	// a chain. All chains share the link, and a partition breaks those that cross it,
-	// so a chain crosses only where the local domain is much slower.
+	// a chain. All chains share the link, and a partition breaks the chains that cross
+	// it, so a chain should cross only where the local domain is much slower.
 	crossingWeight = 60
 	// recomputeWeight multiplies the prefill time of a stage whose server does not
-	// hold the tokens of a running answer. The caller waits for the prefill, and so
-	// do the other requests of the server, while a somewhat lower decode rate is
+	// hold the tokens of a response in progress. The caller waits for the prefill, and
+	// so do the other requests of the server, while a somewhat lower decode rate is
 	// hardly noticed.
 	recomputeWeight = 10
-	// waitWeight multiplies the wait for the first event beyond prefillShare of its
-	// target. The caller waits for it, as for a recomputation.
+	// waitWeight multiplies the part of the wait for the first event that exceeds
+	// prefillShare of its target. The caller waits for it, as for a recomputation.
 	waitWeight = 10
 	// prefillShare is the share of the first-event target that the prefill may take.
 	prefillShare = 0.1
 	// loadWeight is the relative extra cost of a full server over an empty one.
 	loadWeight = 0.5
 	// maxFill is the share of a server's memory, and of its slots, that may be
-	// reserved. The rest is for answers longer than their hint and for requests of
+	// reserved. The rest is for responses longer than their hint and for requests of
 	// other entry hosts that are not known yet. Above it an engine preempts requests
 	// or queues them for a slot.
 	maxFill = 0.92
@@ -71,11 +72,13 @@
 type candidate struct {
 	server *fleet.Server
 	domain int
-	// prefill and decode are the seconds that the request would take for all layers.
+	// prefill and decode are the seconds that the request would take if the server ran
+	// all layers.
 	prefill, decode float64
 	// loadFactor raises the cost of fuller servers.
 	loadFactor float64
-	// delay is the cost of starting a chain there besides the work, in seconds.
+	// delay is the expected cost, in seconds, of starting a chain there beyond the
+	// work itself.
 	delay float64
 	// slotsTaken says that all slots for requests that start there are taken.
 	slotsTaken bool
@@ -111,8 +114,7 @@
 	}
 	c := candidate{server: s}
 	c.prefill, c.decode = q.EstimateTimes(s, used.Requests)
-	// Only servers that hold layer 0 can start a chain; the delay of others is not
-	// needed.
+	// Only servers that hold layer 0 can start a chain; the others need no delay.
 	if s.First == 0 {
 		c.slotsTaken = s.Slots > 0 && used.Starts >= maxFill*float64(s.Slots) && !q.Overcommit
 		if q.Delay != nil {
@@ -127,8 +129,9 @@
 	return c, true
 }
 
-// EstimateTimes returns the seconds in which a server that already works on some
-// other requests would prefill the prompt and decode the answer if it ran all layers.
+// EstimateTimes returns the seconds that a server with the given number of other
+// requests in flight would take to prefill the prompt and to decode the response if it
+// ran all layers.
 func (q *Query) EstimateTimes(s *fleet.Server, others float64) (prefill, decode float64) {
 	e := q.Engine
 	accelerator, known := e.Accelerators[s.Accelerator]
@@ -150,7 +153,7 @@
 }
 
 // hopCost returns the cost of an additional server in the chain, over all passes of
-// the answer.
+// the response.
 func (q *Query) hopCost() float64 {
 	passes := 1 + float64(q.Answer)/float64(max(q.Engine.StepsPerPass, 1))
 	return hopSeconds * passes
--- a/parts/router/herd_test.go
+++ b/parts/router/herd_test.go
@@ -12,8 +12,8 @@
 )
 
 // herd simulates a thundering herd after a restart of all entry hosts: callers return
-// at once, and no entry host knows the load of the others. Eight fast servers take
-// ten requests each, and a slow one takes any number.
+// at once, and no entry host knows the load of the others. Eight fast servers accept
+// ten requests each, and a slow one accepts any number.
 type herd struct {
 	servers []*fleet.Server
 	hosts   []*router.LoadTracker
@@ -61,7 +61,8 @@
 	}
 }
 
-// run returns how many of 440 requests in 200 ms are refused after their retries.
+// run returns how many of 440 requests, sent within 200 ms, are still refused after
+// their retries. With share, entry hosts exchange the refusals that they know of.
 func (h *herd) run(share bool) (refused int) {
 	start := time.Unix(1_000_000, 0)
 	for step := range 40 {
@@ -81,17 +82,17 @@
 // exchange sends the refusals that each entry host knows of to all others.
 func (h *herd) exchange(now time.Time) {
 	for _, from := range h.hosts {
-		full := from.Saturated(now)
+		saturated := from.Saturated(now)
 		for _, to := range h.hosts {
-			for id, left := range full {
-				to.RecordRemoteRefusal(id, left, now)
+			for id, remaining := range saturated {
+				to.RecordRemoteRefusal(id, remaining, now)
 			}
 		}
 	}
 }
 
 // Guards against callers being refused after a restart of all entry hosts because
-// each entry host spends its retry budget on finding out which servers are full.
+// each entry host spends its retry budget on finding out which servers are saturated.
 func TestThunderingHerdSharesRefusals(t *testing.T) {
 	alone, shared := newHerd().run(false), newHerd().run(true)
 	t.Logf("refused after retries: %d, with shared refusals %d", alone, shared)
--- a/parts/router/latency.go
+++ b/parts/router/latency.go
@@ -7,14 +7,14 @@
 )
 
 const (
-	// waitHalfLife is the half-life of an observed wait.
+	// waitHalfLife is the time in which the weight of an observed wait halves.
 	waitHalfLife = 250 * time.Millisecond
 	// negligibleWait is a wait that does not affect any choice.
 	negligibleWait = time.Millisecond
 	// minReportedWait is the shortest wait that is sent to other entry hosts.
 	minReportedWait = 20 * time.Millisecond
-	// broadcastFactor is by how much a wait must exceed the last reported one to be
-	// broadcast at once, and broadcastInterval the minimum interval between such
+	// broadcastFactor is the factor by which a wait must exceed the last reported one
+	// to be broadcast at once. broadcastInterval is the minimum interval between such
 	// broadcasts.
 	broadcastFactor   = 2
 	broadcastInterval = time.Second
@@ -25,23 +25,23 @@
 //
 // Right after an outage all callers return at once, the load of other entry hosts is
 // unknown, and the fastest server of each failure domain gets more requests than it
-// has slots. The wait of a request therefore counts while it grows, so that a queue
-// is noticed as it forms, and entry hosts exchange their waits, since each of them
-// sees only few of the requests.
+// has slots. Therefore the wait of a request counts while it still grows, so that a
+// queue is noticed as it forms. Entry hosts exchange their waits, since each of them
+// sees only a few of the requests.
 //
 // It is safe for concurrent use, and the zero value is ready.
 type StartLatency struct {
 	mu      sync.Mutex
 	servers map[string]*serverWaits
-	// broadcastAt is when a wait was last broadcast at once.
+	// broadcastAt is the time of the last broadcast.
 	broadcastAt time.Time
 }
 
-// serverWaits is the wait state of one server.
+// serverWaits holds the waits at one server.
 type serverWaits struct {
-	// pending holds the requests without an event.
+	// pending holds the requests that have had no event yet.
 	pending map[*PendingStart]struct{}
-	// wait is the latest observed wait, here or at another entry host, at the time
+	// wait is the latest wait that this or another entry host observed, as of
 	// observedAt.
 	wait       time.Duration
 	observedAt time.Time
@@ -55,22 +55,22 @@
 	id string
 	// sentAt is when it was sent to the server.
 	sentAt time.Time
-	// notable is the wait from which on it is broadcast to other entry hosts at once.
-	notable time.Duration
+	// threshold is the wait from which on it is broadcast to other entry hosts at
+	// once.
+	threshold time.Duration
 }
 
-// Track records that a request was sent to a server. From the notable wait on, it
-// makes ShouldBroadcast report true.
-func (s *StartLatency) Track(id string, notable time.Duration, now time.Time) *PendingStart {
+// Track records that a request was sent to a server. Once it has waited for the
+// threshold, ShouldBroadcast takes its wait into account.
+func (s *StartLatency) Track(id string, threshold time.Duration, now time.Time) *PendingStart {
 	s.mu.Lock()
 	defer s.mu.Unlock()
-	start := &PendingStart{id: id, sentAt: now, notable: notable}
+	start := &PendingStart{id: id, sentAt: now, threshold: threshold}
 	s.server(id).pending[start] = struct{}{}
 	return start
 }
 
-// server returns the wait state of a server, which it creates if needed. The mutex is
-// held.
+// server returns the waits at a server, adding it if needed. The mutex is held.
 func (s *StartLatency) server(id string) *serverWaits {
 	if s.servers == nil {
 		s.servers = map[string]*serverWaits{}
@@ -118,14 +118,14 @@
 	return w.expected(now)
 }
 
-// expected returns the longest wait of a pending request or the decayed last observed
-// wait, whichever is longer.
+// expected returns the longest wait of a pending request or the last observed wait
+// with its decay, whichever is longer.
 func (w *serverWaits) expected(now time.Time) time.Duration {
-	return max(w.longest(now), decayed(w.wait, now.Sub(w.observedAt)))
+	return max(w.longestPending(now), decayed(w.wait, now.Sub(w.observedAt)))
 }
 
-// longest returns how long the oldest pending request has waited.
-func (w *serverWaits) longest(now time.Time) time.Duration {
+// longestPending returns how long the oldest pending request has waited.
+func (w *serverWaits) longestPending(now time.Time) time.Duration {
 	var longest time.Duration
 	for start := range w.pending {
 		longest = max(longest, now.Sub(start.sentAt))
@@ -133,12 +133,12 @@
 	return longest
 }
 
-// notable returns the longest wait of a pending request that has become notable, or
-// zero.
-func (w *serverWaits) notable(now time.Time) time.Duration {
+// longestOverThreshold returns the longest wait of a pending request that has reached
+// its threshold, or zero.
+func (w *serverWaits) longestOverThreshold(now time.Time) time.Duration {
 	var longest time.Duration
 	for start := range w.pending {
-		if wait := now.Sub(start.sentAt); wait >= start.notable {
+		if wait := now.Sub(start.sentAt); wait >= start.threshold {
 			longest = max(longest, wait)
 		}
 	}
@@ -149,7 +149,7 @@
 	return time.Duration(float64(wait) * math.Exp2(-max(0, float64(age))/float64(waitHalfLife)))
 }
 
-// Waits returns the expected waits to send to other entry hosts, by server.
+// Waits returns the expected waits by server, to be sent to other entry hosts.
 func (s *StartLatency) Waits(now time.Time) map[string]time.Duration {
 	s.mu.Lock()
 	defer s.mu.Unlock()
@@ -180,7 +180,7 @@
 }
 
 // ShouldBroadcast reports whether the waits should be broadcast to other entry hosts
-// at once, and records that they are.
+// at once. If so it records the broadcast.
 func (s *StartLatency) ShouldBroadcast(now time.Time) bool {
 	s.mu.Lock()
 	defer s.mu.Unlock()
@@ -188,7 +188,7 @@
 		return false
 	}
 	for _, w := range s.servers {
-		wait := w.notable(now)
+		wait := w.longestOverThreshold(now)
 		if wait <= 0 || wait < broadcastFactor*decayed(w.reported, now.Sub(w.reportedAt)) {
 			continue
 		}
--- a/parts/router/latency_test.go
+++ b/parts/router/latency_test.go
@@ -11,89 +11,88 @@
 	"fuchsiashelf.dev/parts/router"
 )
 
-// entryHost chooses chains by its own state: the load of its own requests, and their
-// waits.
+// entryHost chooses chains by what it knows itself: the load of its own requests, and
+// their waits.
 type entryHost struct {
 	name    string
 	loads   router.LoadTracker
 	latency router.StartLatency
 }
 
-// sent is a request at the first server of its chain.
-type sent struct {
+// request is a request that was sent to the first server of its chain.
+type request struct {
 	host    *entryHost
 	start   *router.PendingStart
 	release func()
 	at, end time.Time
 }
 
-// crowd simulates callers that all return at once to entry hosts which know nothing
-// of each other's requests.
-type crowd struct {
+// burst simulates callers that all return at once to entry hosts which know nothing of
+// each other's requests.
+type burst struct {
 	hosts []*entryHost
 	// useWaits makes entry hosts take the waits of their requests into account.
 	useWaits bool
 	servers  []*fleet.Server
-	queues   map[string][]*sent
-	running  map[string][]*sent
-	// onTime and all count the requests by the second in which their first event
-	// came.
+	queues   map[string][]*request
+	running  map[string][]*request
+	// onTime and all count the requests by the second of their first event.
 	onTime, all []int
 }
 
 const (
-	crowdRate      = 100
-	crowdTime      = 8 * time.Second
-	answerTime     = 2900 * time.Millisecond
+	arrivalRate    = 100
+	simulatedTime  = 8 * time.Second
+	responseTime   = 2900 * time.Millisecond
 	firstTarget    = 600 * time.Millisecond
 	tick           = 10 * time.Millisecond
 	broadcastEvery = 20 * time.Millisecond
 )
 
-func newCrowd(hosts int, useWaits bool) *crowd {
-	c := &crowd{
-		useWaits: useWaits, queues: map[string][]*sent{}, running: map[string][]*sent{},
-		onTime: make([]int, crowdTime/time.Second), all: make([]int, crowdTime/time.Second),
+func newBurst(hosts int, useWaits bool) *burst {
+	b := &burst{
+		useWaits: useWaits, queues: map[string][]*request{}, running: map[string][]*request{},
+		onTime: make([]int, simulatedTime/time.Second), all: make([]int, simulatedTime/time.Second),
 	}
 	for i := range hosts {
-		c.hosts = append(c.hosts, &entryHost{name: fmt.Sprint(i)})
+		b.hosts = append(b.hosts, &entryHost{name: fmt.Sprint(i)})
 	}
 	for _, s := range []*fleet.Server{
 		server("fast", "a", "big", 0, 27), server("slow", "a", "small", 0, 9), server("rest", "a", "small", 9, 80),
 		server("away", "b", "small", 0, 40), server("else", "b", "small", 40, 80),
 	} {
 		s.Slots = 192
-		c.servers = append(c.servers, s)
+		b.servers = append(b.servers, s)
 	}
-	return c
+	return b
 }
 
-func (c *crowd) run() {
+func (b *burst) run() {
 	start := time.Unix(1_000_000, 0)
-	for at := time.Duration(0); at < crowdTime; at += tick {
+	for at := time.Duration(0); at < simulatedTime; at += tick {
 		now := start.Add(at)
-		for id := range c.running {
-			c.finish(id, now)
+		for id := range b.running {
+			b.finish(id, now)
 		}
-		for n := range crowdRate * int(tick) / int(time.Second) {
-			c.send(c.hosts[(int(at/tick)*7+n)%len(c.hosts)], now)
+		for n := range arrivalRate * int(tick) / int(time.Second) {
+			b.send(b.hosts[(int(at/tick)*7+n)%len(b.hosts)], now)
 		}
-		for id := range c.queues {
-			c.begin(id, now, int(at/time.Second))
+		for id := range b.queues {
+			b.begin(id, now, int(at/time.Second))
 		}
 		if at%broadcastEvery == 0 {
-			c.broadcast(now)
+			b.broadcast(now)
 		}
 	}
 }
 
 // broadcast lets entry hosts broadcast their waits and loads.
-func (c *crowd) broadcast(now time.Time) {
-	for _, h := range c.hosts {
+func (b *burst) broadcast(now time.Time) {
+	for _, h := range b.hosts {
 		if !h.latency.ShouldBroadcast(now) {
 			continue
 		}
-		for _, other := range c.hosts {
+		for _, other := range b.hosts {
 			if other == h {
 				continue
 			}
@@ -103,57 +102,57 @@
 	}
 }
 
-func (c *crowd) send(h *entryHost, now time.Time) {
-	q := query(c.servers...)
+func (b *burst) send(h *entryHost, now time.Time) {
+	q := query(b.servers...)
 	q.Used = h.loads.Used
-	if c.useWaits {
+	if b.useWaits {
 		q.Delay = func(id string) float64 { return router.StartCost(h.latency.Wait(id, now), firstTarget) }
 	}
 	chain := q.Pick()
 	first := chain[0].Server.ID
-	c.queues[first] = append(c.queues[first], &sent{
+	b.queues[first] = append(b.queues[first], &request{
 		host: h, start: h.latency.Track(first, firstTarget/5, now), release: h.loads.Reserve(chain, 900), at: now,
 	})
 }
 
-func (c *crowd) finish(id string, now time.Time) {
-	var left []*sent
-	for _, r := range c.running[id] {
+func (b *burst) finish(id string, now time.Time) {
+	var remaining []*request
+	for _, r := range b.running[id] {
 		if now.Before(r.end) {
-			left = append(left, r)
+			remaining = append(remaining, r)
 			continue
 		}
 		r.release()
 	}
-	c.running[id] = left
+	b.running[id] = remaining
 }
 
-func (c *crowd) begin(id string, now time.Time, second int) {
-	for len(c.queues[id]) > 0 && len(c.running[id]) < 192 {
-		r := c.queues[id][0]
-		c.queues[id] = c.queues[id][1:]
-		r.end = now.Add(answerTime)
+func (b *burst) begin(id string, now time.Time, second int) {
+	for len(b.queues[id]) > 0 && len(b.running[id]) < 192 {
+		r := b.queues[id][0]
+		b.queues[id] = b.queues[id][1:]
+		r.end = now.Add(responseTime)
 		r.host.latency.RecordFirstEvent(r.start, now)
-		c.running[id] = append(c.running[id], r)
-		c.all[second]++
+		b.running[id] = append(b.running[id], r)
+		b.all[second]++
 		if now.Sub(r.at) <= firstTarget {
-			c.onTime[second]++
+			b.onTime[second]++
 		}
 	}
 }
 
 // Guards against a persistent queue at the fastest first server: when all callers
-// return at once, each entry host keeps sending as many requests there as end.
+// return at once, each entry host keeps sending requests there as fast as others end.
 func TestQueueAtFirstServerDrains(t *testing.T) {
-	withoutWaits := newCrowd(100, false)
+	withoutWaits := newBurst(100, false)
 	withoutWaits.run()
 	qt.Check(t, withoutWaits.onTime[7]*2 < withoutWaits.all[7], qt.IsTrue, qt.Commentf("the load forms no queue: %v of %v", withoutWaits.onTime, withoutWaits.all))
-	c := newCrowd(100, true)
-	c.run()
-	qt.Check(t, sum(c.onTime)*100 >= sum(c.all)*95, qt.IsTrue, qt.Commentf("%v of %v on time", c.onTime, c.all))
-	// All slots are taken after two seconds; the first are free after 2.9 s.
-	for second := 4; second < len(c.all); second++ {
-		qt.Check(t, c.onTime[second]*100 >= c.all[second]*95, qt.IsTrue, qt.Commentf("second %d: %d of %d on time", second, c.onTime[second], c.all[second]))
+	b := newBurst(100, true)
+	b.run()
+	qt.Check(t, sum(b.onTime)*100 >= sum(b.all)*95, qt.IsTrue, qt.Commentf("%v of %v on time", b.onTime, b.all))
+	// All slots are taken after two seconds; the first ones become free after 2.9 s.
+	for second := 4; second < len(b.all); second++ {
+		qt.Check(t, b.onTime[second]*100 >= b.all[second]*95, qt.IsTrue, qt.Commentf("second %d: %d of %d on time", second, b.onTime[second], b.all[second]))
 	}
 }
 
@@ -168,7 +167,7 @@
 // Guards against requests that wait for a slot of a server while others could start
 // them.
 func TestStartNeedsFreeSlot(t *testing.T) {
-	servers := newCrowd(1, false).servers
+	servers := newBurst(1, false).servers
 	q := query(servers...)
 	q.Used = func(id string) router.Usage {
 		if id == "fast" {
--- a/parts/router/link.go
+++ b/parts/router/link.go
@@ -2,12 +2,12 @@
 
 import "time"
 
-// LinkBudget limits an entry host's share of the link between failure domains. When
-// the only holder of some layers in a domain fails, all its answers and new requests
-// could continue in another domain. Each moves the activations of its whole prompt
-// there, and with many of them every chain that crosses the link would stall. So only
-// the first few cross; the others wait until the layers are held in the local domain
-// again.
+// LinkBudget limits an entry host's use of the link between failure domains. When the
+// only holder of some layers in a domain fails, all its responses in progress and all
+// new requests could continue in another domain. Each moves the activations of its
+// whole prompt there, and with many of them every chain that crosses the link would
+// stall. So only the first few may cross; the others wait until the layers are held in
+// the local domain again.
 //
 // The zero value is ready. It is not safe for concurrent use.
 type LinkBudget struct {
@@ -15,9 +15,9 @@
 	freeAt time.Time
 }
 
-// Reserve reserves a transfer, and reports whether it may begin now, which is so if
-// the transfers reserved before it end within maxWait. The entry hosts that share the
-// link do not know each other's transfers, so each uses an equal part of its rate.
+// Reserve reserves a transfer and reports whether it may begin now: it may if the
+// transfers reserved before it end within maxWait. The entry hosts that share the link
+// do not know each other's transfers, so each uses an equal part of its rate.
 func (b *LinkBudget) Reserve(transfer, maxWait time.Duration, hosts int, now time.Time) bool {
 	if b.freeAt.Before(now) {
 		b.freeAt = now
--- a/parts/router/link_test.go
+++ b/parts/router/link_test.go
@@ -11,13 +11,13 @@
 )
 
 // allowedTransfers returns how many transfers may begin within a second if one is
-// requested each millisecond.
+// requested every millisecond.
 func allowedTransfers(transfer time.Duration, hosts int) int {
 	start := time.Unix(1_000_000, 0)
-	p := &router.LinkBudget{}
+	budget := &router.LinkBudget{}
 	n := 0
 	for ms := range 1000 {
-		if p.Reserve(transfer, 100*time.Millisecond, hosts, start.Add(time.Duration(ms)*time.Millisecond)) {
+		if budget.Reserve(transfer, 100*time.Millisecond, hosts, start.Add(time.Duration(ms)*time.Millisecond)) {
 			n++
 		}
 	}
@@ -25,10 +25,10 @@
 }
 
 // Guards against saturating the link between failure domains when the only holder of
-// some layers in a domain fails with sixty answers in flight: if all were rerouted
-// through another domain at once, each would wait for the prompts of all others.
-// Entry hosts do not know each other's transfers, so each must use only its part of
-// the link.
+// some layers in a domain fails with sixty responses in progress: if all were rerouted
+// through another domain at once, each would wait for the prompts of all others. Entry
+// hosts do not know each other's transfers, so each must use only its part of the
+// link.
 func TestEntryHostsShareTheLink(t *testing.T) {
 	transfer := router.TransferTime(engine(), 900)
 	qt.Assert(t, transfer.Round(time.Millisecond), qt.Equals, 19*time.Millisecond)
@@ -36,8 +36,8 @@
 		n := allowedTransfers(transfer, hosts)
 		reserved := time.Duration(n*hosts) * transfer
 		qt.Check(t, n > 0, qt.IsTrue)
-		// The transfers of one second, those that may wait, and one per host that
-		// begins within the limit and ends after it.
+		// The sum of the transfers of one second, those that may wait, and one for
+		// each entry host that begins within the limit and ends after it.
 		qt.Check(t, reserved <= time.Second+100*time.Millisecond+time.Duration(hosts)*transfer, qt.IsTrue, qt.Commentf("%d hosts: %d each", hosts, n))
 	}
 }
--- a/parts/router/load.go
+++ b/parts/router/load.go
@@ -14,14 +14,14 @@
 	local  map[string]Usage
 	remote map[string]map[string]Usage
 	// total is the sum of local and remote. Each choice of a chain reads it for every
-	// server; summing over hundreds of entry hosts there takes longer than the choice
-	// itself.
+	// server; summing over hundreds of entry hosts instead would take longer than the
+	// choice itself.
 	total    map[string]Usage
 	refusals map[string]refusal
 }
 
-// refusal is the backpressure of a server that refused a request: until when it
-// counts as saturated, its backoff, and whether Sweep has ended it.
+// refusal records that a server refused a request: the time until which it counts as
+// saturated, its backoff, and whether Sweep has found that time to be over.
 type refusal struct {
 	until   time.Time
 	backoff time.Duration
@@ -35,14 +35,14 @@
 	// seconds, and its entry may not show that while the object API is unavailable.
 	initialBackoff = 200 * time.Millisecond
 	maxBackoff     = 8 * initialBackoff
-	// transitTolerance is the largest extension of a refusal that is attributed to
-	// the transit time of a message. If transit times added up, gossip would keep an
-	// old refusal alive.
+	// transitTolerance is the largest extension of a refusal that is attributed to the
+	// transit time of a message and ignored. If transit times added up, gossip would
+	// keep an old refusal alive.
 	transitTolerance = initialBackoff / 2
 )
 
-// RecordRefusal records that a server refused a request of this entry host. It
-// reports whether the server did not count as saturated before.
+// RecordRefusal records that a server refused a request of this entry host. It reports
+// whether the refusal is new, that is, the server did not count as saturated before.
 func (l *LoadTracker) RecordRefusal(id string, now time.Time) (isNew bool) {
 	l.mu.Lock()
 	defer l.mu.Unlock()
@@ -78,8 +78,7 @@
 	}
 }
 
-// Saturated returns the servers that count as saturated, each with the remaining
-// time.
+// Saturated returns the servers that count as saturated, each with the remaining time.
 func (l *LoadTracker) Saturated(now time.Time) map[string]time.Duration {
 	l.mu.Lock()
 	defer l.mu.Unlock()
@@ -102,7 +101,7 @@
 	}
 }
 
-// Sweep ends backoffs that have passed, and removes old refusals.
+// Sweep marks refusals as expired once their backoff is over, and removes old ones.
 func (l *LoadTracker) Sweep(now time.Time) {
 	l.mu.Lock()
 	defer l.mu.Unlock()
@@ -116,8 +115,8 @@
 	}
 }
 
-// Reserve adds a request of the given size to the load of a chain until release is
-// called.
+// Reserve adds a request of the given size to the load of the servers of a chain until
+// release is called.
 func (l *LoadTracker) Reserve(c Chain, tokens int) (release func()) {
 	l.add(c, float64(tokens), 1)
 	var once sync.Once
--- a/parts/router/load_test.go
+++ b/parts/router/load_test.go
@@ -11,24 +11,24 @@
 	"fuchsiashelf.dev/parts/router"
 )
 
-// Guards against sending a request every 200 ms to a server that refuses all of them,
-// such as one that is leaving while the object API is unavailable.
+// Guards against an attempt every 200 ms on a server that refuses all requests, such
+// as one that is leaving while the object API is unavailable.
 func TestBackoffDoublesWhileServerRefuses(t *testing.T) {
 	var l router.LoadTracker
 	now := time.Unix(1_000_000, 0)
-	tries := 0
+	attempts := 0
 	for range 1000 {
 		l.Sweep(now)
 		if !l.Used("a").Full {
-			tries++
+			attempts++
 			l.RecordRefusal("a", now)
 		}
 		// Requests sent before the refusal was known do not lengthen the backoff.
 		l.RecordRefusal("a", now)
 		now = now.Add(10 * time.Millisecond)
 	}
-	qt.Check(t, tries <= 10, qt.IsTrue, qt.Commentf("%d tries in 10 s", tries))
-	qt.Check(t, tries >= 8, qt.IsTrue, qt.Commentf("%d tries in 10 s", tries))
+	qt.Check(t, attempts <= 10, qt.IsTrue, qt.Commentf("%d attempts in 10 s", attempts))
+	qt.Check(t, attempts >= 8, qt.IsTrue, qt.Commentf("%d attempts in 10 s", attempts))
 }
 
 // Guards against a server that stays unused after it was saturated for a moment.
@@ -46,19 +46,19 @@
 	}
 }
 
-// Guards against each entry host sending a request to a saturated server, and against
-// entry hosts that keep a refusal alive by sending it back and forth.
+// Guards against refusals at each entry host in turn by the same saturated server, and
+// against entry hosts that keep a refusal alive by sending it back and forth.
 func TestRemoteRefusalsCount(t *testing.T) {
 	var one, other router.LoadTracker
 	now := time.Unix(1_000_000, 0)
 	qt.Check(t, one.RecordRefusal("a", now), qt.IsTrue)
 	qt.Check(t, one.RecordRefusal("a", now), qt.IsFalse)
 	for range 100 {
-		for id, left := range one.Saturated(now) {
-			other.RecordRemoteRefusal(id, left, now)
+		for id, remaining := range one.Saturated(now) {
+			other.RecordRemoteRefusal(id, remaining, now)
 		}
-		for id, left := range other.Saturated(now) {
-			one.RecordRemoteRefusal(id, left, now)
+		for id, remaining := range other.Saturated(now) {
+			one.RecordRemoteRefusal(id, remaining, now)
 		}
 		qt.Check(t, other.Used("a").Full, qt.Equals, one.Used("a").Full)
 		now = now.Add(10 * time.Millisecond)
@@ -79,8 +79,8 @@
 		for _, pair := range [][2]*router.LoadTracker{{&one, &other}, {&other, &one}} {
 			list := pair[0].Saturated(now)
 			now = now.Add(20 * time.Millisecond)
-			for id, left := range list {
-				pair[1].RecordRemoteRefusal(id, left, now)
+			for id, remaining := range list {
+				pair[1].RecordRemoteRefusal(id, remaining, now)
 			}
 		}
 		one.Sweep(now)
@@ -97,14 +97,14 @@
 	rapid.Check(t, func(t *rapid.T) {
 		var l router.LoadTracker
 		remote := map[string]map[string]router.Usage{}
-		own := map[string]router.Usage{}
+		local := map[string]router.Usage{}
 		for range rapid.IntRange(1, 30).Draw(t, "steps") {
 			id := rapid.SampledFrom(servers).Draw(t, "server")
 			tokens := rapid.IntRange(1, 3000).Draw(t, "tokens")
 			if rapid.Bool().Draw(t, "own") {
 				l.Reserve(router.Chain{{Server: server(id, "d", "small", 0, 80), First: 0, End: 80}}, tokens)
-				u := own[id]
-				own[id] = router.Usage{TokenLayers: u.TokenLayers + float64(80*tokens), Requests: u.Requests + 1, Starts: u.Starts + 1}
+				u := local[id]
+				local[id] = router.Usage{TokenLayers: u.TokenLayers + float64(80*tokens), Requests: u.Requests + 1, Starts: u.Starts + 1}
 				continue
 			}
 			host := fmt.Sprint(rapid.IntRange(0, 3).Draw(t, "host"))
@@ -115,7 +115,7 @@
 			l.SetRemote(host, remote[host])
 		}
 		for _, id := range servers {
-			want := own[id]
+			want := local[id]
 			for _, used := range remote {
 				want.TokenLayers += used[id].TokenLayers
 				want.Requests += used[id].Requests
@@ -128,8 +128,8 @@
 	})
 }
 
-// Measures the read of one server's load with 300 entry hosts: 142 ns with the
-// running total, against 19,600 ns for summing over entry hosts.
+// Measures reading one server's load with 300 entry hosts: 142 ns with the running
+// total, 19,600 ns when summing over entry hosts.
 func BenchmarkUsed(b *testing.B) {
 	var l router.LoadTracker
 	for host := range 300 {
--- a/parts/router/router.go
+++ b/parts/router/router.go
@@ -1,17 +1,17 @@
 // Package router chooses the chain of backend servers that a request passes through:
 // which servers run which layers, in order.
 //
-// A [Chain] covers the layers of a model: the first stage starts at layer 0, each
-// next one starts where the previous one ends, and the last one ends at the last
-// layer. [Query.Pick] is the only way to get one, so no layer is skipped or run
-// twice, whatever the view of the servers. It finds a shortest path over the
-// boundaries between layers; a server may run a part of the layers that it holds.
+// A [Chain] covers the layers of a model: the first stage starts at layer 0, each next
+// one starts where the previous one ends, and the last one ends at the last layer.
+// [Query.Pick] is the only way to get one, so no layer is skipped or run twice, even
+// if the view of the servers is wrong. It finds a shortest path over the boundaries
+// between layers; a server may run only a part of the layers that it holds.
 //
 // The cost of a stage is the time that the request will spend there: the prefill of
-// its prompt and the decode of its answer at the speed of the accelerator, increased
+// its prompt and the decode of its response at the speed of the accelerator, increased
 // with the fill of the server's memory. A chain that crosses from one failure domain
 // to another moves the activations of the whole prompt over a shared link, so a chain
-// crosses only where others are missing or much slower.
+// crosses only where layers are missing or other servers are much slower.
 package router
 
 import (
@@ -24,7 +24,7 @@
 	"fuchsiashelf.dev/parts/route"
 )
 
-// Stage is the layers that one server runs of a chain.
+// Stage is the range of layers that one server of a chain runs.
 type Stage struct {
 	Server *fleet.Server
 	// First and End bound the layers that the server runs.
@@ -58,7 +58,8 @@
 	Servers []*fleet.Server
 	// LocalDomain is the failure domain of the entry host.
 	LocalDomain domain.Name
-	// Prompt and Answer are the expected sizes in tokens.
+	// Prompt and Answer are the expected sizes of the prompt and of the response, in
+	// tokens.
 	Prompt, Answer int
 	// Avoid holds addresses that must not be used.
 	Avoid map[string]bool
@@ -74,7 +75,7 @@
 	// same layers again.
 	Cached map[string]Stage
 	// Overcommit permits reserving more than the memory of the servers; their engines
-	// queue what does not fit.
+	// queue the requests that do not fit.
 	Overcommit bool
 	// Partitioned reports whether servers of one failure domain cannot reach those of
 	// another; nil means that all can.
@@ -103,7 +104,7 @@
 	chain := q.search(false)
 	if chain != nil && repeatsServer(chain) {
 		// The chain passes through a server twice, which engines refuse. If each
-		// server runs to the end of its range, none can occur twice.
+		// server runs to the end of its range, the chain cannot return to it.
 		chain = q.search(true)
 	}
 	if chain == nil || !chain.Complete(q.Engine.Layers) {
--- a/parts/router/router_test.go
+++ b/parts/router/router_test.go
@@ -80,8 +80,9 @@
 	qt.Assert(t, q.Pick().String(), qt.Equals, "b0=0-40 b1=40-80")
 }
 
-// Guards against requests on a server whose memory is already reserved: its engine
-// would preempt the newest request and recompute it, a long pause for the caller.
+// Guards against sending requests to a server whose memory is already reserved: its
+// engine would preempt the newest request and recompute it, a long pause for the
+// caller.
 func TestSkipsFullServer(t *testing.T) {
 	q := query(
 		server("a1", "a", "small", 0, 9), server("a2", "a", "small", 0, 9), server("a3", "a", "small", 9, 80),
@@ -126,8 +127,8 @@
 
 // Guards against a reroute after a failure that also moves layers between the
 // remaining servers: each server whose range changes prefills the whole prompt again,
-// for each of some thirty answers, and their callers wait for 500 ms instead of
-// 250 ms.
+// for each of some thirty responses, and their callers wait for 500 ms instead of 250
+// ms.
 func TestRerouteKeepsCachedStages(t *testing.T) {
 	first := server("a", "a", "small", 0, 20)
 	next := server("c", "a", "small", 35, 60)
@@ -141,9 +142,9 @@
 	qt.Assert(t, q.Pick().String(), qt.Equals, "a=0-20 e=20-40 c=40-60 d=60-80")
 }
 
-// Guards against starting chains at a server that answers requests with status 500
-// while its reports are good: each request would use up a retry there, though another
-// failure domain serves it with little delay.
+// Guards against starting chains at a server that responds with status 500 while its
+// reports show no fault: each request would spend a retry there, though another
+// failure domain could serve it with little delay.
 func TestAvoidsStartAtFailingServer(t *testing.T) {
 	q := query(
 		server("a1", "a", "small", 0, 40), server("a2", "a", "small", 40, 80),
@@ -160,7 +161,7 @@
 }
 
 // Guards against routing through a server that reports to be slow while another holds
-// the same layers: requests would pile up there and slow down every chain that
+// the same layers: requests would accumulate there and slow down every chain that
 // includes it.
 func TestAvoidsSlowServer(t *testing.T) {
 	slow, other := server("a1", "a", "small", 0, 40), server("a2", "a", "small", 0, 40)
--- a/parts/router/search.go
+++ b/parts/router/search.go
@@ -8,18 +8,19 @@
 	"fuchsiashelf.dev/parts/fleet"
 )
 
-// label is the cheapest known path to a boundary and failure domain: its cost, and
-// its last stage with the boundary where it starts and the failure domain before it.
+// label is the cheapest known path to a state: its cost, and its last stage as the
+// server, the boundary where the stage starts, and the failure domain of the server
+// before it.
 type label struct {
 	cost       float64
 	server     *fleet.Server
-	from       int
+	first      int
 	prevDomain int
 }
 
-// search finds the shortest path by relaxing the boundaries in order. A state is a
-// boundary and the failure domain of the server that ran the layers before it. With
-// toEnd, each server runs up to the end of its range.
+// search finds the shortest path by relaxing the states in the order of their
+// boundaries. A state is a boundary and the failure domain of the server that ran the
+// layers before it. With toEnd, each server runs up to the end of its range.
 func (q *Query) search(toEnd bool) Chain {
 	layers := q.Engine.Layers
 	domains, index := q.domains()
@@ -60,11 +61,12 @@
 	return q.backtrack(best, start)
 }
 
-// relax updates the states that a server reaches from one state.
-func (q *Query) relax(best [][]label, domains []domain.Name, boundaries []int, c candidate, at, from int, toEnd bool) {
-	cost := best[at][from].cost + q.hopCost()
-	if c.domain != from {
-		if at == 0 || q.SingleDomain || q.Partitioned != nil && q.Partitioned(domains[from], c.server.Domain) {
+// relax updates the states that can be reached from one state by running layers on the
+// server c.
+func (q *Query) relax(best [][]label, domains []domain.Name, boundaries []int, c candidate, at, prevDomain int, toEnd bool) {
+	cost := best[at][prevDomain].cost + q.hopCost()
+	if c.domain != prevDomain {
+		if at == 0 || q.SingleDomain || q.Partitioned != nil && q.Partitioned(domains[prevDomain], c.server.Domain) {
 			return
 		}
 		cost += q.crossingCost()
@@ -79,12 +81,13 @@
 			total += c.delay
 		}
 		if total < best[e][c.domain].cost {
-			best[e][c.domain] = label{cost: total, server: c.server, from: at, prevDomain: from}
+			best[e][c.domain] = label{cost: total, server: c.server, first: at, prevDomain: prevDomain}
 		}
 	}
 }
 
-// backtrack follows the back pointers of the cheapest path from the last layer.
+// backtrack returns the chain of the cheapest path to the last boundary, by following
+// its labels back to the start.
 func (q *Query) backtrack(best [][]label, start int) Chain {
 	at, d := q.Engine.Layers, 0
 	for i := range best[at] {
@@ -98,8 +101,8 @@
 	var chain Chain
 	for at > start {
 		l := best[at][d]
-		chain = append(chain, Stage{Server: l.server, First: l.from, End: at})
-		at, d = l.from, l.prevDomain
+		chain = append(chain, Stage{Server: l.server, First: l.first, End: at})
+		at, d = l.first, l.prevDomain
 	}
 	if q.FixedFirst != nil {
 		chain = append(chain, *q.FixedFirst)
@@ -127,7 +130,8 @@
 	return names, index
 }
 
-// boundaries returns the boundaries at which one server may follow another, in order.
+// boundaries returns, in order, the boundaries at which one server can take over from
+// another.
 func (q *Query) boundaries() []int {
 	list := []int{q.Engine.Layers}
 	for _, s := range q.Servers {
