--- a/parts/place/bench_test.go
+++ b/parts/place/bench_test.go
@@ -15,7 +15,7 @@
 func BenchmarkPlanEmptyServers(b *testing.B) {
 	for b.Loop() {
 		b.StopTimer()
-		list := fleetOf(1000)
+		list := emptyServers(1000)
 		b.StartTimer()
 		place.Plan(engine(), list, stable)
 	}
@@ -24,19 +24,19 @@
 // Measures the regular decision, in which nothing changes: 3 ms for the same servers
 // when all layers are held.
 func BenchmarkPlanSteadyState(b *testing.B) {
-	list := fleetOf(1000)
+	list := emptyServers(1000)
 	apply(place.Plan(engine(), list, stable))
 	for b.Loop() {
 		place.Plan(engine(), list, stable)
 	}
 }
 
-func fleetOf(each int) []*fleet.Server {
+func emptyServers(perDomain int) []*fleet.Server {
 	accelerators := []string{"h100", "a100s", "l4", "t4", "l4", "t4", "l4", "t4", "l4", "t4"}
 	var list []*fleet.Server
-	for _, in := range []domain.Name{"a", "b", "c"} {
-		for i := range each {
-			list = append(list, &fleet.Server{ID: fmt.Sprintf("%s-%04d", in, i), Domain: in, Accelerator: accelerators[i%len(accelerators)]})
+	for _, dom := range []domain.Name{"a", "b", "c"} {
+		for i := range perDomain {
+			list = append(list, &fleet.Server{ID: fmt.Sprintf("%s-%04d", dom, i), Domain: dom, Accelerator: accelerators[i%len(accelerators)]})
 		}
 	}
 	return list
--- a/parts/place/capacity.go
+++ b/parts/place/capacity.go
@@ -11,16 +11,16 @@
 )
 
 const (
-	// maxTargetRequests is the highest target capacity of each server, in requests of
+	// maxTargetRequests is the highest target capacity of a server, in requests of
 	// mean size.
 	maxTargetRequests = 160
-	// severalCopies is the number of copies of the layers from which on the highest
+	// severalCopies is the number of copies of all layers from which on the highest
 	// target is used.
 	severalCopies = 2
 	// targetSteps is the number of target capacities that are compared.
 	targetSteps = 50
-	// hopLatency is the latency that another server adds to each token: the link, and
-	// the wait for the step in progress there.
+	// hopLatency is the latency that each server adds to a token besides its own step:
+	// the link, and the wait for the step in progress there.
 	hopLatency = 200 * time.Microsecond
 )
 
@@ -47,10 +47,10 @@
 	return accelerators
 }
 
-// layerTime returns the seconds per layer that a mean-sized request takes if the
-// server has the highest target capacity.
+// layerTime returns the seconds per layer that a mean-sized request takes on a server
+// with the highest target capacity.
 func (a *accelerator) layerTime(e *route.Engine) float64 {
-	n := max(1, layersBeside(e, a.MemoryMB, maxTargetTokens(e)))
+	n := max(1, maxLayersWithCapacity(e, a.MemoryMB, maxTargetTokens(e)))
 	decode := a.stepTime(e, n).Seconds() * float64(e.MeanAnswer) / float64(n)
 	prefill := float64(e.MeanPrompt) / max(e.PrefillPerSec, 1) * a.PrefillFactor / float64(e.Layers)
 	return decode + prefill
@@ -68,59 +68,59 @@
 	return maxTargetRequests * float64(e.MeanPrompt+e.MeanAnswer)
 }
 
-// targetCapacity returns the capacity for requests, in tokens, that each server
-// should keep beside its layers. A lower target lets the fastest servers hold more of
-// the layers: an answer then takes less time, fewer of them are in flight when a
-// server fails, and less capacity is needed.
+// targetCapacity returns the capacity for requests, in tokens, that each server should
+// keep besides its layers. A lower target lets the fastest servers hold more of the
+// layers: a response then takes less time, fewer of them are in progress when a server
+// fails, and less capacity is needed.
 //
-// Of the targets that the servers can meet it is the one with the most headroom for
-// the time of an answer. Headroom is the number of requests that fit divided by the
-// number in flight at a given load, which grows with that time. It is divided by that
-// time once more, since it is how long a failure can hit an answer. Where the layers
-// are held several times, most requests take other chains than the fastest, so that
-// capacity matters more than its speed.
+// Of the targets that the servers can meet, it is the one with the highest score: its
+// headroom divided by the time of a response. Headroom is the number of requests that
+// fit divided by the number in flight at a given load, which grows with that time. The
+// second division by the time accounts for failures, which can hit a response for as
+// long as it takes. Where the layers are held several times, most requests take other
+// chains than the fastest one, and capacity matters more than the speed of that chain.
 func (g *group) targetCapacity() float64 {
-	if g.layersWith(maxTargetTokens(g.engine)) >= severalCopies*g.engine.Layers {
+	if g.totalLayersWithCapacity(maxTargetTokens(g.engine)) >= severalCopies*g.engine.Layers {
 		return maxTargetTokens(g.engine)
 	}
 	accelerators := slices.SortedFunc(maps.Values(g.accelerators), func(a, b *accelerator) int { return cmp.Compare(a.layerSeconds, b.layerSeconds) })
 	var best, bestScore float64
 	for i := targetSteps; i > 0; i-- {
 		tokens := maxTargetTokens(g.engine) * float64(i) / targetSteps
-		tokenTime, complete := tokenTime(g.engine, accelerators, tokens)
-		if score := tokens / (tokenTime * tokenTime); complete && score > bestScore {
+		seconds, complete := tokenTime(g.engine, accelerators, tokens)
+		if score := tokens / (seconds * seconds); complete && score > bestScore {
 			best, bestScore = tokens, score
 		}
 	}
 	return best
 }
 
-// layersWith returns how many layers the servers hold if each keeps the given
-// capacity.
-func (g *group) layersWith(tokens float64) int {
+// totalLayersWithCapacity returns how many layers the servers hold together if each
+// keeps the given capacity.
+func (g *group) totalLayersWithCapacity(tokens float64) int {
 	sum := 0
 	for _, a := range g.accelerators {
-		sum += a.servers * layersBeside(g.engine, a.MemoryMB, tokens)
+		sum += a.servers * maxLayersWithCapacity(g.engine, a.MemoryMB, tokens)
 	}
 	return sum
 }
 
 // tokenTime returns the seconds that a token takes through all layers if each server
-// keeps the given capacity and those with the first of the accelerators hold as many
-// layers as they can. Complete is false if all servers together cannot hold the
-// model.
+// keeps the given capacity and the layers are given to the servers in the order of the
+// accelerators, as many to each as it can hold. Complete is false if all servers
+// together cannot hold the model.
 func tokenTime(e *route.Engine, accelerators []*accelerator, tokens float64) (seconds float64, complete bool) {
-	left := e.Layers
+	remaining := e.Layers
 	for _, a := range accelerators {
-		n := layersBeside(e, a.MemoryMB, tokens)
+		n := maxLayersWithCapacity(e, a.MemoryMB, tokens)
 		for range a.servers {
-			if n <= 0 || left == 0 {
+			if n <= 0 || remaining == 0 {
 				break
 			}
-			held := min(n, left)
+			held := min(n, remaining)
 			seconds += a.stepTime(e, held).Seconds()
-			left -= held
+			remaining -= held
 		}
 	}
-	return seconds, left == 0
+	return seconds, remaining == 0
 }
--- a/parts/place/gaps.go
+++ b/parts/place/gaps.go
@@ -7,8 +7,9 @@
 	"fuchsiashelf.dev/parts/fleet"
 )
 
-// closeGaps closes gaps with servers whose layers are replicated, if allowed returns
-// true for them. The smallest servers come first, since they load soonest.
+// closeGaps assigns missing layers to servers whose own layers are replicated, if
+// allowed returns true for them. The smallest servers come first, since they load
+// soonest.
 func (g *group) closeGaps(allowed func(id string) bool) {
 	for i := len(g.servers) - 1; i >= 0 && g.missing() > 0; i-- {
 		s := g.servers[i]
@@ -26,15 +27,15 @@
 }
 
 // shift closes the remaining gaps by shifting ranges: the server next to a gap takes
-// it over and gives up at its other end what it cannot hold, which the next one
-// takes. Each server can hold some layers above its target, so the gap shrinks with
-// each step. The gap is moved towards the last layer, then towards the first, and
-// nothing changes if neither closes all gaps.
+// the missing layers and gives up at its other end those that it cannot hold, which
+// the next server takes. Each server can hold some layers above its target, so the gap
+// shrinks with each step. The gap is moved towards the last layer first, then towards
+// the first one. If neither closes all gaps, nothing changes.
 func (g *group) shift() {
 	held := maps.Clone(g.held)
 	for _, up := range []bool{true, false} {
 		for range g.servers {
-			if g.missing() == 0 || !g.push(up) {
+			if g.missing() == 0 || !g.shiftOnce(up) {
 				break
 			}
 		}
@@ -49,9 +50,9 @@
 	}
 }
 
-// push closes the first gap in one direction with the server next to it. It reports
-// whether there was one.
-func (g *group) push(up bool) bool {
+// shiftOnce closes the first gap with the server next to it, in the direction of the
+// last layer if up is set. It reports whether there was such a server.
+func (g *group) shiftOnce(up bool) bool {
 	gap := g.gap()
 	at := gap.end
 	if !up {
@@ -70,8 +71,8 @@
 	return true
 }
 
-// maxLayers returns how many layers a server can hold beside the requests in flight,
-// which is no fewer than it holds now.
+// maxLayers returns the maximum number of layers that a server can hold besides the
+// requests in flight. It is at least what the server holds now.
 func (g *group) maxLayers(s *fleet.Server) int {
 	n := maxLayersOf(g.engine, s)
 	for n > max(1, g.held[s.ID].len()) && !g.fits(s, n) {
@@ -80,8 +81,9 @@
 	return n
 }
 
-// adjacent returns the server whose range begins or ends at a boundary and can grow
-// the most, and by how much. The more it can grow, the more a gap shrinks.
+// adjacent returns the server that can grow the most among those whose range begins
+// (with up) or ends at a boundary, and by how many layers. The more it can grow, the
+// more a gap shrinks.
 func (g *group) adjacent(at int, up bool) (*fleet.Server, int) {
 	var best *fleet.Server
 	growth := 0
@@ -98,13 +100,13 @@
 	return best, growth
 }
 
-// minRelief is the minimum ratio between the values of a new range and of the one
-// that an idle server holds. Layers whose holder has a third of its target capacity
-// are worth six times those with two holders.
+// minRelief is the minimum ratio of the value of a new range to that of the range that
+// an idle server holds. Layers whose holder has a third of its target capacity are
+// worth six times as much as those with two holders.
 const minRelief = 2
 
-// relieve moves idle servers, whose layers are replicated, to layers whose holders
-// have little capacity for requests because they took some over.
+// relieve moves idle servers whose layers are replicated to layers whose holders have
+// little capacity left because they took over the layers of others.
 func (g *group) relieve(idle func(id string) bool) {
 	for _, s := range slices.Backward(g.servers) {
 		old, known := g.held[s.ID]
--- a/parts/place/group.go
+++ b/parts/place/group.go
@@ -8,7 +8,7 @@
 	"fuchsiashelf.dev/parts/route"
 )
 
-// group is a set of servers that together hold all layers.
+// group is a set of servers that together should hold all layers.
 type group struct {
 	engine  *route.Engine
 	servers []*fleet.Server
@@ -18,10 +18,10 @@
 	targetTokens float64
 	// reserved returns how many tokens x layers of a server's memory are reserved.
 	reserved func(id string) float64
-	// held is the range that each server holds or will hold, by its ID.
+	// held is the range of layers that each server holds or will hold, by server ID.
 	held map[string]span
-	// holders is the number of servers that hold each layer, and capacities the
-	// tokens that fit into them together.
+	// holders is the number of servers that hold each layer. capacities is the number
+	// of tokens that fit into these servers together.
 	holders    []int
 	capacities []float64
 	// edges is the number of ranges that begin or end at each boundary.
@@ -53,7 +53,7 @@
 
 // targetLayers returns how many layers a server should hold.
 func (g *group) targetLayers(s *fleet.Server) int {
-	return layersBeside(g.engine, g.accelerators[s.Accelerator].MemoryMB, g.targetTokens)
+	return maxLayersWithCapacity(g.engine, g.accelerators[s.Accelerator].MemoryMB, g.targetTokens)
 }
 
 // set replaces what a server holds.
@@ -65,7 +65,7 @@
 	g.add(s, r, 1)
 }
 
-// add adds a range to the counts, or removes it if by is -1.
+// add adds a range to the counts if by is 1, or removes it if by is -1.
 func (g *group) add(s *fleet.Server, r span, by int) {
 	tokens := capacity(g.engine, s, r.len()) * float64(by)
 	for l := r.first; l < r.end; l++ {
@@ -78,7 +78,7 @@
 	}
 }
 
-// gap returns the first range of missing layers.
+// gap returns the first range of layers without a holder.
 func (g *group) gap() span {
 	first := slices.IndexFunc(g.holders, func(n int) bool { return n <= 0 })
 	end := first
@@ -124,7 +124,7 @@
 	return best
 }
 
-// unreplicated returns, for each server with layers that no other server holds, the
+// unreplicated returns, for each server that is the only holder of some layers, the
 // range from the first to the last of them.
 func (g *group) unreplicated() []span {
 	if !slices.Contains(g.holders, 1) {
@@ -161,7 +161,7 @@
 			sum += soleValue
 		}
 	}
-	// The counts of edges replace a search through all ranges: with 1,000 servers in
-	// a failure domain that would take longer than the time between two decisions.
+	// A search through all ranges instead of the counts in edges would take longer
+	// than the time between two decisions with 1,000 servers in a failure domain.
 	return sum + alignedValue*float64(g.edges[r.first]+g.edges[r.end])
 }
--- a/parts/place/place.go
+++ b/parts/place/place.go
@@ -1,14 +1,15 @@
 // Package place decides which layers each backend server holds.
 //
-// Each failure domain holds all layers, so that an answer need not cross to another
-// one. The memory that the layers leave free holds requests, and it limits how many
-// are served: a server gets only as many layers as leave capacity for the requests of
-// a busy hour. Domains that are too small for a complete copy share one.
+// Each failure domain holds all layers, so that requests need not cross to another
+// one. The memory that the layers leave free holds requests and limits how many are
+// served at once, so a server gets only as many layers as leave enough capacity for
+// the requests of a busy hour. Domains that are too small to hold all layers share one
+// copy.
 //
 // [Plan] is a pure function of the view of the servers. Servers keep what they hold.
-// Empty servers get the layers with the fewest replicas or the least capacity.
-// Missing layers are assigned to servers whose own layers are replicated, or the
-// ranges next to the gap are shifted. Entry hosts with the same view compute the same
+// Empty servers get the layers with the fewest replicas or the least capacity. Missing
+// layers are assigned to servers whose own layers are replicated; otherwise the ranges
+// next to the gap are shifted. Entry hosts with the same view compute the same
 // assignments, so a new leader continues where the last one stopped.
 package place
 
@@ -25,7 +26,7 @@
 	Server *fleet.Server
 	// First and End bound the layers.
 	First, End int
-	// Replicas holds the servers with replicas of the layers that this one gives up.
+	// Replicas holds the servers with replicas of the layers that Server gives up.
 	// They should be checked before the assignment is sent, since the view may not
 	// show a failure yet. It is empty for assignments that close a gap, which are
 	// urgent.
@@ -36,18 +37,18 @@
 	// maxLayerFill is the share of a server's memory that layers may take where a
 	// domain cannot hold all of them otherwise.
 	maxLayerFill = 0.92
-	// partitionShare is the share of a domain's servers that are suspected at once
-	// above which a partition is more likely than so many failures. What they hold is
-	// unknown then, and nothing is assigned there.
+	// partitionShare is the share of suspected servers in a domain above which a
+	// partition is more likely than so many failures. It is then unknown what these
+	// servers hold, and nothing is assigned in that domain.
 	partitionShare = 0.34
 )
 
 // missingValue is the value of holding a missing layer, above any number of replicas.
 // The value of a replica rises as the capacity of the other holders falls. soleValue
-// is the value of a range that covers all layers that only one particular server
-// holds: after its failure all its answers continue on replicas, which replicas of
-// only some of these layers would not allow. alignedValue prefers ranges that begin
-// or end where others do, which makes chains with fewer stages.
+// is the value of a range that covers all layers of which one particular server is the
+// only holder: if that server fails, all its responses continue on the replicas, which
+// replicas of only some of these layers would not allow. alignedValue prefers ranges
+// that begin or end where others do, which makes chains with fewer stages.
 const (
 	missingValue = 1e6
 	soleValue    = 5
@@ -60,13 +61,13 @@
 	// while. Only then are ranges rebalanced, and replicated layers given up.
 	Stable func(domain.Name) bool
 	// JustStarted reports whether a server has just started. In a rolling replacement
-	// the new server starts before the old one leaves; loading replicas now would
-	// delay taking over from the server being replaced.
+	// the new server starts before the old one leaves. If it loaded replicas first, it
+	// would be late in taking over from the server that it replaces.
 	JustStarted func(id string) bool
 	// Reserved returns how many tokens x layers of a server's memory are reserved.
 	Reserved func(id string) float64
 	// Idle reports whether hardly any request passes through a server. A busy server
-	// drains first, which takes up to ten seconds.
+	// must drain before it changes its layers, which takes up to ten seconds.
 	Idle func(id string) bool
 }
 
@@ -108,7 +109,7 @@
 	var list []*group
 	var small []*fleet.Server
 	for _, name := range names {
-		if maxLayersOfAll(e, byDomain[name]) < e.Layers {
+		if totalMaxLayers(e, byDomain[name]) < e.Layers {
 			small = append(small, byDomain[name]...)
 			continue
 		}
@@ -120,8 +121,8 @@
 	return list
 }
 
-// maxLayersOfAll returns how many layers the servers can hold together.
-func maxLayersOfAll(e *route.Engine, servers []*fleet.Server) int {
+// totalMaxLayers returns how many layers the servers can hold together.
+func totalMaxLayers(e *route.Engine, servers []*fleet.Server) int {
 	sum := 0
 	for _, s := range servers {
 		sum += maxLayersOf(e, s)
@@ -139,9 +140,9 @@
 	return min(int(memoryMB*maxLayerFill/e.LayerMB), e.Layers)
 }
 
-// layersBeside returns how many layers fit into the given memory and leave free the
-// given number of tokens.
-func layersBeside(e *route.Engine, memoryMB, tokens float64) int {
+// maxLayersWithCapacity returns the maximum number of layers that fit into the given
+// memory and leave capacity for the given number of tokens.
+func maxLayersWithCapacity(e *route.Engine, memoryMB, tokens float64) int {
 	perLayer := e.LayerMB + tokens*e.TokenBytes/float64(e.Layers)/1e6
 	return min(int(memoryMB/perLayer), maxLayers(e, memoryMB))
 }
@@ -154,11 +155,11 @@
 	return max(0, free) / max(perToken, 1e-9)
 }
 
-// plan changes the ranges step by step, and returns an assignment for each range that
-// differs in the end.
+// plan changes the ranges step by step, and returns an assignment for each server
+// whose range has changed in the end.
 func (g *group) plan(conditions Conditions) []Assignment {
 	complete := g.missing() == 0
-	g.fill(complete && !g.scarce(), conditions.JustStarted)
+	g.fill(complete && !g.hasLowCapacity(), conditions.JustStarted)
 	g.closeGaps(conditions.Idle)
 	g.closeGaps(func(string) bool { return true })
 	if g.missing() > 0 {
@@ -204,8 +205,8 @@
 	return list
 }
 
-// fill assigns to each empty server the most valuable layers. With spare, it skips
-// servers that have just started.
+// fill assigns the most valuable layers to each empty server. With spare, the group
+// can do without new servers for now, and those that have just started are skipped.
 func (g *group) fill(spare bool, justStarted func(id string) bool) {
 	for _, s := range g.servers {
 		if s.LayerCount() > 0 || spare && justStarted(s.ID) {
--- a/parts/place/place_test.go
+++ b/parts/place/place_test.go
@@ -27,7 +27,7 @@
 	}
 }
 
-// stable and unstable are conditions with and without a recent change of the servers.
+// stable and unstable are conditions without and with a recent change of the servers.
 // No server is idle in either.
 var (
 	stable   = conditions(true, func(string) bool { return false })
@@ -47,9 +47,9 @@
 // the model.
 func threeDomains() []*fleet.Server {
 	var list []*fleet.Server
-	add := func(in domain.Name, accelerator string, n int) {
+	add := func(dom domain.Name, accelerator string, n int) {
 		for i := range n {
-			list = append(list, &fleet.Server{ID: fmt.Sprintf("%s-%s-%d", in, accelerator, i), Domain: in, Accelerator: accelerator})
+			list = append(list, &fleet.Server{ID: fmt.Sprintf("%s-%s-%d", dom, accelerator, i), Domain: dom, Accelerator: accelerator})
 		}
 	}
 	add("a", "h100", 1)
@@ -73,10 +73,10 @@
 }
 
 // covered reports whether the healthy servers of a domain hold all layers.
-func covered(list []*fleet.Server, in domain.Name) bool {
+func covered(list []*fleet.Server, dom domain.Name) bool {
 	held := make([]bool, 80)
 	for _, s := range list {
-		if s.Domain != in || s.Leaving || s.Suspected {
+		if s.Domain != dom || s.Leaving || s.Suspected {
 			continue
 		}
 		for l := s.First; l < s.End; l++ {
@@ -105,14 +105,14 @@
 	assignments := place.Plan(engine(), list, stable)
 	qt.Assert(t, assignments, qt.HasLen, len(list))
 	apply(assignments)
-	for _, in := range []domain.Name{"a", "b", "c"} {
-		qt.Check(t, covered(list, in), qt.IsTrue, qt.Commentf("domain %s", in))
+	for _, dom := range []domain.Name{"a", "b", "c"} {
+		qt.Check(t, covered(list, dom), qt.IsTrue, qt.Commentf("domain %s", dom))
 	}
 	// Nothing is left to change: servers keep what they hold.
 	qt.Assert(t, place.Plan(engine(), list, stable), qt.HasLen, 0)
 }
 
-// Guards against a failure domain without some layers after its only holder failed:
+// Guards against a failure domain that lacks layers after their only holder failed:
 // every request would cross to another domain until the server is back. Neighbours
 // take the layers over without giving any up, so they need not wait for the requests
 // that pass through them.
@@ -137,8 +137,8 @@
 	}
 }
 
-// Guards against assignments in a failure domain whose servers look failed to the
-// leader because of a partition: they would break what works on the other side.
+// Guards against assignments in a failure domain whose servers the leader takes for
+// failed because of a partition: they would break what works on the other side.
 func TestNoAssignmentsInPartitionedDomain(t *testing.T) {
 	list := threeDomains()
 	apply(place.Plan(engine(), list, stable))
@@ -200,11 +200,11 @@
 		old := find(list, "b-"+accelerator+"-0")
 		next := &fleet.Server{ID: "new", Domain: "b", Accelerator: accelerator}
 		list = append(list, next)
-		now := stable
-		now.JustStarted = func(id string) bool { return id == "new" }
-		qt.Assert(t, place.Plan(engine(), list, now), qt.HasLen, 0)
+		current := stable
+		current.JustStarted = func(id string) bool { return id == "new" }
+		qt.Assert(t, place.Plan(engine(), list, current), qt.HasLen, 0)
 		old.Leaving = true
-		assignments := place.Plan(engine(), list, now)
+		assignments := place.Plan(engine(), list, current)
 		qt.Assert(t, assignments, qt.HasLen, 1, qt.Commentf("%s", accelerator))
 		qt.Assert(t, assignments[0].Server, qt.Equals, next)
 		apply(assignments)
@@ -220,13 +220,13 @@
 	find(list, "b-a100s-0").Leaving = true
 	apply(place.Plan(engine(), list, unstable))
 	list = append(list, &fleet.Server{ID: "new", Domain: "b", Accelerator: "l4"})
-	now := unstable
-	now.JustStarted = func(id string) bool { return id == "new" }
-	qt.Assert(t, place.Plan(engine(), list, now), qt.HasLen, 1)
+	current := unstable
+	current.JustStarted = func(id string) bool { return id == "new" }
+	qt.Assert(t, place.Plan(engine(), list, current), qt.HasLen, 1)
 }
 
-// Guards against a large server that stays at a low capacity after taking layers
-// over, while idle servers hold replicas that no request uses: the idle servers take
+// Guards against a large server that stays at a low capacity after taking over layers
+// while idle servers hold replicas that no request uses: the idle servers should take
 // layers from it.
 func TestIdleServersRelieveOverloadedServer(t *testing.T) {
 	list := threeDomains()
@@ -242,8 +242,8 @@
 	qt.Assert(t, big.LayerCount() <= 25, qt.IsTrue, qt.Commentf("%d layers", big.LayerCount()))
 }
 
-// Guards against a failure domain that cannot hold the whole model and serves no
-// request: it shares a copy with other small domains.
+// Guards against a failure domain that is too small for the whole model and therefore
+// serves no request: it shares a copy with other small domains.
 func TestSmallDomainsShareACopy(t *testing.T) {
 	list := []*fleet.Server{
 		{ID: "a", Domain: "a", Accelerator: "h100"}, {ID: "b", Domain: "b", Accelerator: "h100"}, {ID: "c", Domain: "c", Accelerator: "h100"},
@@ -306,8 +306,8 @@
 	})
 }
 
-// mixedAccelerators returns an engine whose small accelerators are three times as
-// fast as its medium ones, with large ones that are the fastest.
+// mixedAccelerators returns an engine whose smallest accelerators are three times as
+// fast as its medium ones; the largest are the fastest.
 func mixedAccelerators() *route.Engine {
 	return &route.Engine{
 		Layers: 80, LayerMB: 1750, TokenBytes: 590_000, Load: 14 * time.Second, Step: 1020 * time.Microsecond, PrefillPerSec: 164_000,
@@ -319,9 +319,9 @@
 	}
 }
 
-// Guards against giving layers to the larger accelerators first when these are the
-// slower ones: events come 90 ms apart where 40 ms are possible, twice as many
-// answers are in flight when a server fails, and the longest answers rarely complete.
+// Guards against giving layers to larger accelerators first even if they are slower:
+// events come 90 ms apart where 40 ms are possible, twice as many responses are in
+// progress when a server fails, and the longest responses rarely complete.
 func TestFastAcceleratorsHoldLayersFirst(t *testing.T) {
 	e := mixedAccelerators()
 	for _, accelerators := range []map[string]int{
@@ -346,8 +346,8 @@
 				fastest++
 			}
 		}
-		// What the fast accelerators hold if they keep capacity for 150 requests,
-		// twice the 75 that a domain has on an ordinary evening.
+		// The number of layers that the fast accelerators hold if they keep capacity
+		// for 150 requests, twice the 75 that a domain has on an ordinary evening.
 		want := 0
 		for accelerator, n := range accelerators {
 			if accelerator != "l4" {
@@ -360,19 +360,18 @@
 }
 
 // Guards against trading capacity for speed where all accelerators are about equally
-// slow: little is gained, and after a server fails half of the requests find no
+// slow: little speed is gained, and after a server fails half of the requests find no
 // capacity.
 func TestSlowAcceleratorsKeepTheirCapacity(t *testing.T) {
 	list := threeDomains()
 	converge(t, list, stable)
-	for _, in := range []domain.Name{"a", "b", "c"} {
-		qt.Check(t, capacity(list, in) >= 110, qt.IsTrue, qt.Commentf("%s: capacity for %.0f requests", in, capacity(list, in)))
+	for _, dom := range []domain.Name{"a", "b", "c"} {
+		qt.Check(t, capacity(list, dom) >= 110, qt.IsTrue, qt.Commentf("%s: capacity for %.0f requests", dom, capacity(list, dom)))
 	}
 }
 
-// Guards against replicas that are spread over parts of many servers' ranges: where
-// most layers have one holder, they save none of the answers when such a server
-// fails.
+// Guards against replicas that cover only parts of the ranges of many servers: if such
+// a server holds some other layers alone, its failure ends its responses all the same.
 func TestReplicasCoverWholeServers(t *testing.T) {
 	e := mixedAccelerators()
 	var list []*fleet.Server
@@ -391,7 +390,7 @@
 		}
 		failed.Suspected = false
 	}
-	// The four slow servers are spares, and hold enough for each of the four small
+	// The four slow servers only hold replicas, enough for each of the four small
 	// ones.
 	qt.Assert(t, survived >= 8, qt.IsTrue, qt.Commentf("%d of %d failures leave all layers held", survived, len(list)))
 }
--- a/parts/place/rebalance.go
+++ b/parts/place/rebalance.go
@@ -7,30 +7,30 @@
 	"fuchsiashelf.dev/parts/fleet"
 )
 
-// A server that took over the layers of a failed one has little capacity for
-// requests, which limits its whole failure domain: requests are refused while most of
-// the memory is free. Ranges are therefore rebalanced one layer at a time and without
-// a gap: a neighbour with more capacity loads a layer next to its own, and the
-// overloaded server gives it up afterwards.
+// A server that took over the layers of a failed one has little capacity for requests,
+// which limits its whole failure domain: requests are refused while most of the memory
+// is free. Ranges are therefore rebalanced one layer at a time, without a gap: a
+// neighbour with more capacity loads the adjacent layer, and the overloaded server
+// gives it up afterwards.
 
 const (
-	// minGain is the minimum ratio between the capacity of the neighbour with the
-	// layer and that of the overloaded server now. Without it two similar servers
+	// minGain is the minimum ratio of the capacity of the neighbour, once it holds the
+	// layer, to that of the overloaded server now. Without it two similar servers
 	// would pass a layer back and forth.
 	minGain = 1.15
 	// lowCapacity is the share of the target capacity below which servers that have
-	// just started are used at once, and a layer is passed along several servers.
+	// just started are used at once, and a layer may be passed along several servers.
 	// Each of these reroutes requests, so it is done only where the capacity would
-	// hardly last for an ordinary evening.
+	// hardly suffice for an ordinary evening.
 	lowCapacity = 0.65
 	// maxReserved is the share of a server's capacity that the requests in flight may
-	// take once it holds more layers. When its memory is exceeded, the engine
-	// preempts the newest requests in the middle of their answers.
+	// take if it is to hold more layers. When its memory is exceeded, the engine
+	// preempts the newest requests in the middle of their responses.
 	maxReserved = 0.85
 )
 
 // rebalance lets neighbours of overloaded servers take a layer from them. Each server
-// takes part in one such change at a time.
+// takes part in only one such change at a time.
 func (g *group) rebalance() {
 	if g.missing() > 0 {
 		return
@@ -41,23 +41,23 @@
 			continue
 		}
 		changed[s.ID] = true
-		up, down := g.recipients(s, true, changed), g.recipients(s, false, changed)
-		list, last := up, true
-		if up == nil || down != nil && len(down) < len(up) {
-			list, last = down, false
+		above, below := g.recipients(s, true, changed), g.recipients(s, false, changed)
+		list, up := above, true
+		if above == nil || below != nil && len(below) < len(above) {
+			list, up = below, false
 		}
 		if len(list) > 1 && capacity(g.engine, s, g.held[s.ID].len()) > lowCapacity*g.targetTokens {
 			continue
 		}
 		for _, n := range list {
-			g.take(n, last)
+			g.takeLayer(n, up)
 			changed[n.ID] = true
 		}
 	}
 }
 
-// scarce reports whether some layer has little capacity for requests.
-func (g *group) scarce() bool {
+// hasLowCapacity reports whether some layer has little capacity for requests.
+func (g *group) hasLowCapacity() bool {
 	return slices.Min(g.capacities) < lowCapacity*g.targetTokens
 }
 
@@ -76,26 +76,26 @@
 	return list
 }
 
-// recipients returns the servers that a layer is passed along to, upwards from the
-// last layer of an overloaded server or downwards from its first one. Each takes one
-// layer from the previous server. The last recipient either has more capacity with it
-// than the overloaded server has now, or can give up a layer because another server
-// holds it too.
-func (g *group) recipients(s *fleet.Server, last bool, changed map[string]bool) []*fleet.Server {
+// recipients returns the servers along which a layer is passed, upwards from the last
+// layer of an overloaded server (with up) or downwards from its first one. Each takes
+// one layer from the previous server. The last recipient either has more capacity with
+// it than the overloaded server has now, or can give up a layer because another server
+// holds it too. The result is nil if there is no such server.
+func (g *group) recipients(s *fleet.Server, up bool, changed map[string]bool) []*fleet.Server {
 	need := minGain * capacity(g.engine, s, g.held[s.ID].len())
 	var list []*fleet.Server
 	for at := s; len(list) < len(g.servers); {
-		n := g.neighbour(at, last, changed)
+		n := g.neighbour(at, up, changed)
 		if n == nil {
 			return nil
 		}
 		list = append(list, n)
 		r := g.held[n.ID]
-		far := r.end - 1
-		if !last {
-			far = r.first
+		farLayer := r.end - 1
+		if !up {
+			farLayer = r.first
 		}
-		if capacity(g.engine, n, r.len()+1) >= need || g.holders[far] > 1 {
+		if capacity(g.engine, n, r.len()+1) >= need || g.holders[farLayer] > 1 {
 			return list
 		}
 		at = n
@@ -103,18 +103,19 @@
 	return nil
 }
 
-// neighbour returns the adjacent server with the most capacity after taking a layer.
-func (g *group) neighbour(s *fleet.Server, last bool, changed map[string]bool) *fleet.Server {
+// neighbour returns the adjacent server, above or below, that has the most capacity
+// after taking a layer.
+func (g *group) neighbour(s *fleet.Server, up bool, changed map[string]bool) *fleet.Server {
 	r := g.held[s.ID]
 	var best *fleet.Server
 	var bestCapacity float64
 	for _, n := range g.servers {
-		o := g.held[n.ID]
-		isAdjacent := last && o.first == r.end || !last && o.end == r.first
-		if changed[n.ID] || !isAdjacent || o.len() == 0 || n.LayerCount() == 0 || o.len() >= maxLayersOf(g.engine, n) {
+		held := g.held[n.ID]
+		isAdjacent := up && held.first == r.end || !up && held.end == r.first
+		if changed[n.ID] || !isAdjacent || held.len() == 0 || n.LayerCount() == 0 || held.len() >= maxLayersOf(g.engine, n) {
 			continue
 		}
-		if remaining := capacity(g.engine, n, o.len()+1); remaining > bestCapacity && g.fits(n, o.len()+1) {
+		if remaining := capacity(g.engine, n, held.len()+1); remaining > bestCapacity && g.fits(n, held.len()+1) {
 			best, bestCapacity = n, remaining
 		}
 	}
@@ -127,18 +128,19 @@
 	return g.reserved(s.ID) <= maxReserved*capacity(g.engine, s, layers)*float64(layers)
 }
 
-// take adds to a server's range the adjacent layer of its overloaded neighbour.
-func (g *group) take(n *fleet.Server, last bool) {
-	o := g.held[n.ID]
-	if last {
-		g.set(n, span{o.first - 1, o.end})
+// takeLayer adds to a server's range the adjacent layer of the overloaded server below
+// it (with up) or above it.
+func (g *group) takeLayer(n *fleet.Server, up bool) {
+	held := g.held[n.ID]
+	if up {
+		g.set(n, span{held.first - 1, held.end})
 		return
 	}
-	g.set(n, span{o.first, o.end + 1})
+	g.set(n, span{held.first, held.end + 1})
 }
 
 // trim makes overloaded servers give up replicated layers above their target number,
-// in order of rising capacity.
+// starting with the server of the lowest capacity.
 func (g *group) trim() {
 	if g.missing() > 0 {
 		return
--- a/parts/place/rebalance_test.go
+++ b/parts/place/rebalance_test.go
@@ -15,15 +15,15 @@
 const meanTokens = 772 + 174
 
 // capacity returns how many mean-sized requests fit at once into the servers of a
-// failure domain, which is how many fit into the holders of the layer with the least
+// failure domain: as many as fit into the holders of the layer with the least
 // capacity.
-func capacity(list []*fleet.Server, in domain.Name) float64 {
+func capacity(list []*fleet.Server, dom domain.Name) float64 {
 	e := engine()
 	least := math.Inf(1)
 	for l := range e.Layers {
 		var tokens float64
 		for _, s := range list {
-			if s.Domain != in || s.Leaving || s.Suspected || l < s.First || l >= s.End {
+			if s.Domain != dom || s.Leaving || s.Suspected || l < s.First || l >= s.End {
 				continue
 			}
 			free := e.Accelerators[s.Accelerator].MemoryMB - float64(s.LayerCount())*e.LayerMB
@@ -35,10 +35,10 @@
 }
 
 // converge applies assignments until nothing is left to change.
-func converge(t *testing.T, list []*fleet.Server, now place.Conditions) {
+func converge(t *testing.T, list []*fleet.Server, current place.Conditions) {
 	t.Helper()
 	for range 40 {
-		assignments := place.Plan(engine(), list, now)
+		assignments := place.Plan(engine(), list, current)
 		if len(assignments) == 0 {
 			return
 		}
@@ -48,9 +48,9 @@
 }
 
 // Guards against a failure domain that stays at a low capacity after a server failed
-// and came back empty: its neighbours took its layers on top of their own, and if
-// they keep them, the domain has capacity for 28 requests at once instead of 149, and
-// most callers are refused while memory is free.
+// and came back empty. Its neighbours took its layers on top of their own; if they
+// keep them, the domain has capacity for 28 requests at once instead of 149, and most
+// requests are refused while memory is free.
 func TestCapacityRecoversAfterFailure(t *testing.T) {
 	for _, failed := range threeDomains() {
 		list := threeDomains()
@@ -70,8 +70,8 @@
 	}
 }
 
-// Guards against leaving the layers of a lost server to its two neighbours: all
-// servers of the domain share the loss, so that its capacity stays even.
+// Guards against leaving the layers of a lost server to its two neighbours alone: all
+// servers of the domain take a share, so that its capacity stays even.
 func TestLossIsSharedByAllServers(t *testing.T) {
 	for _, failed := range threeDomains() {
 		list := threeDomains()
@@ -86,7 +86,7 @@
 }
 
 // Guards against moving a layer to a neighbour whose memory is reserved for requests:
-// its engine would preempt some of them in the middle of their answers.
+// its engine would preempt some of them in the middle of their responses.
 func TestFullNeighbourTakesNoLayer(t *testing.T) {
 	list := threeDomains()
 	converge(t, list, stable)
@@ -104,8 +104,8 @@
 }
 
 // Guards against closing a gap with servers whose memory is reserved for requests:
-// their engines would preempt some of them in the middle of their answers. The layers
-// are taken as these requests end.
+// their engines would preempt some of them in the middle of their responses. The
+// layers are taken once these requests have ended.
 func TestGapWaitsForRequestsInFlight(t *testing.T) {
 	list := threeDomains()
 	converge(t, list, stable)
