--- a/parts/prio/prio.go
+++ b/parts/prio/prio.go
@@ -1,10 +1,10 @@
 // Package prio is a bounded priority queue for requests that find no capacity on the
 // backend servers.
 //
-// It answers overload, such as the loss of a failure domain, when requests arrive
-// faster than capacity becomes free. The queue length is bounded by the maximum wait
-// times the expected service rate; requests beyond it are refused at once, while
-// their callers can still retry elsewhere.
+// It handles overload, such as after the loss of a failure domain, when requests
+// arrive faster than capacity becomes free. The queue length is bounded by the maximum
+// wait times the measured service rate; requests beyond the bound are refused at once,
+// while their callers can still retry elsewhere.
 //
 // It is a pure state machine: times are arguments.
 package prio
@@ -19,10 +19,10 @@
 	// minLength is the minimum bound of the length, for when the service rate is
 	// unknown.
 	minLength = 3
-	// headSize is how many requests at the head may look for capacity, so that a
-	// large one does not block the others.
+	// headSize is how many requests at the head may look for capacity at the same
+	// time, so that a large one does not block the others.
 	headSize = 3
-	// intervalWeight is the weight of a new interval in the mean interval between
+	// intervalWeight is the weight of the latest interval in the mean interval between
 	// served requests.
 	intervalWeight = 0.1
 	// maxInterval bounds each interval between served requests.
@@ -39,8 +39,8 @@
 type Queue struct {
 	mu      sync.Mutex
 	waiting []*Waiter
-	// interval is the mean interval between served requests, lastServed the time of
-	// the latest.
+	// interval is the mean interval between served requests. lastServed is the time of
+	// the latest one.
 	interval   time.Duration
 	lastServed time.Time
 }
@@ -62,7 +62,8 @@
 	return waiter, 0
 }
 
-// maxLength returns the bound of the length for a maximum wait. The mutex is held.
+// maxLength returns the bound of the queue length for a maximum wait. The mutex is
+// held.
 func (q *Queue) maxLength(maxWait time.Duration) int {
 	if q.interval <= 0 {
 		return minLength
--- a/parts/prio/prio_test.go
+++ b/parts/prio/prio_test.go
@@ -11,9 +11,9 @@
 
 var start = time.Unix(1_700_000_000, 0)
 
-// simulate lets requests arrive at one interval and capacity become free at another
-// for ten seconds. It returns how many requests were served, refused or timed out,
-// and the longest wait of a served one.
+// simulate runs ten seconds in which requests arrive at one interval and capacity
+// becomes free at another. It returns how many requests were served, refused or timed
+// out, and the longest wait of a served one.
 func simulate(q *prio.Queue, arrivalInterval, capacityInterval time.Duration) (served, refused, timedOut int, longest time.Duration) {
 	type entry struct {
 		waiter *prio.Waiter
@@ -48,9 +48,9 @@
 	return served, refused, timedOut, longest
 }
 
-// Guards against unused capacity and long waits that end in a timeout under overload:
-// after the loss of a failure domain requests arrive one and a half times as fast as
-// capacity becomes free. Excess requests are refused at once.
+// Guards against unused capacity, and against long waits that end in a timeout, under
+// overload: after the loss of a failure domain requests arrive one and a half times as
+// fast as capacity becomes free. The excess requests are refused at once.
 func TestOverload(t *testing.T) {
 	q := &prio.Queue{}
 	served, refused, timedOut, longest := simulate(q, 33*time.Millisecond, 50*time.Millisecond)
