--- a/parts/retry/decide.go
+++ b/parts/retry/decide.go
@@ -6,11 +6,11 @@
 	"fuchsiashelf.dev/parts/fault"
 )
 
-// MaxAttempts is the maximum number of chains that one request is sent to.
+// MaxAttempts is the maximum number of attempts of one request.
 const MaxAttempts = 6
 
-// RetryAfter is the time after which the caller of a failed request may return: by
-// then a failed server is avoided or has recovered.
+// RetryAfter is the minimum time after which the caller of a failed request should
+// retry: by then a failed server is avoided or has recovered.
 const RetryAfter = time.Second
 
 // Failure describes a failed attempt.
@@ -23,13 +23,13 @@
 	Remaining time.Duration
 	// CallerConnected says that the caller is still connected.
 	CallerConnected bool
-	// Sent is the number of tokens that the caller has received.
+	// Sent is the number of tokens that were sent to the caller.
 	Sent int
 }
 
-// ShouldRetry reports whether another attempt may help, and whether it has to be paid
-// for from the retry budget. A retry is free if the failed attempt is known not to
-// have run, since that cost the servers next to nothing.
+// ShouldRetry reports whether another attempt may help, and whether it is charged to
+// the retry budget. A retry is free if the failed attempt is known not to have run,
+// since that cost the servers next to nothing.
 func (f Failure) ShouldRetry() (retry, charge bool) {
 	if !f.CallerConnected || f.Remaining <= 0 || f.Attempt >= MaxAttempts {
 		return false, false
@@ -42,7 +42,7 @@
 }
 
 // Final returns the error for the caller of a request that is not retried any more.
-// The verdict is the weakest of all attempts.
+// The verdict is the weakest one of all attempts.
 func (f Failure) Final(verdict fault.Verdict) *fault.Error {
 	final := *f.Error
 	final.Verdict = verdict
--- a/parts/retry/gaps.go
+++ b/parts/retry/gaps.go
@@ -43,8 +43,8 @@
 	Failure time.Duration
 }
 
-// The timeouts in means and mean deviations of the gaps. Below the minimums, a pause
-// of the host's scheduler would look like a failure.
+// The timeouts are sums of multiples of the mean and of the mean deviation of the
+// gaps. Below the minimums, a pause of the host's scheduler would look like a failure.
 const (
 	probeMeans, probeDevs     = 3, 4
 	failureMeans, failureDevs = 16, 16
@@ -58,7 +58,7 @@
 	firstMeans, firstDevs = 4, 8
 )
 
-// defaultTimeouts apply while a pool has no observations.
+// defaultTimeouts apply while a pool has no measurements.
 var defaultTimeouts = Timeouts{Probe: minFirstProbe, Failure: 5 * time.Second}
 
 // Timeouts returns the timeouts for the next token of a chain.
@@ -72,8 +72,8 @@
 	}
 }
 
-// firstToken returns the timeouts for a first token, if g estimates the times to
-// first tokens.
+// firstToken returns the timeouts for a first token if the measurements of g are times
+// to first tokens.
 func (g *Gaps) firstToken() Timeouts {
 	return Timeouts{
 		Probe:   max(minFirstProbe, g.multiple(probeMeans, probeDevs)),
@@ -85,16 +85,17 @@
 	return time.Duration(means*g.mean + devs*g.dev)
 }
 
-// Baseline estimates the typical gaps and first-token times of a pool's chains. It is
-// the estimate for a chain without observations of its own. It is safe for concurrent
-// use without locks.
+// Baseline estimates the typical gaps and first-token times of a pool's chains. A
+// chain without measurements of its own starts with it. It is safe for concurrent use
+// without locks.
 type Baseline struct {
 	gap        atomic.Pointer[Gaps]
 	firstToken [lengthClasses]atomic.Pointer[Gaps]
 }
 
-// lengthClasses is the number of classes of prompts by length, since a long prompt
-// takes long to prefill. Each class covers lengths twice as long as the previous one.
+// lengthClasses is the number of classes that prompts are divided into by length,
+// since a long prompt takes long to prefill. Each class covers lengths twice as long
+// as the previous one.
 const lengthClasses = 24
 
 func lengthClass(length int) int {
@@ -122,10 +123,10 @@
 	update(&b.firstToken[lengthClass(length)], func(g *Gaps) { g.Observe(d) })
 }
 
-// FirstToken returns the timeouts for the first token of an attempt. A length without
-// observations uses those of the next shorter class, with the failure timeout doubled
-// for each class between them. The probe timeout is not extended: a healthy server
-// answers probes while it works on the prompt.
+// FirstToken returns the timeouts for the first token of an attempt. A class without
+// measurements uses those of the next shorter class that has some, with the failure
+// timeout doubled for each class between them. The probe timeout is not extended: a
+// healthy server answers probes while it works on the prompt.
 func (b *Baseline) FirstToken(length int) Timeouts {
 	class := lengthClass(length)
 	for below := class; below >= 0; below-- {
--- a/parts/retry/phase.go
+++ b/parts/retry/phase.go
@@ -2,7 +2,7 @@
 
 import "time"
 
-// Phase is the state of the failure detection for a chain that sends nothing.
+// Phase is the state of failure detection for a chain that sends no tokens.
 type Phase uint8
 
 // The phases, in order. A token resets the phase to Healthy.
@@ -11,7 +11,8 @@
 	Healthy Phase = iota
 	// Probing: the chain is late, and its servers are being probed.
 	Probing
-	// Stalled: all servers answer; a link may have failed, or the chain is slow.
+	// Stalled: all probed servers answer; a link may have failed, or the chain is
+	// slow.
 	Stalled
 	// Failed: the chain has failed.
 	Failed
@@ -21,12 +22,12 @@
 const ProbeTimeout = 150 * time.Millisecond
 
 // Next returns the phase of a chain that has sent nothing for the idle time, and how
-// long to wait before the next check. ProbesAnswered says that each probed server has
-// answered.
+// long to wait before the next check. ProbesAnswered reports whether every probed
+// server has answered.
 //
 // A server that hangs keeps its connections open, so only its silence shows the
-// failure. Silence alone would have to last long to be told from a slow chain; a
-// server that does not even answer a probe fails its chain early.
+// failure. With silence alone it would take long to distinguish a failure from a slow
+// chain; a server that does not even answer a probe fails its chain early.
 func (t Timeouts) Next(idle time.Duration, probesAnswered bool) (Phase, time.Duration) {
 	probeEnd := t.Probe + ProbeTimeout
 	failure := max(t.Failure, probeEnd)
--- a/parts/retry/retry_test.go
+++ b/parts/retry/retry_test.go
@@ -20,9 +20,9 @@
 	return g
 }
 
-// Guards against a late failover when a server hangs: at a usual gap of 20 ms its
-// connections stay open and no token arrives. It has to be detected well within
-// 500 ms, or the caller takes the pause for the end of the answer.
+// Guards against a late failover when a server hangs: its connections stay open and no
+// token arrives. With a usual gap of 20 ms it has to be detected well within 500 ms,
+// or the caller takes the pause for the end of the response.
 func TestHungServerIsDetectedSoon(t *testing.T) {
 	c := quicktest.New(t)
 	timeouts := steady(20 * ms).Timeouts()
@@ -82,18 +82,18 @@
 
 func TestFirstTokenTimeoutGrowsWithPrompt(t *testing.T) {
 	c := quicktest.New(t)
-	u := &Baseline{}
-	c.Assert(u.FirstToken(100), quicktest.Equals, defaultTimeouts)
+	baseline := &Baseline{}
+	c.Assert(baseline.FirstToken(100), quicktest.Equals, defaultTimeouts)
 	for range 50 {
-		u.ObserveFirstToken(100, 500*ms)
+		baseline.ObserveFirstToken(100, 500*ms)
 	}
-	short := u.FirstToken(100)
+	short := baseline.FirstToken(100)
 	c.Assert(short.Failure < defaultTimeouts.Failure, quicktest.IsTrue)
-	c.Assert(u.FirstToken(450).Failure, quicktest.Equals, 4*short.Failure)
-	c.Assert(u.FirstToken(60000).Probe, quicktest.Equals, short.Probe, quicktest.Commentf("a hung server is detected as soon"))
-	u.ObserveGaps(*steady(30 * ms))
-	begin := u.Gaps()
-	c.Assert(begin.Timeouts().Failure < 2*time.Second, quicktest.IsTrue)
+	c.Assert(baseline.FirstToken(450).Failure, quicktest.Equals, 4*short.Failure)
+	c.Assert(baseline.FirstToken(60000).Probe, quicktest.Equals, short.Probe, quicktest.Commentf("a hung server is detected as soon"))
+	baseline.ObserveGaps(*steady(30 * ms))
+	initial := baseline.Gaps()
+	c.Assert(initial.Timeouts().Failure < 2*time.Second, quicktest.IsTrue)
 }
 
 // Guards against retries that multiply the load when a fault hits every chain of a
@@ -101,7 +101,7 @@
 func TestBudgetLimitsRetries(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		b := NewBudget()
-		earned, taken := 0, 0
+		earned, retries := 0, 0
 		for range rapid.IntRange(0, 400).Draw(t, "steps") {
 			if rapid.Bool().Draw(t, "earn") {
 				n := rapid.IntRange(1, 100).Draw(t, "tokens")
@@ -110,11 +110,11 @@
 				continue
 			}
 			if b.Withdraw() {
-				taken++
+				retries++
 			}
 		}
-		if taken > minAttempts+earned/tokensPerAttempt {
-			t.Fatalf("%d retries for %d tokens", taken, earned)
+		if retries > minRetries+earned/tokensPerRetry {
+			t.Fatalf("%d retries for %d tokens", retries, earned)
 		}
 	})
 }
--- a/parts/retry/window.go
+++ b/parts/retry/window.go
@@ -7,7 +7,7 @@
 
 // WindowBudget is a retry budget that limits retries to a share of the requests in a
 // sliding window, plus a fixed number. The limit applies to all entry hosts together:
-// each counts its own requests and uses its part of the fixed number, so the sum
+// each counts only its own requests and uses its part of the fixed number, so the sum
 // stays within the limit without coordination. It is safe for concurrent use.
 type WindowBudget struct {
 	// Ratio is how many retries each request adds to the budget.
@@ -43,10 +43,10 @@
 	defer b.mu.Unlock()
 	slot := b.slot(now)
 	requests, retries := 0, 0
-	for _, c := range b.slots {
-		if slot.tick-c.tick < windowSlots {
-			requests += c.requests
-			retries += c.retries
+	for _, s := range b.slots {
+		if slot.tick-s.tick < windowSlots {
+			requests += s.requests
+			retries += s.retries
 		}
 	}
 	if float64(retries+1) > b.Ratio*float64(requests)+b.MinRetries() {
@@ -61,9 +61,9 @@
 		b.start = now
 	}
 	tick := int64(now.Sub(b.start) / (b.Window / windowSlots))
-	c := &b.slots[tick%windowSlots]
-	if c.tick != tick {
-		*c = windowSlot{tick: tick}
+	s := &b.slots[tick%windowSlots]
+	if s.tick != tick {
+		*s = windowSlot{tick: tick}
 	}
-	return c
+	return s
 }
--- a/parts/retry/window_test.go
+++ b/parts/retry/window_test.go
@@ -9,15 +9,15 @@
 	"fuchsiashelf.dev/parts/retry"
 )
 
-// Guards against retries that double the load of servers which all refuse requests
-// for lack of capacity.
+// Guards against retries that double the load of servers when all of them refuse
+// requests for lack of capacity.
 func TestWindowBudgetLimitsRetries(t *testing.T) {
-	s := &retry.WindowBudget{Ratio: 0.1, MinRetries: func() float64 { return 2 }, Window: 10 * time.Second}
+	budget := &retry.WindowBudget{Ratio: 0.1, MinRetries: func() float64 { return 2 }, Window: 10 * time.Second}
 	now := time.Unix(1000, 0)
 	granted := 0
 	for range 100 {
-		s.Record(now)
-		if s.Withdraw(now) {
+		budget.Record(now)
+		if budget.Withdraw(now) {
 			granted++
 		}
 		now = now.Add(10 * time.Millisecond)
@@ -26,7 +26,7 @@
 	// After one window the requests no longer count, and the fixed number is
 	// available again.
 	now = now.Add(11 * time.Second)
-	qt.Assert(t, s.Withdraw(now), qt.IsTrue)
-	qt.Assert(t, s.Withdraw(now), qt.IsTrue)
-	qt.Assert(t, s.Withdraw(now), qt.IsFalse)
+	qt.Assert(t, budget.Withdraw(now), qt.IsTrue)
+	qt.Assert(t, budget.Withdraw(now), qt.IsTrue)
+	qt.Assert(t, budget.Withdraw(now), qt.IsFalse)
 }
