--- a/parts/chain/chain.go
+++ b/parts/chain/chain.go
@@ -2,10 +2,10 @@
 // model, each exactly once and in order.
 //
 // Boundaries lie between layers; boundary 0 is before the first layer. A server that
-// holds the layers [first, end) can continue from any boundary within them and then
-// runs up to its end: a hop. A chain is a path of hops from boundary 0 to the last
-// one. So servers whose ranges overlap can follow each other, and each layer still
-// runs once.
+// holds the layers [first, end) can take over at any boundary within them and then
+// runs all layers up to its end; this is a hop. A chain is a path of hops from
+// boundary 0 to the last one. So servers whose ranges overlap can follow each other,
+// and each layer still runs once.
 package chain
 
 import (
@@ -22,7 +22,7 @@
 // Last is the Next of a hop that runs the last layer.
 const Last = -1
 
-// Hop is the layers that one server runs of a chain.
+// Hop is the range of layers that one server of a chain runs.
 type Hop struct {
 	// Server is the index of the server in Graph.Servers.
 	Server int
@@ -32,8 +32,7 @@
 	Next int
 }
 
-// Graph holds the hops of a pool, without those that no chain can use. It is
-// immutable.
+// Graph holds the hops of a pool, except those that no chain can use. It is immutable.
 type Graph struct {
 	// Layers is the number of layers of the model.
 	Layers int
@@ -54,14 +53,14 @@
 			Message: "no server covers layers " + strings.Join(gaps, " and "),
 		}
 	}
-	// Without a gap, some server continues from every boundary that is reached.
-	bounds := g.reachable()
+	// Without a gap, some server takes over at every reachable boundary.
+	boundaries := g.reachable()
 	index := map[int]int{layers: Last}
-	for i, at := range bounds {
+	for i, at := range boundaries {
 		index[at] = i
 	}
-	g.Hops = make([][]Hop, len(bounds))
-	for i, at := range bounds {
+	g.Hops = make([][]Hop, len(boundaries))
+	for i, at := range boundaries {
 		for n, s := range g.Servers {
 			if s.First <= at && at < s.End {
 				g.Hops[i] = append(g.Hops[i], Hop{Server: n, First: at, End: s.End, Next: index[s.End]})
@@ -71,7 +70,7 @@
 	return g, nil
 }
 
-// usable returns the servers that hold layers of the model, with their ranges clipped
+// usable returns the servers that hold layers of the model, with their ranges limited
 // to it.
 func usable(layers int, servers []host.Host) []host.Host {
 	var clipped []host.Host
@@ -84,8 +83,8 @@
 	return clipped
 }
 
-// reachable returns the boundaries that hops from layer 0 reach, in order and without
-// the last one.
+// reachable returns the boundaries that chains of hops from layer 0 reach, in order
+// and without the last one.
 func (g *Graph) reachable() []int {
 	found := map[int]bool{0: true}
 	for at := range g.Layers {
--- a/parts/chain/chain_test.go
+++ b/parts/chain/chain_test.go
@@ -17,9 +17,9 @@
 	return all
 }
 
-// Guards against requests that start on a chain which cannot end: a pool lacks layers
-// because its servers were listed with wrong ranges, or the only holder is gone. The
-// error names the layers for operators and callers.
+// Guards against requests that start on a chain which cannot be completed, because the
+// servers of a pool were listed with wrong ranges or the only holder of some layers is
+// gone. The error names the missing layers for operators and callers.
 func TestErrorNamesMissingLayers(t *testing.T) {
 	for _, test := range []struct {
 		name   string
@@ -68,8 +68,8 @@
 }
 
 // Guards against chains that skip or repeat layers, or run them on a server that does
-// not hold them: for any ranges, either the pool is rejected because a layer has no
-// holder, or every path runs each layer once and in order.
+// not hold them: either the pool is rejected because a layer has no holder, or every
+// path runs each layer once and in order.
 func TestEveryPathIsComplete(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		layers := rapid.IntRange(1, 16).Draw(t, "layers")
