--- a/parts/pick/pick.go
+++ b/parts/pick/pick.go
@@ -3,9 +3,9 @@
 // The default policy draws two servers of a stage at random, weighted by their
 // measured capacity, and picks the one with the lower cost: the expected wait,
 // the step time, and the delay of the link from the previous server. Two
-// choices balance load almost as well as comparing all servers, cost little,
-// and do not send the requests of every entry host to the one server that
-// looked idle in an old report.
+// choices balance load almost as well as comparing all servers and cost
+// little. They also keep the entry hosts from all sending their requests to
+// the one server that looked idle in an old report.
 package pick
 
 import (
@@ -64,8 +64,8 @@
 	}
 	i := c.draw(s, prev)
 	if len(c.Avoid) > 0 && c.avoided(&s.candidates[i]) || c.avoidsLink(prev, i) {
-		// Servers and links fail rarely, so all candidates are compared only in
-		// this case. Both drawn candidates may be avoided ones.
+		// All candidates are compared only in this case, since servers and
+		// links rarely fail. Both drawn candidates may be avoided ones.
 		return c.cheapest(s, prev)
 	}
 	return i
@@ -112,8 +112,8 @@
 	for i := range s.candidates {
 		cost := c.cost(s, i, prev)
 		if c.avoided(&s.candidates[i]) {
-			// Of the avoided servers, the one that is avoided for the shortest
-			// time comes first.
+			// Among avoided servers, the one that is avoided for the shortest
+			// time is the cheapest.
 			cost += avoidPenalty + float64(c.Avoid[s.candidates[i].name].UnixNano()-c.Now)
 		}
 		if i == 0 || cost < bestCost {
@@ -124,8 +124,8 @@
 }
 
 // avoided reports whether a server is to be avoided.
-func (c *ChainPicker) avoided(o *candidate) bool {
-	until, found := c.Avoid[o.name]
+func (c *ChainPicker) avoided(cand *candidate) bool {
+	until, found := c.Avoid[cand.name]
 	return found && c.Now < until.UnixNano()
 }
 
@@ -135,13 +135,13 @@
 	return prev != nil && prev.links[i].AvoidUntil.Load() > c.Now
 }
 
-// avoidPenalty is the cost added to what is used only if there is no other, in
-// nanoseconds. It exceeds any delay.
+// avoidPenalty is the cost, in nanoseconds, that is added to servers and links
+// that are to be used only if there is no other. It exceeds any delay.
 const avoidPenalty = 1e15
 
-// The ages at which a measurement counts half, in nanoseconds. An old report
-// says little about the current load; a wait that was measured on local
-// requests is fresher and counts longer.
+// The ages at which the weight of a measurement is half, in nanoseconds. An
+// old report says little about the current load; a wait that was measured on
+// local requests is fresher and counts longer.
 const (
 	reportHalfLife = 250e6
 	waitHalfLife   = 500e6
@@ -152,8 +152,8 @@
 func (c *ChainPicker) cost(s *stage, i int, prev *candidate) float64 {
 	m := s.candidates[i].meter
 	step := float64(m.Step.Current())
-	share := step / max(float64(m.Capacity.Load()), 1)
-	cost := step + float64(m.InFlight.Load()+1)*share + c.queueWait(m, share)
+	perRequest := step / max(float64(m.Capacity.Load()), 1)
+	cost := step + float64(m.InFlight.Load()+1)*perRequest + c.queueWait(m, perRequest)
 	if prev != nil {
 		cost += float64(prev.links[i].Delay.Current())
 		if c.avoidsLink(prev, i) {
@@ -165,11 +165,11 @@
 
 // queueWait returns the wait that the requests of other entry hosts cause: as
 // measured on local requests or as reported, whichever is longer after
-// discounting by age.
-func (c *ChainPicker) queueWait(m *server.Meter, share float64) float64 {
+// discounting by age. perRequest is the time that each waiting request adds.
+func (c *ChainPicker) queueWait(m *server.Meter, perRequest float64) float64 {
 	measured, at := m.Wait()
 	wait := float64(measured) * waitHalfLife / (waitHalfLife + float64(c.Now-at))
-	waiting := float64(m.Waiting.Load()) * share
+	waiting := float64(m.Waiting.Load()) * perRequest
 	reported := waiting * reportHalfLife / (reportHalfLife + float64(c.Now-m.ReportedAt.Load()))
 	return max(wait, reported)
 }
--- a/parts/pick/pick_test.go
+++ b/parts/pick/pick_test.go
@@ -16,8 +16,8 @@
 
 const second = int64(time.Second)
 
-// newMeasuredTable returns a table with the given number of stages and servers
-// of each, whose measured step times are the given ones in turn.
+// newMeasuredTable returns a table with the given number of stages and of
+// servers per stage. The servers have the given step times in turn.
 func newMeasuredTable(t testing.TB, stages, width int, steps ...time.Duration) (*Table, map[string]*server.Meter) {
 	var hosts []host.Host
 	meters := map[string]*server.Meter{}
@@ -40,8 +40,8 @@
 	return rand.New(rand.NewPCG(seed, seed)).Uint64
 }
 
-// workShares returns the share of the work that each server of a single stage
-// gets while requests stay in flight.
+// workShares returns the share of n requests that each server of a single
+// stage gets while no request ends.
 func workShares(t testing.TB, p Policy, n int, steps ...time.Duration) []float64 {
 	table, meters := newMeasuredTable(t, 1, len(steps), steps...)
 	c := &ChainPicker{Policy: p, Rand: newSource(1), Now: second}
@@ -58,9 +58,9 @@
 	return counts
 }
 
-// Accelerators differ sixfold in speed. With an even distribution the slow ones
-// would limit the stage; the default policy gives each server work in
-// proportion to its capacity.
+// Guards against an even distribution over accelerators that differ sixfold in
+// speed: the slow ones would limit the stage. The default policy gives each
+// server work in proportion to its capacity.
 func TestLeastCostFollowsCapacity(t *testing.T) {
 	c := quicktest.New(t)
 	ms := time.Millisecond
@@ -68,8 +68,9 @@
 	c.Assert(got[7] > 0.42 && got[7] < 0.5, quicktest.IsTrue, quicktest.Commentf("%v", got))
 }
 
-// A baseline policy that does not use every server of every stage would make
-// the default policy look better than it is.
+// Guards against a round-robin policy that does not use every server of every
+// stage: it serves as the baseline for the default policy, which would look
+// better than it is.
 func TestRoundRobinIsEven(t *testing.T) {
 	c := quicktest.New(t)
 	table, _ := newMeasuredTable(t, 3, 6, time.Millisecond)
@@ -86,7 +87,7 @@
 	}
 }
 
-// A suspected server gets work only if there is no other.
+// Guards against requests on a suspected server while there is another one.
 func TestAvoid(t *testing.T) {
 	c := quicktest.New(t)
 	table, _ := newMeasuredTable(t, 1, 4, time.Millisecond)
@@ -108,7 +109,7 @@
 	}
 }
 
-// A link degrades, which only its delay shows. New chains avoid it.
+// Guards against chains that use a degraded link, which only its delay shows.
 func TestDegradedLinkIsAvoided(t *testing.T) {
 	c := quicktest.New(t)
 	table, meters := newMeasuredTable(t, 2, 2, time.Millisecond)
@@ -129,7 +130,8 @@
 	c.Assert(l.AvoidUntil.Load() > second, quicktest.IsTrue)
 }
 
-// Whatever the measurements, a chain runs each layer once, in order.
+// Guards against chains that skip or repeat layers, for any measurements and
+// each policy.
 func TestChainIsComplete(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		layers := rapid.IntRange(1, 12).Draw(t, "layers")
@@ -166,12 +168,12 @@
 
 func TestAliasSamplerKeepsWeights(t *testing.T) {
 	c := quicktest.New(t)
-	o := newAliasSampler([]float64{1, 2, 5, 0.5, 1.5}, 10)
+	sampler := newAliasSampler([]float64{1, 2, 5, 0.5, 1.5}, 10)
 	counts := make([]float64, 5)
 	random := newSource(4)
 	const n = 200000
 	for range n {
-		counts[o.sample(uint32(random()))]++
+		counts[sampler.sample(uint32(random()))]++
 	}
 	for i, want := range []float64{0.1, 0.2, 0.5, 0.05, 0.15} {
 		got := counts[i] / n
@@ -193,8 +195,8 @@
 	}
 }
 
-// The zero value distributes evenly too: a baseline policy that leaves servers
-// idle would make any other policy look good.
+// Guards against a zero RoundRobin that leaves servers idle: any other policy
+// would look good compared with it.
 func TestZeroRoundRobinIsEven(t *testing.T) {
 	c := quicktest.New(t)
 	table, _ := newMeasuredTable(t, 3, 6, time.Millisecond)
--- a/parts/pick/policy.go
+++ b/parts/pick/policy.go
@@ -26,9 +26,9 @@
 	return &RoundRobin{}
 }
 
-// nextCount increments the counter of a stage. Each stage has its own: with a
-// common counter, a chain of three stages would use only every third server of
-// each.
+// nextCount increments the counter of a stage and returns it. Each stage has
+// its own: with a common counter, a chain of three stages would use only every
+// third server of each.
 func (p *RoundRobin) nextCount(stage int) uint64 {
 	next, found := p.counters.Load(stage)
 	if !found {
--- a/parts/pick/table.go
+++ b/parts/pick/table.go
@@ -11,8 +11,8 @@
 )
 
 // Table is a graph prepared for picking: each hop with its meters, and the
-// weights with which hops are drawn. It is immutable; a new one is made when
-// the graph changes, and periodically to follow the measured speeds.
+// weights by which hops are drawn. It is immutable; a new one is made when the
+// graph changes, and periodically to follow the measured speeds.
 type Table struct {
 	// Graph is the graph that the table was made from.
 	Graph  *chain.Graph
@@ -32,7 +32,7 @@
 	hop   chain.Hop
 	name  string
 	meter *server.Meter
-	// links holds the links to the candidates of the next boundary.
+	// links holds the links to the candidates of the next stage.
 	links []*link.Meter
 }
 
@@ -88,8 +88,8 @@
 	return kept
 }
 
-// resolveLinks finds the links from a candidate to those of the next boundary,
-// and marks the degraded ones, at most half of them.
+// resolveLinks sets the links from a candidate to those of the next stage, and
+// marks the degraded ones to be avoided, at most half of them.
 func (t *Table) resolveLinks(c *candidate, now time.Time) {
 	if c.hop.Next == chain.Last {
 		return
@@ -110,8 +110,8 @@
 }
 
 // aliasSampler draws a candidate in proportion to its weight in constant time
-// (alias method): a slot is drawn uniformly, and stands for itself or for its
-// alias.
+// (alias method): a slot is drawn uniformly, and yields either its own index
+// or its alias.
 type aliasSampler struct {
 	threshold []float32
 	alias     []int32
