--- a/parts/probe/probe.go
+++ b/parts/probe/probe.go
@@ -1,16 +1,16 @@
 // Package probe schedules probes of the backend servers of silent streams and
 // interprets the results.
 //
-// A stream passes through several servers, and a dead one shows only as
-// silence. The first server of the chain reports which server it waits for, but
-// these reports are too old to act on. So the servers of a silent stream are
-// probed as soon as the gap is longer than usual: a process that has ended
-// refuses the connection, and a server that is cut off or frozen does not
-// answer within a short timeout. The servers with the largest share of silent
-// streams are probed first.
+// A stream passes through several servers, and if one fails this shows only as
+// silence. The first server of the chain reports which server it waits for,
+// but these reports are too old to act on. So the servers of a silent stream
+// are probed as soon as the gap is longer than usual: the address of a process
+// that has ended refuses the connection, and a server that is cut off or
+// frozen does not answer within a short timeout. The servers with the largest
+// share of silent streams are probed first.
 //
-// A single stream counts as silent only after several of its typical gaps. That
-// all streams of a server are silent at the same time shows a failure much
+// A single stream counts as silent only after several of its typical gaps. If
+// all streams of a server are silent at the same time, the failure shows much
 // earlier.
 //
 // A [Scheduler] is a pure state machine: times are arguments.
@@ -33,12 +33,12 @@
 	// Burst is the number of probes that may be sent at once.
 	Burst = 24
 	// FailureThreshold is the number of unanswered probes in a row after which
-	// a server counts as dead. A single one may be a lost packet.
+	// a server counts as unreachable. A single one may be a lost packet.
 	FailureThreshold = 2
-	// forgetAfter is the time after its last probe at which the state of a
-	// server is dropped.
+	// forgetAfter is the time after the last probe of a server at which its
+	// state is dropped.
 	forgetAfter = time.Second
-	// minCommonStreams is the least number of streams whose common silence
+	// minCommonStreams is the minimum number of streams whose common silence
 	// counts.
 	minCommonStreams = 3
 	// minCommonPause is the shortest common silence that counts: a stall of the
@@ -50,10 +50,11 @@
 type Stream struct {
 	// Servers are the addresses of the backend servers in its chain.
 	Servers []string
-	// Silent reports that the pause alone is longer than usual.
+	// Silent reports that the stream is silent by itself: its pause is several
+	// of its typical gaps.
 	Silent bool
 	// Pause is the time since the last event, and TypicalGap the usual time
-	// between two events; it is zero until there were two.
+	// between two events, or zero until there were two.
 	Pause, TypicalGap time.Duration
 }
 
@@ -64,8 +65,8 @@
 const (
 	// Alive means that the server answered.
 	Alive State = iota
-	// Suspected means that one probe was not answered. Silent streams avoid the
-	// server.
+	// Suspected means that one probe was not answered. Silent streams avoid
+	// the server.
 	Suspected
 	// Unreachable means that several probes were not answered: the server is
 	// cut off from this entry host, frozen or without power. Its peers may
@@ -90,7 +91,7 @@
 	return "unknown"
 }
 
-// Dead reports whether a server in this state counts as dead, so that no new
+// Dead reports whether a server in this state counts as failed, so that no new
 // attempt may start there.
 func (s State) Dead() bool {
 	return s == Unreachable || s == Exited
@@ -100,7 +101,7 @@
 // probed. The zero value is ready to use. It is not safe for concurrent use.
 type Scheduler struct {
 	servers map[string]*serverState
-	// tokens is the number of probes that may be sent now, as of refilledAt.
+	// tokens is the number of probes that may be sent as of refilledAt.
 	tokens     float64
 	refilledAt time.Time
 }
@@ -117,7 +118,7 @@
 // Each must be followed by one call of Record or Discard.
 func (s *Scheduler) Next(streams []Stream, now time.Time) []string {
 	s.refill(now)
-	var list []string
+	var addresses []string
 	for _, c := range s.candidates(streams) {
 		if s.tokens < 1 {
 			break
@@ -126,10 +127,10 @@
 			s.servers[c.address].lastProbe = now
 			s.servers[c.address].inFlight = true
 			s.tokens--
-			list = append(list, c.address)
+			addresses = append(addresses, c.address)
 		}
 	}
-	return list
+	return addresses
 }
 
 // Record records the result of a probe: whether the server answered and, if it
@@ -155,8 +156,8 @@
 	s.server(address).inFlight = false
 }
 
-// refill adds the tokens for the time that has passed and drops the state of
-// servers that were not probed lately.
+// refill adds the tokens for the time that has passed, and drops the state of
+// servers that have not been probed for forgetAfter.
 func (s *Scheduler) refill(now time.Time) {
 	if s.refilledAt.IsZero() {
 		s.tokens, s.refilledAt = Burst, now
@@ -197,8 +198,8 @@
 type candidate struct {
 	address       string
 	silent, total int
-	// rank orders candidates: servers without a known state come first, and of
-	// these the ones whose streams are all silent at once.
+	// rank orders candidates: servers without a known state come first, and
+	// within each group those whose streams are all silent at once.
 	rank int
 	// gapCount is the number of streams whose typical gap is known, gapSum the
 	// sum of these gaps, and shortestPause the shortest time since an event of
@@ -225,8 +226,8 @@
 }
 
 // commonSilence reports whether all streams of the server are silent at once:
-// even the shortest pause exceeds the mean typical gap. The fewer the streams,
-// the larger the margin.
+// even the shortest pause exceeds the mean typical gap by a margin, which is
+// larger the fewer the streams are.
 func (c *candidate) commonSilence() bool {
 	if c.gapCount < minCommonStreams {
 		return false
@@ -235,8 +236,8 @@
 	return c.shortestPause > max(minCommonPause, mean+mean/time.Duration(c.gapCount))
 }
 
-// candidates returns the servers of silent streams: those without a known state
-// first, and of these the most suspicious.
+// candidates returns the servers of silent streams in the order in which to
+// probe them: by rank, then by the share of their streams that are silent.
 func (s *Scheduler) candidates(streams []Stream) []candidate {
 	counts := map[string]*candidate{}
 	for _, stream := range streams {
--- a/parts/probe/probe_test.go
+++ b/parts/probe/probe_test.go
@@ -13,10 +13,10 @@
 
 var start = time.Unix(1_000_000, 0)
 
-// A server in the middle of several chains dies and its streams fall silent one
-// after another, while the rest of their chains still serves other streams.
-// Probed in any order, the rate limit could be spent on healthy servers; the
-// server that all silent streams share comes first.
+// Guards against spending the rate limit on healthy servers when a server in
+// the middle of several chains fails. Its streams fall silent one after
+// another, while the rest of their chains still serves other streams. The
+// server that all silent streams share must be probed first.
 func TestServerSharedBySilentStreamsIsProbedFirst(t *testing.T) {
 	streams := []probe.Stream{
 		{Servers: []string{"a", "dead", "c"}, Silent: true},
@@ -28,10 +28,10 @@
 	qt.Assert(t, s.Next(streams, start)[0], qt.Equals, "dead")
 }
 
-// Streams have an event every 80 ms on average, and single events are late at
-// times. A server in twenty chains dies. If each stream had to be silent for
-// long by itself, its caller would notice the pause; that all twenty are silent
-// at once shows the failure earlier. No server is probed while all are alive.
+// Guards against late detection where each stream would have to be silent for
+// long by itself. Streams have an event every 80 ms on average, and single
+// events are late at times. A server in twenty chains fails; that all twenty
+// streams are silent at once shows it early. No server may be probed before.
 func TestCommonSilenceIsProbedEarly(t *testing.T) {
 	const (
 		typicalGap = 80 * time.Millisecond
@@ -72,8 +72,8 @@
 	qt.Assert(t, s.Next([]probe.Stream{{Servers: []string{"a", "b"}}}, start), qt.HasLen, 0)
 }
 
-// Under overload every stream pauses at times. Unlimited probes of all servers
-// would add to the load that makes them slow.
+// Guards against unlimited probes under overload, when every stream pauses at
+// times: they would add to the load that makes the servers slow.
 func TestProbeRateIsLimited(t *testing.T) {
 	var streams []probe.Stream
 	for i := range 100 {
@@ -103,9 +103,9 @@
 	qt.Assert(t, s.Next(streams, start.Add(time.Second+probe.Interval)), qt.HasLen, 0)
 }
 
-// All servers of a failure domain have silent streams, but only one is dead.
-// Probing the same healthy servers again and again would never reach the dead
-// one.
+// Guards against probing the same healthy servers again and again while the
+// failed one is never reached: all servers of a failure domain have silent
+// streams, but only one has failed.
 func TestAnsweringServersDoNotDelayOthers(t *testing.T) {
 	var streams []probe.Stream
 	for i := range 3 * probe.Burst {
@@ -122,8 +122,8 @@
 	qt.Assert(t, probed, qt.HasLen, len(streams))
 }
 
-// The first probe of a dead server may have been lost. The next one follows
-// soon, since callers notice a pause of 200 ms.
+// Guards against a late second probe of a failed server, since the first one
+// may have been lost and callers notice a pause of 200 ms.
 func TestSuspectedServerIsProbedAgainSoon(t *testing.T) {
 	streams := []probe.Stream{{Servers: []string{"a"}, Silent: true}}
 	s := &probe.Scheduler{}
@@ -142,8 +142,8 @@
 	qt.Assert(t, s.Record("b", false, false), qt.Equals, probe.Suspected)
 }
 
-// One probe was lost an hour ago and another one is lost now. Counted together
-// they would end the attempts on a healthy server.
+// Guards against counting probes that were lost an hour apart as failures in a
+// row: this would end the attempts on a healthy server.
 func TestOldFailuresAreForgotten(t *testing.T) {
 	streams := []probe.Stream{{Servers: []string{"a"}, Silent: true}}
 	s := &probe.Scheduler{}
--- a/parts/probe/timeout.go
+++ b/parts/probe/timeout.go
@@ -3,8 +3,8 @@
 import "time"
 
 const (
-	// MinTimeout and MaxTimeout bound the timeout of a probe. An answer usually
-	// takes one to three milliseconds.
+	// MinTimeout and MaxTimeout bound the timeout of a probe. An answer
+	// usually takes one to three milliseconds.
 	MinTimeout = 40 * time.Millisecond
 	MaxTimeout = 300 * time.Millisecond
 	// meanWeight and deviationWeight are the weights of a new answer in the
@@ -13,16 +13,16 @@
 	meanWeight      = 0.125
 	deviationWeight = 0.25
 	maxDeviations   = 4
-	// stallThreshold is how late a timer fires when the process itself was
-	// stalled: answers that came meanwhile were not read.
+	// stallThreshold is how late a timer must fire to show that the process
+	// itself was stalled. Answers that arrived meanwhile were not read.
 	stallThreshold = 25 * time.Millisecond
 )
 
-// Timeout adapts the timeout of probes to the measured response times. An entry
-// host that is short of processor time, or whose link is slow, gets late
-// answers from healthy servers; if it took them for dead, they would lose all
-// their streams. The zero value is ready to use. It is not safe for concurrent
-// use.
+// Timeout adapts the timeout of probes to the measured response times. An
+// entry host that is short of processor time, or whose link is slow, gets late
+// answers from healthy servers; if it considered them failed, they would lose
+// all their streams. The zero value is ready to use. It is not safe for
+// concurrent use.
 type Timeout struct {
 	mean, deviation time.Duration
 }
@@ -32,8 +32,9 @@
 	return min(max(MinTimeout, t.mean+maxDeviations*t.deviation), MaxTimeout)
 }
 
-// Record records how long an answer took. If first is false it came only to a
-// later probe, and counts as at least twice the current timeout.
+// Record records how long an answer took. First is false if only a later probe
+// was answered in time; the answer then counts as at least twice the current
+// timeout.
 func (t *Timeout) Record(took time.Duration, first bool) {
 	if !first {
 		took = max(took, 2*t.Current())
--- a/parts/probe/timeout_test.go
+++ b/parts/probe/timeout_test.go
@@ -9,9 +9,10 @@
 	"fuchsiashelf.dev/parts/probe"
 )
 
-// An entry host is short of processor time: answers that usually take two
-// milliseconds take sixty. With a fixed timeout every server would seem dead,
-// and each stream in progress would be started again on another one.
+// Guards against a fixed timeout on an entry host that is short of processor
+// time: answers that usually take two milliseconds take sixty, every server
+// would seem to have failed, and each stream in progress would be restarted on
+// another one.
 func TestTimeoutAdaptsToSlowHost(t *testing.T) {
 	timeout := &probe.Timeout{}
 	qt.Assert(t, timeout.Current(), qt.Equals, probe.MinTimeout)
@@ -19,8 +20,8 @@
 		timeout.Record(2*time.Millisecond, true)
 	}
 	qt.Assert(t, timeout.Current(), qt.Equals, probe.MinTimeout)
-	// Answers after the timeout are seen only by a later probe with a longer
-	// timeout.
+	// Answers that come after the timeout are seen only by a later probe with
+	// a longer timeout.
 	for range 6 {
 		timeout.Record(60*time.Millisecond, timeout.Current() > 60*time.Millisecond)
 	}
@@ -32,8 +33,8 @@
 	qt.Assert(t, timeout.Current(), qt.Equals, probe.MinTimeout)
 }
 
-// The process got no processor time while it waited, and an answer was not read
-// in time.
+// Guards against taking a server for failed because this process got no
+// processor time and did not read an answer in time.
 func TestStalled(t *testing.T) {
 	qt.Assert(t, probe.Stalled(40*time.Millisecond, 45*time.Millisecond), qt.IsFalse)
 	qt.Assert(t, probe.Stalled(40*time.Millisecond, 90*time.Millisecond), qt.IsTrue)
