--- a/parts/poison/counter.go
+++ b/parts/poison/counter.go
@@ -6,53 +6,56 @@
 	"time"
 )
 
-// Suspect is a suspected request with the servers that died while they ran it.
+// Suspect is a suspected request, with the servers that crashed while they ran
+// it.
 type Suspect struct {
 	Print   Fingerprint
 	Servers []string
-	// Left is how long the suspicion lasts.
+	// Left is the remaining time of the suspicion.
 	Left time.Duration
 }
 
 // The limits of a counter.
 const (
-	// CounterMaxCrashes is the number of servers that must have died under a
-	// request before it is blocked. On a bad day two unrelated deaths within a
-	// minute are not rare for one request; three are caused by it.
+	// CounterMaxCrashes is the number of servers that must have crashed under
+	// a request before it is blocked. When servers fail often, two unrelated
+	// crashes under one request within a minute are not rare; three are caused
+	// by it.
 	CounterMaxCrashes = 3
 	// counterTTL is how long a crash is remembered. A request that crashes
-	// servers comes again within seconds.
+	// servers is sent again within seconds.
 	counterTTL = time.Minute
-	// maxCounted limits the number of requests that are remembered. The death
+	// maxCounted limits the number of requests that are remembered. The crash
 	// of one server makes some hundred requests suspected.
 	maxCounted = 4096
 )
 
-// Counter counts the servers that died under requests where entry hosts only
-// gossip and no host keeps a [Tracker]. The zero value is ready to use. It is
-// safe for concurrent use.
+// Counter counts the servers that crashed under each request, for entry hosts
+// that only gossip and do not keep a common [Tracker]. The zero value is ready
+// to use. It is safe for concurrent use.
 type Counter struct {
 	mu      sync.Mutex
 	crashes map[Fingerprint]*crashRecord
-	// cleared holds requests that succeeded lately, with the time until which
-	// they count as harmless.
+	// cleared holds requests that succeeded recently, with the time until
+	// which they count as harmless.
 	cleared map[Fingerprint]time.Time
 }
 
-// crashRecord holds the servers that died under one request.
+// crashRecord holds the servers that crashed under one request.
 type crashRecord struct {
 	servers []string
 	expiry  time.Time
 }
 
-// RecordCrash records that a server died while it ran a request.
+// RecordCrash records that a server crashed while it ran a request.
 func (c *Counter) RecordCrash(f Fingerprint, server string, now time.Time) {
 	c.Merge(Suspect{Print: f, Servers: []string{server}, Left: counterTTL}, now)
 }
 
-// RecordSuccess records that a request succeeded and thus crashes no servers.
-// Many callers may send the same request, and on a bad day servers die under
-// any of them; without this, all of them would be blocked for a minute.
+// RecordSuccess records that a request succeeded and thus does not crash
+// servers. Many callers may send the same request, and unrelated crashes may
+// happen under any of them; without this, all of them would be blocked for a
+// minute.
 func (c *Counter) RecordSuccess(f Fingerprint, now time.Time) {
 	c.mu.Lock()
 	defer c.mu.Unlock()
@@ -68,7 +71,7 @@
 	delete(c.crashes, f)
 }
 
-// Merge adds the crashes that another entry host knows of.
+// Merge adds the crashes that another entry host reports.
 func (c *Counter) Merge(s Suspect, now time.Time) {
 	c.mu.Lock()
 	defer c.mu.Unlock()
@@ -97,7 +100,7 @@
 	}
 }
 
-// expire drops entries whose time is over. The mutex is held.
+// expire removes expired entries. The mutex is held.
 func (c *Counter) expire(now time.Time) {
 	for f, record := range c.crashes {
 		if now.After(record.expiry) {
@@ -120,7 +123,8 @@
 }
 
 // Suspects returns the requests to gossip: those under which at least two
-// servers died. A single death makes too many requests suspected to send.
+// servers crashed. A single crash makes too many requests suspected to send
+// them all.
 func (c *Counter) Suspects(now time.Time) []Suspect {
 	c.mu.Lock()
 	defer c.mu.Unlock()
--- a/parts/poison/counter_test.go
+++ b/parts/poison/counter_test.go
@@ -9,9 +9,10 @@
 	"fuchsiashelf.dev/parts/poison"
 )
 
-// A request crashes each server that runs it, and its caller sends it again
-// through any entry host. Without a limit it would take down one server after
-// another. A request that ran on two dying servers by chance is not blocked.
+// Guards against a request that crashes each server that runs it and is sent
+// again through any entry host: without a limit it would crash one server
+// after another. A request that ran on two crashed servers by chance is not
+// blocked.
 func TestCounter(t *testing.T) {
 	now := time.Unix(1_700_000_000, 0)
 	var a, b poison.Counter
@@ -30,9 +31,9 @@
 	qt.Assert(t, b.Blocked(fingerprint, now.Add(2*time.Minute)), qt.IsFalse)
 }
 
-// Many callers send the same lookup on a day on which three servers die. One of
-// them succeeds, so the request crashes nothing, and none may be blocked,
-// whatever other entry hosts still report.
+// Guards against blocking a harmless request that many callers send while
+// three servers crash for other reasons: once one of them succeeds, none may
+// be blocked, whatever other entry hosts still report.
 func TestSuccessClearsRequest(t *testing.T) {
 	now := time.Unix(1_700_000_000, 0)
 	var a poison.Counter
--- a/parts/poison/poison.go
+++ b/parts/poison/poison.go
@@ -1,14 +1,14 @@
-// Package poison detects requests that crash the backend servers that run them.
-// It limits the damage of such a request to two servers, and keeps it from
-// costing the callers of other requests their responses.
+// Package poison detects requests that crash the backend servers that run
+// them. It limits the damage of such a request to two servers, and keeps it
+// from costing the callers of other requests their responses.
 //
 // A [Fingerprint] identifies a request across all its copies and retries. When
-// a server dies, every request that ran on it becomes suspected. A request that
-// had received tokens from the dead server only has the crash counted and
-// continues at once; one that had not is isolated: it is retried alone, which
-// means that no other isolated request uses any server of its chain meanwhile.
-// A token beyond the step at which the server died clears the request. A second
-// crash before that blocks it.
+// a server crashes, every request that ran on it becomes suspected. If the
+// request had received tokens from the server, the crash is only counted and
+// the request continues at once. Otherwise it is isolated: it is retried
+// alone, which means that no other isolated request uses any server of its
+// chain meanwhile. A token beyond the step at which the server crashed clears
+// the request. A second crash before that blocks it.
 //
 // A [Tracker] holds the suspected requests of one pool, for all entry hosts
 // that consult it. It is a pure state machine: times are arguments, and it is
@@ -25,12 +25,13 @@
 // Fingerprint identifies a request by its team and the digest of its body.
 type Fingerprint string
 
-// fingerprintBytes is enough to distinguish the requests of a few minutes.
+// fingerprintBytes is the length of a fingerprint. It is enough to distinguish
+// the requests of a few minutes.
 const fingerprintBytes = 8
 
 // NewFingerprint returns the fingerprint of a request. The digest is
 // cryptographic; otherwise a caller could forge the fingerprint of another
-// team's request and have it blocked.
+// team's request and have that request blocked.
 func NewFingerprint(team string, body ...string) Fingerprint {
 	h := sha256.New()
 	h.Write([]byte(team))
@@ -46,18 +47,18 @@
 	// MaxCrashes is the number of servers that a request may crash before it is
 	// blocked.
 	MaxCrashes = 2
-	// BlockFor is how long a blocked request is refused. Only a fixed engine or
-	// a changed prompt helps, and neither comes within seconds.
+	// BlockFor is how long a blocked request is refused. Only a fixed engine
+	// or a changed prompt helps, and neither comes within seconds.
 	BlockFor = 10 * time.Minute
 	// suspectTTL is how long a request stays suspected without another crash.
 	suspectTTL = time.Minute
 	// isolatedRunTimeout ends an isolated run whose entry host has disappeared.
 	isolatedRunTimeout = 10 * time.Second
-	// attributionTTL is how long the death of a server stays attributed to the
-	// request that was blocked for it. Other requests that ran on the server
-	// report its death late.
+	// attributionTTL is how long the crash of a server stays attributed to the
+	// request that was blocked for it. Reports of the same crash from other
+	// requests may arrive late.
 	attributionTTL = time.Minute
-	// maxRequests limits the size of a tracker; the entries that expire first
+	// maxRequests limits the size of a tracker; the requests that expire first
 	// are evicted.
 	maxRequests = 4096
 )
@@ -96,13 +97,14 @@
 
 // requestState is the state of one suspected or blocked request.
 type requestState struct {
-	// crashed holds the servers that died while they ran the request.
+	// crashed holds the servers that crashed while they ran the request.
 	crashed []string
 	// isolated reports that the request may only run alone.
 	isolated bool
 	// expiry is when the suspicion or the block ends.
 	expiry time.Time
-	// holder has the isolated run, on servers, until runEnd.
+	// holder is the copy of the request that has the isolated run, on servers,
+	// until runEnd.
 	holder  string
 	servers []string
 	runEnd  time.Time
@@ -117,12 +119,12 @@
 // is empty and ready to use.
 type Tracker struct {
 	requests map[Fingerprint]*requestState
-	// attributed holds servers whose death is attributed to a blocked request,
-	// with the time until which that holds.
+	// attributed holds servers whose crash is attributed to a blocked request,
+	// with the time until which it is.
 	attributed map[string]time.Time
 }
 
-// RecordCrash records that a server died while it ran a request. Progressed
+// RecordCrash records that a server crashed while it ran a request. Progressed
 // reports that the request had received a token from a chain with that server,
 // which makes another request the likely cause. The outcome is Blocked,
 // Isolated (from now on the request may only run alone) or Allowed.
@@ -155,7 +157,7 @@
 	return r.outcome()
 }
 
-// outcome returns the decision that follows from the recorded crashes.
+// outcome returns the decision that follows from the crashes so far.
 func (r *requestState) outcome() Outcome {
 	switch {
 	case len(r.crashed) >= MaxCrashes:
@@ -166,8 +168,9 @@
 	return Allowed
 }
 
-// causedByOther reports whether the death of a server is attributed to another
-// request: one that ran isolated on it, or was blocked for it.
+// causedByOther reports whether the crash of a server is attributed to another
+// request: one that was running isolated on it, or one that was blocked for
+// it.
 func (t *Tracker) causedByOther(f Fingerprint, server string, now time.Time) bool {
 	if now.Before(t.attributed[server]) {
 		return true
@@ -180,7 +183,7 @@
 	return false
 }
 
-// attribute attributes the death of a server to a request that is now blocked.
+// attribute attributes the crash of a server to a request that is now blocked.
 func (t *Tracker) attribute(server string, now time.Time) {
 	if t.attributed == nil {
 		t.attributed = map[string]time.Time{}
@@ -188,7 +191,8 @@
 	t.attributed[server] = now.Add(attributionTTL)
 }
 
-// add adds a request, evicting the oldest if the tracker is full.
+// add adds a request, evicting the one that expires first if the tracker is
+// full.
 func (t *Tracker) add(f Fingerprint) *requestState {
 	if t.requests == nil {
 		t.requests = map[Fingerprint]*requestState{}
@@ -213,8 +217,8 @@
 }
 
 // Acquire decides whether a request may run now on the given servers. The
-// holder identifies the copy of the request that asks; with Isolated it holds
-// the isolated run.
+// holder identifies the copy of the request that asks; if the outcome is
+// Isolated, that copy holds the isolated run.
 func (t *Tracker) Acquire(f Fingerprint, holder string, servers []string, now time.Time) Outcome {
 	t.expire(now)
 	r := t.requests[f]
@@ -227,8 +231,8 @@
 	if r.running(now) && r.holder != holder {
 		return Wait
 	}
-	for other, rival := range t.requests {
-		if other != f && rival.running(now) && overlap(rival.servers, servers) {
+	for other, otherState := range t.requests {
+		if other != f && otherState.running(now) && overlap(otherState.servers, servers) {
 			return Wait
 		}
 	}
@@ -236,8 +240,8 @@
 	return Isolated
 }
 
-// Merge adds the crashes of a request that an entry host knows of, so that no
-// crash is lost when a new tracker takes over from one that is gone.
+// Merge adds the crashes of a request that an entry host knows of, so that
+// none is lost when a new tracker replaces one whose entry host is gone.
 func (t *Tracker) Merge(f Fingerprint, crashed []string, now time.Time) {
 	if len(crashed) == 0 {
 		return
@@ -259,7 +263,7 @@
 }
 
 // Clear clears a request that received a token beyond the step at which a
-// server died under it. A blocked request stays blocked.
+// server crashed under it. A blocked request stays blocked.
 func (t *Tracker) Clear(f Fingerprint) {
 	if r := t.requests[f]; r != nil && len(r.crashed) < MaxCrashes {
 		delete(t.requests, f)
@@ -282,7 +286,7 @@
 	return 0
 }
 
-// expire drops requests and attributions whose time is over.
+// expire removes expired requests and attributions.
 func (t *Tracker) expire(now time.Time) {
 	for f, r := range t.requests {
 		if !now.Before(r.expiry) && !r.running(now) {
--- a/parts/poison/poison_test.go
+++ b/parts/poison/poison_test.go
@@ -11,9 +11,9 @@
 
 var start = time.UnixMilli(1_800_000_000_000)
 
-// A request crashes a server before its first token, is retried alone, and
-// crashes that server too. Its caller must be told at once, and no third server
-// may be lost.
+// Guards against the loss of a third server to a request that crashes one
+// before its first token, is retried alone and crashes that one too. Its
+// caller must be refused at once.
 func TestSecondCrashBlocks(t *testing.T) {
 	c := qt.New(t)
 	var tracker Tracker
@@ -28,9 +28,10 @@
 	c.Assert(tracker.Acquire("f", "e2/1", []string{"c1"}, start.Add(BlockFor)), qt.Equals, Allowed)
 }
 
-// Other requests ran on the server that died. One that had received tokens
-// continues at once; one that had not waits until the isolated run of the
-// suspected request is over. Neither is blocked for the crash in that run.
+// Guards against blocking other requests that ran on the crashed server. One
+// that had received tokens continues at once; one that had not waits until the
+// isolated run of the suspected request is over. Neither is blocked for the
+// crash in that run.
 func TestHarmlessRequestsAreNotBlocked(t *testing.T) {
 	c := qt.New(t)
 	var tracker Tracker
@@ -48,8 +49,8 @@
 	c.Assert(tracker.Crashes("young"), qt.Equals, 0)
 }
 
-// The entry host that holds an isolated run disappears, or its caller does. The
-// run must not reserve the servers for ever.
+// Guards against an isolated run that reserves its servers for ever because
+// its entry host or its caller is gone.
 func TestIsolatedRunEnds(t *testing.T) {
 	c := qt.New(t)
 	var tracker Tracker
@@ -62,8 +63,9 @@
 	c.Assert(tracker.Acquire("f", "e1/1", []string{"b1"}, start.Add(isolatedRunTimeout)), qt.Equals, Isolated)
 }
 
-// The entry host that kept the tracker is gone. The new tracker merges what the
-// asking entry host knows; otherwise the request could crash two more servers.
+// Guards against crashes that are forgotten when the entry host with the
+// tracker is gone: unless the new tracker merges what the requesting entry
+// host knows, the request could crash two more servers.
 func TestNewTrackerMergesCrashes(t *testing.T) {
 	c := qt.New(t)
 	var tracker Tracker
@@ -86,15 +88,16 @@
 	tracker Tracker
 	now     time.Time
 	servers []string
-	dead    map[string]bool
-	// informed holds the entry hosts that know that the request is blocked.
+	crashed map[string]bool
+	// informed holds the entry hosts that know that the poisoned request is
+	// blocked.
 	informed map[int]bool
 	runs     []*run
-	// reports are deaths that have not reached the tracker yet.
+	// reports are crashes that the tracker does not know of yet.
 	reports []report
-	// lost counts the servers that the poisoned request crashed, uninformed the
-	// copies that were sent through an entry host that did not know of the
-	// block.
+	// lost is the number of servers that the poisoned request crashed.
+	// uninformed is the number of its copies that were sent through an entry
+	// host that did not know of the block.
 	lost, uninformed int
 	blocked          bool
 	harmlessBlocked  bool
@@ -112,7 +115,7 @@
 	crashes     []string
 }
 
-// report is the death of a server under a run.
+// report is the crash of a server under a run.
 type report struct {
 	run    *run
 	server string
@@ -121,7 +124,7 @@
 func (m *model) alive() []string {
 	var all []string
 	for _, s := range m.servers {
-		if !m.dead[s] {
+		if !m.crashed[s] {
 			all = append(all, s)
 		}
 	}
@@ -151,11 +154,11 @@
 	}
 }
 
-// crash lets the poisoned request run: its server dies under all requests that
+// crash lets the poisoned request crash its server, under all requests that
 // run there.
 func (m *model) crash(r *run) {
 	server := r.server
-	m.dead[server] = true
+	m.crashed[server] = true
 	m.lost++
 	for _, other := range m.runs {
 		if other.server == server {
@@ -182,15 +185,16 @@
 	rep.run.waiting = true
 }
 
-// One request crashes each server that runs it. Its caller sends it through one
-// entry host after another, some of which do not know of the block yet; reports
-// of deaths arrive in any order, while other requests come and go. Two servers
-// are lost, and one more for each copy sent through an uninformed entry host.
-// No other request is blocked while all entry hosts are informed.
+// Guards against losing more servers to a poisoned request than two, plus one
+// for each copy sent through an entry host that does not know of the block
+// yet, and against blocking a harmless request while all entry hosts know of
+// it. The caller sends the poisoned request through one entry host after
+// another; reports of crashes arrive in any order, while other requests come
+// and go.
 func TestPoisonedRequestModel(t *testing.T) {
 	const entries = 4
 	rapid.Check(t, func(t *rapid.T) {
-		m := &model{now: start, dead: map[string]bool{}, informed: map[int]bool{}}
+		m := &model{now: start, crashed: map[string]bool{}, informed: map[int]bool{}}
 		for i := range 9 {
 			m.servers = append(m.servers, fmt.Sprintf("s%d", i))
 		}
