--- a/parts/admit/admit.go
+++ b/parts/admit/admit.go
@@ -10,7 +10,7 @@
 // to a backend server.
 //
 // A [Limiter] adapts the limit to what the engines report for each token: how
-// long it waited for its step compared to how long it ran.
+// long it waited for its step compared to how long the step took.
 //
 // Queue and Limiter are pure state machines that take the time as an argument;
 // a [Controller] makes them safe for concurrent use on the request path.
@@ -41,30 +41,30 @@
 
 // Limits are the limits of one queue. With the zero value no request may wait.
 type Limits struct {
-	// MaxWait is the longest expected time that a request may wait for its
-	// turn.
+	// MaxWait is the maximum expected wait of a request that is queued.
 	MaxWait time.Duration
 	// MaxRequests is the maximum number of waiting requests.
 	MaxRequests int
 	// MaxBytes is the maximum memory that waiting requests hold.
 	MaxBytes int
-	// Headroom is the capacity above the limit, as a fraction of it, for teams
-	// with credit. Without it they would wait until a request of a team above
-	// its share ends.
+	// Headroom is the capacity above the limit, as a fraction of it, that only
+	// teams with credit may use. Without it they would wait until a request of
+	// a team above its share ends.
 	Headroom float64
-	// MaxCredit is how much work a team may save up for each unit of its weight
-	// while it uses less than its share. Requests come in bursts; without
-	// credit a team that stays within its share on average would wait behind
-	// one that constantly exceeds its own.
+	// MaxCredit is how much work a team may save up for each unit of its
+	// weight while it uses less than its share. Requests come in bursts;
+	// without credit a team that stays within its share on average would wait
+	// behind one that constantly exceeds its own share.
 	MaxCredit float64
 }
 
-// minRetryAfter is the shortest time after which a refused caller may return.
+// minRetryAfter is the minimum time after which a refused caller should retry.
 // With a shorter one, the retries of many refused callers would overload the
 // entry host.
 const minRetryAfter = 200 * time.Millisecond
 
-// overloaded returns the error of a request that finds the queue full.
+// overloaded returns the error for a request that is refused for lack of
+// capacity.
 func overloaded(message string, wait time.Duration) *fault.Error {
 	return &fault.Error{
 		Code: fault.Overloaded, Verdict: fault.NotRun, Message: message,
--- a/parts/admit/controller.go
+++ b/parts/admit/controller.go
@@ -13,22 +13,22 @@
 // Controller is the admission controller of one pool. Set the exported fields
 // before first use. It is safe for concurrent use.
 //
-// Decisions are made under one mutex for each pool: a request locks it twice,
-// for well under a microsecond each time (see BenchmarkController), compared to
-// hundreds of microseconds for the rest of the request.
+// Decisions are made under one mutex for each pool. A request locks it twice,
+// for well under a microsecond each time (see BenchmarkController), while the
+// rest of the request takes hundreds of microseconds.
 type Controller struct {
 	Limits Limits
 	// Limiter adapts how many requests run concurrently.
 	Limiter Limiter
-	// MeasureWait returns the mean wait of the latest tokens, in units of their
-	// run time, and false if there are none. The limit follows it, or stays
-	// constant if it is nil.
-	MeasureWait func(now time.Time) (float64, bool)
-	mu          sync.Mutex
-	once        sync.Once
-	queue       Queue
-	measuredAt  time.Time
-	wait        float64
+	// MeasureWait returns the mean wait of the latest tokens, in units of
+	// their run time, and false if there are none. If it is nil, the limit
+	// stays constant.
+	MeasureWait  func(now time.Time) (float64, bool)
+	mu           sync.Mutex
+	once         sync.Once
+	queue        Queue
+	measuredAt   time.Time
+	measuredWait float64
 	// tokenGap is the mean time between two tokens in nanoseconds, as the bits
 	// of a float64; zero while it is not known.
 	tokenGap atomic.Uint64
@@ -42,20 +42,20 @@
 // Grant is the permission to run a request. The zero value holds no slot.
 type Grant struct {
 	controller *Controller
-	item       *Entry
+	entry      *Entry
 }
 
 // Release returns the slot once the request has ended.
 func (g Grant) Release() {
 	if g.controller != nil {
-		g.controller.release(g.item)
+		g.controller.release(g.entry)
 	}
 }
 
-// Credit reports whether the request's team had credit left, that is, uses less
-// than its share.
+// Credit reports whether the request's team had credit left, that is, used
+// less than its share.
 func (g Grant) Credit() bool {
-	return g.item != nil && g.item.Credit
+	return g.entry != nil && g.entry.Credit
 }
 
 // Admit waits until the request may run. The caller releases the grant when the
@@ -65,26 +65,26 @@
 	req.RunTime = time.Duration(math.Float64frombits(c.tokenGap.Load()) * req.Cost)
 	c.mu.Lock()
 	c.once.Do(c.initQueue)
-	item, e := c.queue.Submit(time.Now(), req)
+	entry, e := c.queue.Submit(time.Now(), req)
 	if e != nil {
 		c.mu.Unlock()
 		return Grant{}, e
 	}
-	if item.Running {
+	if entry.Running {
 		c.mu.Unlock()
-		return Grant{c, item}, nil
+		return Grant{c, entry}, nil
 	}
-	item.wake = make(chan struct{})
+	entry.wake = make(chan struct{})
 	c.mu.Unlock()
-	return c.await(ctx, item)
+	return c.await(ctx, entry)
 }
 
 // gapWeight is the weight of one response in the mean token gap.
 const gapWeight = 1.0 / 16
 
-// ObserveGap records the mean gap between the tokens of one response. From it
-// the run time of later requests is estimated, so that a request that can't end
-// before its deadline is refused on arrival.
+// ObserveGap records the mean gap between the tokens of one response. The run
+// time of later requests is estimated from it, so that a request that can't
+// end before its deadline is refused on arrival.
 func (c *Controller) ObserveGap(gap time.Duration) {
 	for {
 		old := c.tokenGap.Load()
@@ -99,28 +99,28 @@
 	}
 }
 
-// maxWaitFactor is the ratio of the longest actual wait to the longest expected
-// wait. Teams below their share go before those above it, so a request may wait
-// longer than expected on arrival; its caller still gets a definite response.
+// maxWaitFactor is the ratio of the maximum wait to the maximum expected wait.
+// Teams below their share go before those above it, so a request may wait
+// longer than expected on arrival. Its caller still gets a definite response.
 const maxWaitFactor = 3
 
-// await waits for the turn of a queued request.
-func (c *Controller) await(ctx context.Context, item *Entry) (Grant, *fault.Error) {
-	timer := time.NewTimer(min(time.Until(item.Deadline), maxWaitFactor*c.Limits.MaxWait))
+// await waits until a queued request may run.
+func (c *Controller) await(ctx context.Context, entry *Entry) (Grant, *fault.Error) {
+	timer := time.NewTimer(min(time.Until(entry.Deadline), maxWaitFactor*c.Limits.MaxWait))
 	defer timer.Stop()
 	e := &fault.Error{Code: fault.Cancelled, Verdict: fault.NotRun, Message: "the caller left while it waited"}
 	select {
-	case <-item.wake:
-		return Grant{c, item}, nil
+	case <-entry.wake:
+		return Grant{c, entry}, nil
 	case <-ctx.Done():
 	case <-timer.C:
 		e = deadlineExceeded("waited longer than was to be expected", 0)
 	}
 	c.mu.Lock()
 	var next []*Entry
-	if !c.queue.Cancel(item) {
-		// It was started at the same moment, and ends without running.
-		next = c.queue.Abort(time.Now(), item)
+	if !c.queue.Cancel(entry) {
+		// It was started in the same moment, and ends without running.
+		next = c.queue.Abort(time.Now(), entry)
 	}
 	c.mu.Unlock()
 	wake(next)
@@ -128,18 +128,18 @@
 }
 
 // wake resumes requests that may run now.
-func wake(items []*Entry) {
-	for _, item := range items {
-		close(item.wake)
+func wake(entries []*Entry) {
+	for _, entry := range entries {
+		close(entry.wake)
 	}
 }
 
 // release records the end of a request and wakes those that may run now.
-func (c *Controller) release(item *Entry) {
+func (c *Controller) release(entry *Entry) {
 	now := time.Now()
 	c.mu.Lock()
 	c.adaptLimit(now)
-	next := c.queue.Done(now, item)
+	next := c.queue.Done(now, entry)
 	c.mu.Unlock()
 	wake(next)
 }
@@ -152,7 +152,7 @@
 	}
 	c.measuredAt = now
 	wait, known := c.MeasureWait(now)
-	c.wait = wait
+	c.measuredWait = wait
 	if known && c.Limiter.Adapt(now, wait, c.queue.Running()) {
 		c.queue.Limit = c.Limiter.Value
 	}
@@ -173,5 +173,5 @@
 	c.mu.Lock()
 	defer c.mu.Unlock()
 	c.once.Do(c.initQueue)
-	return Stats{Limit: c.queue.Limit, Running: c.queue.Running(), Waiting: c.queue.Waiting(), Wait: c.wait}
+	return Stats{Limit: c.queue.Limit, Running: c.queue.Running(), Waiting: c.queue.Waiting(), Wait: c.measuredWait}
 }
--- a/parts/admit/controller_test.go
+++ b/parts/admit/controller_test.go
@@ -27,8 +27,9 @@
 	return admit.Request{Team: team, Weight: 1, Cost: 1, Deadline: time.Now().Add(time.Hour)}
 }
 
-// Many callers send requests at once, and some of them give up while they wait.
-// Never more than the limit may run, and at the end every slot must be free.
+// Guards against more running requests than the limit, and against slots that
+// are never released, when many callers send requests at once and some of them
+// give up while they wait.
 func TestControllerEnforcesLimit(t *testing.T) {
 	defer goleak.VerifyNone(t)
 	c := qt.New(t)
--- a/parts/admit/limiter.go
+++ b/parts/admit/limiter.go
@@ -5,7 +5,7 @@
 // Limiter adapts the number of concurrent requests of a pool to what the
 // engines report for each token.
 //
-// An engine works in steps; a token that arrives at an engine below its
+// An engine works in steps. A token that arrives at an engine below its
 // capacity waits half a step on average for the current one to end. When more
 // tokens wait than fit into a step, each waits for whole steps, and more
 // concurrent requests make all of them slower without using the hardware
@@ -23,9 +23,9 @@
 }
 
 // The parameters of the limit. It grows slowly near the target, since the wait
-// shows the effect of a new request only after its first tokens, and faster far
-// below it. It shrinks by at most a fifth at a time, since running requests are
-// not cut off and a single burst should not lower it far.
+// shows the effect of a new request only after its first tokens, and faster
+// far below it. It shrinks by at most a fifth at a time, since running
+// requests are not aborted and a single burst should not lower it far.
 const (
 	growthFactor      = 1.05
 	fastGrowthFactor  = 1.25
@@ -65,15 +65,16 @@
 }
 
 // decrease returns the limit of an overloaded pool. The running requests cause
-// the wait, so the limit moves towards the number of them that would meet the
-// target; a limit that is already lower has not taken effect yet, and stays.
+// the wait, so the limit moves towards the number of requests that would meet
+// the target. A limit that is already lower has not taken effect yet, and
+// stays.
 func (l *Limiter) decrease(wait, running float64) float64 {
 	fits := running * l.Target / wait
 	return min(l.Value, max(fits, minDecreaseFactor*l.Value))
 }
 
 // binding reports whether the limit holds requests back, or nearly does. A
-// small limit is binding as soon as one request less than it is running.
+// small limit is binding once there is at most one free slot.
 func (l *Limiter) binding(running int) bool {
 	return float64(running) >= min(bindingFraction*l.Value, l.Value-1)
 }
--- a/parts/admit/limiter_test.go
+++ b/parts/admit/limiter_test.go
@@ -32,9 +32,9 @@
 	})
 }
 
-// Callers that send little leave the pool idle. If the limit grew meanwhile,
-// the first burst after a quiet night would be admitted all at once; if it
-// shrank, requests would be refused despite free capacity.
+// Guards against a limit that changes while the pool is idle. If it grew, the
+// first burst after a quiet night would be admitted all at once; if it shrank,
+// requests would be refused despite free capacity.
 func TestLimitOfIdlePoolStays(t *testing.T) {
 	c := qt.New(t)
 	l := &admit.Limiter{Target: 1.5, Min: 1, Max: 100, Value: 50}
@@ -45,9 +45,10 @@
 	c.Assert(l.Value, qt.Equals, 50.0)
 }
 
-// A new entry host starts with a limit above the capacity of the pool. The
-// requests never reach the limit, and all of them are slow until it decreases
-// to a value that holds the pool at its target.
+// Guards against a limit that stays above the capacity of the pool, as a new
+// entry host may start with: the requests never reach the limit, and all of
+// them are slow until it decreases to a value that holds the pool at its
+// target.
 func TestLimitAboveCapacityDecreases(t *testing.T) {
 	c := qt.New(t)
 	l := &admit.Limiter{Target: 1.5, Min: 1, Max: 1000, Value: 1000}
@@ -61,9 +62,9 @@
 	c.Assert(l.Value > 30 && l.Value < 50, qt.IsTrue, qt.Commentf("%v", l.Value))
 }
 
-// After a decrease, the requests that already run keep the pool overloaded for
-// a while. If each of their reports decreased the limit again, it would fall
-// far below the capacity.
+// Guards against a limit that falls far below the capacity: after a decrease,
+// the requests that already run keep the pool overloaded for a while, and
+// their reports must not decrease the limit again.
 func TestLimitDecreasesOnceForTheSameRequests(t *testing.T) {
 	c := qt.New(t)
 	l := &admit.Limiter{Target: 1.5, Min: 1, Max: 1000, Value: 100}
--- a/parts/admit/localrate.go
+++ b/parts/admit/localrate.go
@@ -5,7 +5,7 @@
 	"time"
 )
 
-// Peers is what one entry host knows of all entry hosts when it divides the
+// Peers is what one entry host knows of the entry hosts when it divides the
 // rate limit of a team.
 type Peers struct {
 	// Listed is the number of entry hosts in the host list, including this one.
@@ -19,28 +19,28 @@
 }
 
 // idleDemand is the fraction of an even share that is added to the demand of
-// each entry host, so that a host without demand admits the first requests
-// before the others have heard of them.
+// each entry host, so that an entry host without demand admits the first
+// requests before the others know of them.
 const idleDemand = 0.1
 
 // LocalRate returns the part of a team's rate limit that one entry host
 // applies, in requests per second. Own and others are the demand at this entry
-// host and at all other reachable ones, refused requests included.
+// host and at all other reachable ones, including refused requests.
 //
-// The platform's load balancer may send most requests of a team to few entry
-// hosts. If the limit were divided evenly, they would be refused there while
-// the team is far below it. So the limit is divided in proportion to the
-// demand; the parts of entry hosts with the same information add up to the
-// limit. Unreachable entry hosts keep their even part, so that the two sides of
-// a partition together stay within the limit.
+// The platform's load balancer may send most requests of a team to a few entry
+// hosts. If the limit were divided evenly, requests would be refused there
+// while the team is far below its limit. So the limit is divided in proportion
+// to the demand; the parts of entry hosts with the same information add up to
+// the limit. Unreachable entry hosts keep their even part, so that the two
+// sides of a partition together stay within the limit.
 func LocalRate(limit, own, others float64, alive, listed int) float64 {
 	listed = max(listed, 1)
 	alive = min(max(alive, 1), listed)
 	even := limit / float64(listed)
-	floor := idleDemand * even
-	local := own + floor
-	remote := others + floor*float64(alive-1)
-	return even * float64(alive) * local / (local + remote)
+	minDemand := idleDemand * even
+	localDemand := own + minDemand
+	remoteDemand := others + minDemand*float64(alive-1)
+	return even * float64(alive) * localDemand / (localDemand + remoteDemand)
 }
 
 // demand measures the rate at which a team sends requests, including refused
--- a/parts/admit/localrate_test.go
+++ b/parts/admit/localrate_test.go
@@ -11,9 +11,8 @@
 	"fuchsiashelf.dev/parts/quota"
 )
 
-// Whatever the demand at the entry hosts, the parts of those with the same
-// information never add up to more than the limit, nor do the parts on both
-// sides of a partition together.
+// Guards against parts of entry hosts that add up to more than the limit, for
+// any demand, with the same information or on both sides of a partition.
 func TestLocalRatesStayWithinLimit(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		limit := rapid.Float64Range(0.1, 1000).Draw(t, "limit")
@@ -35,9 +34,9 @@
 	})
 }
 
-// The load balancer sends all requests of a team to one of four entry hosts.
-// They are within the team's limit, but most would be refused if each entry
-// host applied a fourth of it.
+// Guards against refusals within the limit when the load balancer sends all
+// requests of a team to one of four entry hosts: most would be refused if each
+// entry host applied a fourth of the limit.
 func TestLocalRateFollowsDemand(t *testing.T) {
 	c := qt.New(t)
 	q := quota.Quota{Rate: 100, Burst: 10}
@@ -59,9 +58,9 @@
 	c.Assert(busy >= 100 && busy <= 140, qt.IsTrue, qt.Commentf("%d", busy))
 }
 
-// A team stops sending requests. If its last rate were reported for ever, the
-// other entry hosts would reserve part of its limit for requests that never
-// come.
+// Guards against a rate that is reported for ever after a team stopped sending
+// requests: the other entry hosts would reserve part of its limit for requests
+// that never come.
 func TestUsageOfQuietTeamEnds(t *testing.T) {
 	c := qt.New(t)
 	r := &admit.RateLimiter{}
--- a/parts/admit/queue.go
+++ b/parts/admit/queue.go
@@ -29,7 +29,7 @@
 	// finishTag is the finish tag of the last request of the team.
 	finishTag float64
 	running   int
-	items     []*Entry
+	entries   []*Entry
 }
 
 // Entry is a waiting or running request.
@@ -55,35 +55,35 @@
 func (q *Queue) Submit(now time.Time, req Request) (*Entry, *fault.Error) {
 	req.Weight, req.Cost = max(req.Weight, 1), max(req.Cost, 1)
 	tq := q.teamQueue(&req)
-	left := req.Deadline.Sub(now)
-	if req.RunTime > left {
+	remaining := req.Deadline.Sub(now)
+	if req.RunTime > remaining {
 		q.dropIdle(req.Team)
 		return nil, deadlineExceeded("runs longer than its deadline allows", 0)
 	}
-	item := &Entry{Request: req, arrivedAt: now}
-	if len(tq.items) == 0 && q.hasCapacity(q.startTag(tq)) {
-		q.assignTags(tq, item)
-		q.begin(now, tq, item)
-		return item, nil
+	entry := &Entry{Request: req, arrivedAt: now}
+	if len(tq.entries) == 0 && q.hasCapacity(q.startTag(tq)) {
+		q.assignTags(tq, entry)
+		q.begin(now, tq, entry)
+		return entry, nil
 	}
-	if e := q.rejection(tq, &req, left); e != nil {
+	if e := q.rejection(tq, &req, remaining); e != nil {
 		q.dropIdle(req.Team)
 		return nil, e
 	}
-	q.assignTags(tq, item)
-	tq.items = append(tq.items, item)
+	q.assignTags(tq, entry)
+	tq.entries = append(tq.entries, entry)
 	q.waiting++
 	q.bytes += req.Bytes
-	return item, nil
+	return entry, nil
 }
 
 // rejection returns why a request must not wait, or nil.
-func (q *Queue) rejection(tq *teamQueue, req *Request, left time.Duration) *fault.Error {
+func (q *Queue) rejection(tq *teamQueue, req *Request, remaining time.Duration) *fault.Error {
 	wait := q.expectedWait(tq)
 	switch {
 	case wait > q.Limits.MaxWait:
 		return overloaded("too many requests of the team wait", wait)
-	case wait+req.RunTime > left:
+	case wait+req.RunTime > remaining:
 		return deadlineExceeded("waits longer than its deadline allows", wait)
 	case q.waiting >= q.Limits.MaxRequests:
 		return overloaded("too many requests wait", wait)
@@ -94,9 +94,9 @@
 }
 
 // expectedWait returns how long a request that joins a team's queue now is
-// expected to wait, if the running requests end at the same rate as before.
-// Requests of a team with credit are served in the order of their start tags;
-// those of another team at the rate of its share.
+// expected to wait if the running requests end at the same rate as before.
+// Requests of a team with credit are served in the order of their start tags,
+// and those of another team at the rate of its share.
 func (q *Queue) expectedWait(tq *teamQueue) time.Duration {
 	start, ahead, share := q.startTag(tq), 0.0, 1.0
 	queues := q.teams
@@ -104,9 +104,9 @@
 		queues, share = map[string]*teamQueue{"": tq}, tq.weight/q.activeWeight(tq)
 	}
 	for _, other := range queues {
-		for _, item := range other.items {
-			if item.startTag <= start {
-				ahead += item.Cost
+		for _, entry := range other.entries {
+			if entry.startTag <= start {
+				ahead += entry.Cost
 			}
 		}
 	}
@@ -125,7 +125,7 @@
 func (q *Queue) activeWeight(tq *teamQueue) float64 {
 	sum := 0.0
 	for _, other := range q.teams {
-		if len(other.items) > 0 || other == tq {
+		if len(other.entries) > 0 || other == tq {
 			sum += other.weight
 		}
 	}
@@ -147,9 +147,9 @@
 }
 
 // assignTags sets the start tag of a request and the finish tag of its team.
-func (q *Queue) assignTags(tq *teamQueue, item *Entry) {
-	item.startTag = q.startTag(tq)
-	tq.finishTag = item.startTag + item.Cost/tq.weight
+func (q *Queue) assignTags(tq *teamQueue, entry *Entry) {
+	entry.startTag = q.startTag(tq)
+	tq.finishTag = entry.startTag + entry.Cost/tq.weight
 }
 
 // hasCapacity reports whether a request with a start tag may run now. Below the
@@ -161,28 +161,28 @@
 }
 
 // begin starts a request.
-func (q *Queue) begin(now time.Time, tq *teamQueue, item *Entry) {
-	item.Credit = item.startTag < q.virtualTime
-	q.virtualTime = max(q.virtualTime, item.startTag)
+func (q *Queue) begin(now time.Time, tq *teamQueue, entry *Entry) {
+	entry.Credit = entry.startTag < q.virtualTime
+	q.virtualTime = max(q.virtualTime, entry.startTag)
 	q.running++
 	tq.running++
-	item.Running, item.startedAt = true, now
+	entry.Running, entry.startedAt = true, now
 }
 
 // Done records that a request that ran has ended, and returns the requests that
 // may run now.
-func (q *Queue) Done(now time.Time, item *Entry) []*Entry {
-	q.runTimes.observe(now.Sub(item.startedAt), item.Cost)
-	return q.Abort(now, item)
+func (q *Queue) Done(now time.Time, entry *Entry) []*Entry {
+	q.runTimes.observe(now.Sub(entry.startedAt), entry.Cost)
+	return q.Abort(now, entry)
 }
 
 // Abort is like Done for a request that was started but did not run, so that
 // its time is not observed.
-func (q *Queue) Abort(now time.Time, item *Entry) []*Entry {
+func (q *Queue) Abort(now time.Time, entry *Entry) []*Entry {
 	q.running--
-	q.teams[item.Team].running--
+	q.teams[entry.Team].running--
 	next := q.Dispatch(now)
-	q.dropIdle(item.Team)
+	q.dropIdle(entry.Team)
 	return next
 }
 
@@ -195,10 +195,10 @@
 		if tq == nil {
 			break
 		}
-		item := tq.items[0]
+		entry := tq.entries[0]
 		q.remove(tq, 0)
-		q.begin(now, tq, item)
-		next = append(next, item)
+		q.begin(now, tq, entry)
+		next = append(next, entry)
 	}
 	return next
 }
@@ -209,62 +209,62 @@
 func (q *Queue) next() *teamQueue {
 	var best *teamQueue
 	for _, tq := range q.teams {
-		if len(tq.items) == 0 || !q.hasCapacity(tq.items[0].startTag) {
+		if len(tq.entries) == 0 || !q.hasCapacity(tq.entries[0].startTag) {
 			continue
 		}
-		if best == nil || tq.items[0].less(best.items[0]) {
+		if best == nil || tq.entries[0].less(best.entries[0]) {
 			best = tq
 		}
 	}
 	return best
 }
 
-// less reports whether an item is served before another one.
-func (i *Entry) less(other *Entry) bool {
-	if i.startTag != other.startTag {
-		return i.startTag < other.startTag
+// less reports whether an entry is served before another one.
+func (e *Entry) less(other *Entry) bool {
+	if e.startTag != other.startTag {
+		return e.startTag < other.startTag
 	}
-	if !i.arrivedAt.Equal(other.arrivedAt) {
-		return i.arrivedAt.Before(other.arrivedAt)
+	if !e.arrivedAt.Equal(other.arrivedAt) {
+		return e.arrivedAt.Before(other.arrivedAt)
 	}
-	return i.Team < other.Team
+	return e.Team < other.Team
 }
 
 // Cancel removes a waiting request, and reports whether it was still waiting. A
 // request that was started meanwhile stays until Done.
-func (q *Queue) Cancel(item *Entry) bool {
-	if item.Running {
+func (q *Queue) Cancel(entry *Entry) bool {
+	if entry.Running {
 		return false
 	}
-	tq := q.teams[item.Team]
+	tq := q.teams[entry.Team]
 	if tq == nil {
 		return false
 	}
-	for i, other := range tq.items {
-		if other == item {
+	for i, other := range tq.entries {
+		if other == entry {
 			q.remove(tq, i)
-			q.dropIdle(item.Team)
+			q.dropIdle(entry.Team)
 			return true
 		}
 	}
 	return false
 }
 
-// remove removes the item at an index from a team's queue.
+// remove removes the entry at an index from a team's queue.
 func (q *Queue) remove(tq *teamQueue, i int) {
 	q.waiting--
-	q.bytes -= tq.items[i].Bytes
-	copy(tq.items[i:], tq.items[i+1:])
-	tq.items[len(tq.items)-1] = nil
-	tq.items = tq.items[:len(tq.items)-1]
+	q.bytes -= tq.entries[i].Bytes
+	copy(tq.entries[i:], tq.entries[i+1:])
+	tq.entries[len(tq.entries)-1] = nil
+	tq.entries = tq.entries[:len(tq.entries)-1]
 }
 
-// dropIdle removes the queue of a team that has no requests and no finish tag
-// ahead of the virtual time less the credit. Otherwise the queues of teams that
-// no longer send requests would accumulate.
+// dropIdle removes the queue of a team that has no requests and whose finish
+// tag is not ahead of the virtual time less the credit. Otherwise the queues
+// of teams that no longer send requests would accumulate.
 func (q *Queue) dropIdle(team string) {
 	tq := q.teams[team]
-	if tq != nil && tq.running == 0 && len(tq.items) == 0 && tq.finishTag <= q.virtualTime-q.Limits.MaxCredit {
+	if tq != nil && tq.running == 0 && len(tq.entries) == 0 && tq.finishTag <= q.virtualTime-q.Limits.MaxCredit {
 		delete(q.teams, team)
 	}
 }
--- a/parts/admit/queue_test.go
+++ b/parts/admit/queue_test.go
@@ -24,8 +24,8 @@
 	return admit.Request{Team: team, Weight: 1, Cost: cost, Deadline: start.Add(24 * time.Hour)}
 }
 
-// A request that can't end before its deadline would use a slot in vain, and
-// its caller would learn of it only at the deadline.
+// Guards against a request that uses a slot in vain because it can't end
+// before its deadline; its caller would learn of it only at the deadline.
 func TestUnmeetableDeadlineIsRefused(t *testing.T) {
 	c := qt.New(t)
 	q := &admit.Queue{Limits: limits(), Limit: 1}
@@ -48,8 +48,8 @@
 	c.Assert(e.RetryAfter, qt.Equals, 4*time.Second)
 }
 
-// Waiting requests hold memory. Without limits a flood of them would take down
-// the entry host, and the running requests with it.
+// Guards against a flood of waiting requests whose memory would crash the
+// entry host, with all its running requests.
 func TestQueueLimits(t *testing.T) {
 	for _, test := range []struct {
 		name    string
@@ -78,8 +78,8 @@
 	}
 }
 
-// One team sends ten times its share and fills the limit. Another team, below
-// its share, must not wait until one of these requests ends.
+// Guards against a team below its share that has to wait because another team
+// sends ten times its share and fills the limit.
 func TestHeadroomIsForTeamsBelowTheirShare(t *testing.T) {
 	c := qt.New(t)
 	lim := limits()
@@ -90,15 +90,15 @@
 		c.Assert(e == nil, qt.IsTrue)
 	}
 	c.Assert(q.Running(), qt.Equals, 10)
-	item, e := q.Submit(start, newRequestWithCost("quiet", 1))
+	entry, e := q.Submit(start, newRequestWithCost("quiet", 1))
 	c.Assert(e == nil, qt.IsTrue)
-	c.Assert(item.Running, qt.IsTrue)
+	c.Assert(entry.Running, qt.IsTrue)
 	c.Assert(q.Waiting(), qt.Equals, 2)
 }
 
-// A team stays within its share on average, but its requests come in bursts,
-// while another team constantly sends ten times its share. The burst runs
-// first, since its team left so much capacity unused before.
+// Guards against delaying the burst of a team that stays within its share on
+// average, while another team constantly sends ten times its share. The burst
+// runs first, since its team left that much capacity unused before.
 func TestBurstsOfTeamsWithCreditRunFirst(t *testing.T) {
 	quietStarted := func(credit float64) int {
 		c := qt.New(t)
@@ -149,7 +149,7 @@
 		RunTime:  time.Duration(rapid.IntRange(0, 100).Draw(t, "needs")) * time.Millisecond,
 	}
 	hasCapacity := float64(m.queue.Running()) < m.queue.Limit && m.queue.Waiting() == 0
-	item, e := m.queue.Submit(m.now, req)
+	entry, e := m.queue.Submit(m.now, req)
 	if e != nil {
 		if e.Verdict != fault.NotRun || e.RetryAfter <= 0 {
 			t.Fatalf("refused with %v, retry after %v", e.Verdict, e.RetryAfter)
@@ -159,39 +159,39 @@
 		}
 		return
 	}
-	if item.Running {
-		m.running = append(m.running, item)
+	if entry.Running {
+		m.running = append(m.running, entry)
 	} else {
-		m.waiting = append(m.waiting, item)
+		m.waiting = append(m.waiting, entry)
 	}
 }
 
-// drawItem removes a random item from a list and returns it.
-func drawItem(t *rapid.T, items *[]*admit.Entry) *admit.Entry {
-	if len(*items) == 0 {
+// drawEntry removes a random entry from a list and returns it.
+func drawEntry(t *rapid.T, entries *[]*admit.Entry) *admit.Entry {
+	if len(*entries) == 0 {
 		t.Skip("none")
 	}
-	i := rapid.IntRange(0, len(*items)-1).Draw(t, "which")
-	item := (*items)[i]
-	*items = append((*items)[:i:i], (*items)[i+1:]...)
-	return item
+	i := rapid.IntRange(0, len(*entries)-1).Draw(t, "which")
+	entry := (*entries)[i]
+	*entries = append((*entries)[:i:i], (*entries)[i+1:]...)
+	return entry
 }
 
 // moveToRunning moves requests from waiting to running.
 func (m *model) moveToRunning(t *rapid.T, next []*admit.Entry) {
-	for _, item := range next {
+	for _, entry := range next {
 		found := false
 		for i, other := range m.waiting {
-			if other == item {
+			if other == entry {
 				m.waiting = append(m.waiting[:i:i], m.waiting[i+1:]...)
 				found = true
 				break
 			}
 		}
-		if !found || !item.Running {
-			t.Fatalf("started: %+v, was waiting: %v", item, found)
+		if !found || !entry.Running {
+			t.Fatalf("started: %+v, was waiting: %v", entry, found)
 		}
-		m.running = append(m.running, item)
+		m.running = append(m.running, entry)
 	}
 }
 
@@ -209,8 +209,8 @@
 	}
 }
 
-// After every step: no request waits and none is refused while there is free
-// capacity, none is lost, and the verdict of a refusal is NotRun.
+// After every step no request waits or is refused while there is free
+// capacity, none is lost, and the verdict of each refusal is NotRun.
 func TestQueueModel(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		m := &model{now: start}
@@ -225,10 +225,10 @@
 			"arrive": m.submit,
 			"done": func(t *rapid.T) {
 				m.now = m.now.Add(time.Duration(rapid.IntRange(0, 50).Draw(t, "later")) * time.Millisecond)
-				m.moveToRunning(t, m.queue.Done(m.now, drawItem(t, &m.running)))
+				m.moveToRunning(t, m.queue.Done(m.now, drawEntry(t, &m.running)))
 			},
 			"leave": func(t *rapid.T) {
-				if !m.queue.Cancel(drawItem(t, &m.waiting)) {
+				if !m.queue.Cancel(drawEntry(t, &m.waiting)) {
 					t.Fatalf("a waiting request was not found")
 				}
 			},
@@ -237,8 +237,9 @@
 	})
 }
 
-// While all teams have waiting requests, each is served in proportion to its
-// weight, to within one request, whatever the costs; so none starves.
+// Guards against starvation: while all teams have waiting requests, each is
+// served in proportion to its weight, to within one request, whatever the
+// costs.
 func TestSharesFollowWeights(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		weights := map[string]float64{"a": 1, "b": 2, "c": 5}
@@ -248,11 +249,11 @@
 		join := func(team string) *admit.Entry {
 			req := newRequestWithCost(team, float64(rapid.IntRange(1, maxCost).Draw(t, "cost")))
 			req.Weight = weights[team]
-			item, e := q.Submit(start, req)
+			entry, e := q.Submit(start, req)
 			if e != nil {
 				t.Fatalf("refused: %v", e)
 			}
-			return item
+			return entry
 		}
 		running := join("a")
 		for team := range weights {
@@ -285,13 +286,13 @@
 	}
 	b.ReportAllocs()
 	for i := 0; b.Loop(); i++ {
-		item, _ := q.Submit(start, reqs[i%len(reqs)])
-		q.Done(start, item)
+		entry, _ := q.Submit(start, reqs[i%len(reqs)])
+		q.Done(start, entry)
 	}
 }
 
-// If the memory of a request were not released when it stops waiting, the queue
-// would in time refuse all requests.
+// Guards against memory that is not released when a request stops waiting: the
+// queue would in time refuse all requests.
 func TestWaitingRequestsReleaseMemory(t *testing.T) {
 	c := qt.New(t)
 	q := &admit.Queue{Limits: admit.Limits{MaxWait: time.Hour, MaxRequests: 9, MaxBytes: 10}, Limit: 1}
--- a/parts/admit/ratelimiter.go
+++ b/parts/admit/ratelimiter.go
@@ -25,8 +25,8 @@
 	bucket atomic.Pointer[bucket]
 }
 
-// bucket is the token bucket of one team for one quota and number of entry
-// hosts.
+// bucket is the token bucket of one team, with the quota and the numbers of
+// entry hosts that it was made for.
 type bucket struct {
 	quota         quota.Quota
 	listed, alive int
@@ -75,8 +75,8 @@
 const minUsage = 0.01
 
 // limiter returns the team's limiter, with its part of the rate limit up to
-// date. When the part changes the limiter keeps its tokens: with a full bucket
-// after every change a team could exceed its limit.
+// date. When the part changes the limiter keeps its tokens: if every change
+// filled the bucket, a team could exceed its limit.
 func (t *teamRate) limiter(now time.Time, team string, q quota.Quota, peers Peers) *rate.Limiter {
 	due := t.demand.update(now)
 	for {
--- a/parts/admit/ratelimiter_test.go
+++ b/parts/admit/ratelimiter_test.go
@@ -27,9 +27,9 @@
 	return n
 }
 
-// Two failure domains are cut off from each other. Each entry host goes on with
-// its own part of the limit, so that together they never allow more than the
-// quota, although none knows the demand at the others.
+// Guards against exceeding the quota when two failure domains are partitioned
+// and no entry host knows the demand on the other side: each keeps to its own
+// part of the limit.
 func TestRateLimitHoldsInPartition(t *testing.T) {
 	c := qt.New(t)
 	q := quota.Quota{Rate: 20, Burst: 4}
@@ -51,8 +51,9 @@
 	c.Assert(e.RetryAfter > 1900*time.Millisecond && e.RetryAfter < 2100*time.Millisecond, qt.IsTrue)
 }
 
-// The number of entry hosts changes whenever one is replaced, a hundred times a
-// day. If each change refilled the bucket, a team could far exceed its limit.
+// Guards against a team that far exceeds its limit because each change of the
+// number of entry hosts refills its bucket. Entry hosts are replaced a hundred
+// times a day.
 func TestMembershipChangesDoNotRefillBuckets(t *testing.T) {
 	c := qt.New(t)
 	r := &admit.RateLimiter{}
--- a/parts/admit/runtimes.go
+++ b/parts/admit/runtimes.go
@@ -25,8 +25,8 @@
 	r.perCost += runTimeWeight * (seconds/cost - r.perCost)
 }
 
-// expectedWait returns the expected wait behind requests of the given cost, in
-// a queue that gets the given share of the slots that running requests free. It
+// expectedWait returns the expected wait behind requests of the given total
+// cost, in a queue that gets the given share of the slots that become free. It
 // is zero while nothing is known.
 func (r *runTimes) expectedWait(ahead, share float64, running int) time.Duration {
 	seconds := (r.mean + r.perCost*ahead/share) / float64(max(running, 1))
