--- a/parts/health/failurerate.go
+++ b/parts/health/failurerate.go
@@ -10,9 +10,9 @@
 const rateHalfLife = 3 * time.Second
 
 // FailureRate is the moving average of the share of requests that a server
-// failed. A server may fail some of its requests, or all, while it answers
-// every probe, and only its responses show that. Set Weight before use. It is
-// not safe for concurrent use.
+// failed. A server may answer every probe and still fail some or all of its
+// requests, which only its responses show. Set Weight before use. It is not
+// safe for concurrent use.
 type FailureRate struct {
 	// Weight is the weight of one outcome in the average.
 	Weight float64
--- a/parts/health/failurerate_test.go
+++ b/parts/health/failurerate_test.go
@@ -7,9 +7,9 @@
 	"github.com/frankban/quicktest"
 )
 
-// A server fails two in five of its requests and is healthy otherwise. Without
-// a failure rate it would keep its full share of the requests. About ten
-// outcomes show it, and the rate decays while the server gets no requests.
+// Guards against a full share of requests for a server that fails two in five
+// of them and is healthy otherwise. About ten outcomes show it, and the rate
+// decays while the server gets no requests.
 func TestFailureRate(t *testing.T) {
 	c := quicktest.New(t)
 	now := time.Unix(1_000_000, 0)
--- a/parts/health/health_test.go
+++ b/parts/health/health_test.go
@@ -8,8 +8,8 @@
 	"pgregory.net/rapid"
 )
 
-// The delay of a link grows from 300 us twentyfold without any error. Responses
-// would be slow as long as requests use it.
+// Guards against slow responses over a link whose delay grows twentyfold from
+// 300 us without any error.
 func TestDegradedLinkIsDetected(t *testing.T) {
 	c := quicktest.New(t)
 	var link Trend
@@ -30,8 +30,8 @@
 	c.Assert(link.Degraded(), quicktest.IsFalse)
 }
 
-// A link that has always been slow is healthy; otherwise a distant failure
-// domain would never be used.
+// Guards against taking a link that has always been slow for degraded: a
+// distant failure domain would never be used.
 func TestSlowIsNotDegraded(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		base := rapid.Int64Range(1, 1_000_000).Draw(t, "usual")
@@ -55,8 +55,8 @@
 	c.Assert(SuspectFor(1000), quicktest.Equals, maxSuspicion)
 }
 
-// All servers of a stage become slow at once, for example because of their
-// switch. If all were ejected, the pool would serve no requests.
+// Guards against ejecting all servers of a stage that become slow at once, for
+// example because of their switch: the pool would serve no requests.
 func TestEjectAtMostHalf(t *testing.T) {
 	c := quicktest.New(t)
 	for _, test := range []struct{ degraded, size, want int }{
--- a/parts/health/suspect.go
+++ b/parts/health/suspect.go
@@ -4,7 +4,7 @@
 
 // The shortest and the longest time that a server is suspected after failures.
 // The first failure is often transient, and a small pool needs every server; a
-// server that keeps failing costs a request at each new attempt.
+// server that keeps failing fails one request each time that it is used again.
 const (
 	minSuspicion = 250 * time.Millisecond
 	maxSuspicion = 16 * time.Second
@@ -20,9 +20,9 @@
 	return min(d, maxSuspicion)
 }
 
-// Eject returns which degraded members of a stage to eject: the first of them,
-// but never more than half of the stage, since a stage that is slow as a whole
-// still has to serve the requests.
+// Eject returns which of the degraded members of a stage to eject: the first
+// of them, but at most half of the stage, since a stage that is slow as a
+// whole still has to serve the requests.
 func Eject(degraded []int, size int) []int {
 	return degraded[:min(len(degraded), size/2)]
 }
--- a/parts/health/trend.go
+++ b/parts/health/trend.go
@@ -15,13 +15,14 @@
 
 // The weights of one measurement in the averages. The fast average follows a
 // change within about ten tokens and still smooths a single slow one. The slow
-// average takes tens of thousands, so that a degraded link does not soon become
-// the baseline.
+// average takes tens of thousands of tokens, so that a degraded link does not
+// soon become the baseline.
 const (
 	fastWeight = 1.0 / 8
 	slowWeight = 1.0 / 65536
-	// downWeight is the weight in the slow average of a measurement below it:
-	// the baseline is meant to reflect good times.
+	// downWeight is the weight in the slow average of a measurement below it.
+	// It is higher, since the baseline is meant to reflect times without a
+	// fault.
 	downWeight = 1.0 / 64
 )
 
@@ -77,9 +78,9 @@
 	return time.Duration(math.Float64frombits(t.slow.Load()))
 }
 
-// The smallest change that counts as degraded: this factor of the baseline, and
-// this absolute difference. Below a few milliseconds a busy host alone causes
-// such a change.
+// The smallest change that counts as degraded, as a factor of the baseline and
+// as an absolute difference. A busy host alone causes changes below a few
+// milliseconds.
 const (
 	degradedFactor = 4
 	degradedMargin = 2 * time.Millisecond
@@ -94,8 +95,8 @@
 	return current > degradedFactor*baseline && current > baseline+degradedMargin
 }
 
-// Reset sets the current average to the baseline, so that a degraded server or
-// link is tried again and must show anew that it is degraded.
+// Reset sets the current average to the baseline. A degraded server or link is
+// then used again until new measurements show that it is still degraded.
 func (t *Trend) Reset() {
 	t.fast.Store(t.slow.Load())
 }
