--- a/parts/flow/flow.go
+++ b/parts/flow/flow.go
@@ -1,12 +1,13 @@
 // Package flow computes the maximum rate of tokens that the hardware of a pool
 // can sustain.
 //
-// A token passes one server for each layer range and the links between them. So
-// a pool is a flow network from layer boundary 0 to the last one: a server that
-// holds the layers [first, end) is an edge between these boundaries with its
-// rate as capacity, and a link of limited rate is an edge between two servers.
-// The rate of the pool is the maximum flow. The minimum cut consists of the
-// servers and links that limit it, which is where more hardware would help.
+// A token passes one server for each layer range, and the links between these
+// servers. So a pool is a flow network from layer boundary 0 to the last one:
+// a server that holds the layers [first, end) is an edge between these
+// boundaries with its rate as capacity, and a link of limited rate is an edge
+// between two servers. The rate of the pool is the maximum flow. The minimum
+// cut consists of the servers and links that limit it, which is where more
+// hardware would help.
 package flow
 
 import (
@@ -23,8 +24,8 @@
 	Rate float64
 }
 
-// Link is a directed link between two servers that limits the rate. Links that
-// are not listed can carry all that their servers can run.
+// Link is a directed link of limited rate between two servers. Links that are
+// not listed can carry all the tokens that their servers can run.
 type Link struct {
 	From, To string
 	// Rate is the maximum rate in tokens per second.
--- a/parts/flow/flow_test.go
+++ b/parts/flow/flow_test.go
@@ -56,8 +56,8 @@
 	}
 }
 
-// The maximum flow must equal the minimum cut, which the test finds by trying
-// every set of servers and links.
+// Checks that the maximum flow equals the minimum cut, which the test finds by
+// trying every set of servers and links.
 func TestCapacityEqualsMinimumCut(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		p := drawPool(t)
@@ -124,7 +124,8 @@
 	return best
 }
 
-// hasPath reports whether a chain is left from a boundary on.
+// hasPath reports whether a chain remains from the given server and boundary
+// on.
 func hasPath(p *flow.Pool, removed map[string]bool, cut map[[2]string]bool, from string, at int) bool {
 	if at == p.Layers {
 		return true
--- a/parts/flow/network.go
+++ b/parts/flow/network.go
@@ -9,7 +9,8 @@
 	// adjacent lists the edges that leave each node, by index. Edge i^1 is the
 	// reverse of edge i.
 	adjacent [][]int
-	// servers and links hold the edges of the pool's servers and links.
+	// servers holds the index of the edge of each server of the pool, and
+	// links that of each link, by its index in the pool.
 	servers []int
 	links   map[int]int
 }
@@ -67,7 +68,8 @@
 	return via
 }
 
-// augment sends the maximum flow along the path that was found, and returns it.
+// augment sends as much flow as possible along a path given by bfs, and
+// returns the amount.
 func (n *network) augment(via []int) float64 {
 	bottleneck := math.Inf(1)
 	for at := n.sink; at != 0; at = n.edges[via[at]].from {
