--- a/parts/drain/drain.go
+++ b/parts/drain/drain.go
@@ -2,9 +2,10 @@
 // whether the server can be removed without aborting a request.
 //
 // Each entry host reports how many of its own requests are in flight on the
-// server. A report counts only if the stop was already in force on the entry
-// host when it counted, since a new request could start before that. An entry
-// host that does not report is never assumed to have no requests in flight.
+// server. A report is valid only if the stop was already in force on the entry
+// host when it counted the requests, since otherwise a new request could start
+// after the count. An entry host that does not report is never assumed to have
+// no requests in flight.
 package drain
 
 import "slices"
@@ -14,7 +15,7 @@
 	// Cordoned reports that the entry host sends no new work to the server.
 	Cordoned bool
 	// Revision is the configuration revision that was in force on the entry
-	// host when it counted.
+	// host when it counted its requests.
 	Revision uint64
 	// InFlight is the number of the entry host's own requests on the server.
 	InFlight int64
@@ -24,7 +25,7 @@
 type Outcome struct {
 	// Safe reports that the server can be removed.
 	Safe bool
-	// InFlight is the number of requests in flight in the reports that count.
+	// InFlight is the number of requests in flight in the valid reports.
 	InFlight int64
 	// Unresponsive lists entry hosts without a report, sorted.
 	Unresponsive []string
@@ -32,10 +33,10 @@
 	Lagging []string
 }
 
-// Evaluate returns the state of a stop that was set at the given revision. The
-// entry hosts are all those in the platform's host list that have not announced
-// their departure, and the one that evaluates. Reports are keyed by entry host;
-// those of other hosts are ignored.
+// Evaluate returns the state of a stop that was set at the given revision.
+// entryHosts lists the entry hosts that the platform lists and that have not
+// announced their departure, and the one that calls Evaluate. Reports are
+// keyed by entry host; those of other hosts are ignored.
 func Evaluate(revision uint64, entryHosts []string, reports map[string]Report) Outcome {
 	var o Outcome
 	for _, name := range entryHosts {
--- a/parts/drain/model_test.go
+++ b/parts/drain/model_test.go
@@ -10,15 +10,14 @@
 	"fuchsiashelf.dev/parts/drain"
 )
 
-// phase is the phase of a request. The phases are those of
-// view.Publisher.Acquire, as separate steps so that anything can happen in
-// between.
+// phase is the phase of a request. The phases are the steps of
+// view.Publisher.Acquire, separated so that anything can happen in between.
 type phase int
 
 const (
 	// picked: the server was picked from a snapshot without the stop.
 	picked phase = iota
-	// counted: the request is counted, and has not checked the latest snapshot
+	// counted: the request is counted, but has not checked the latest snapshot
 	// yet.
 	counted
 	// running: the request is on the server.
@@ -32,8 +31,8 @@
 	cordoned bool
 	frozen   bool
 	requests []phase
-	// pending is a report whose snapshot was read, but whose requests were not
-	// counted yet.
+	// pending is a report whose snapshot was read, but for which the requests
+	// were not counted yet.
 	pending *drain.Report
 }
 
@@ -56,7 +55,8 @@
 	entryHosts []*entryHost
 	reports    map[string]drain.Report
 	joined     int
-	// safe reports that the stop in force was evaluated as safe.
+	// safe reports that the stop was evaluated as safe, so that the server may
+	// be removed.
 	safe bool
 }
 
@@ -98,7 +98,8 @@
 	e.requests = append(e.requests, picked)
 }
 
-// advanceRequest moves one request to its next phase, or ends it.
+// advanceRequest moves one request to its next phase. A running request ends,
+// and so does a counted one that finds the server cordoned.
 func (m *model) advanceRequest(t *rapid.T) {
 	e := m.drawEntryHost(t)
 	if len(e.requests) == 0 {
@@ -112,7 +113,8 @@
 	e.requests[at]++
 }
 
-// stepReport reads the snapshot first and counts the requests in a later step.
+// stepReport makes a report in two steps: the first reads the snapshot, the
+// second counts the requests.
 func (m *model) stepReport(t *rapid.T) {
 	e := m.drawEntryHost(t)
 	if e.pending == nil {
@@ -176,9 +178,10 @@
 	}
 }
 
-// Requests start and end on several entry hosts, which learn of stops late,
-// freeze, join and leave, while reports are made, lost and kept. If a stop were
-// reported safe too early, its server would be removed while it runs a request.
+// Guards against a stop that is reported safe too early, so that the server
+// would be removed while it runs a request. Requests start and end on several
+// entry hosts, which learn of stops late, freeze, join and leave, while
+// reports are made, lost and kept.
 func TestStopModel(t *testing.T) {
 	for _, set := range [][2]string{{"rapid.seed", "1"}, {"rapid.steps", "120"}} {
 		f := flag.Lookup(set[0])
