--- a/parts/loss/loss.go
+++ b/parts/loss/loss.go
@@ -1,10 +1,11 @@
 // Package loss determines from logs why requests were not served on time.
 //
 // Each request ends with one log line of its entry host. [Classify] assigns
-// each to a time window by its arrival, and to the [Cause] that affected its
-// caller most. Streams with long pauses are also counted by what the stream
-// monitor logged about them: this shows whether failures are detected late,
-// whether no other chain was available, or whether neither explains the pause.
+// each request to a time window by its arrival, and to the [Cause] that
+// affected its caller most. Streams with long pauses are also counted by what
+// the stream monitor logged about them. This shows whether failures are
+// detected late, whether no other chain was available, or whether neither
+// explains the pause.
 package loss
 
 import (
@@ -25,14 +26,15 @@
 	OnTime Cause = iota
 	// LateFirst: its first event was late.
 	LateFirst
-	// ShortPause, Pause and LongPause: its longest pause took up to 500 ms, up
-	// to a second, or longer.
+	// ShortPause, Pause and LongPause: its longest pause was at most 500 ms,
+	// at most a second, or longer.
 	ShortPause
 	Pause
 	LongPause
-	// Refused: it was refused and has not run.
+	// Refused: it was refused before it ran.
 	Refused
-	// Denied: the configuration does not allow it, so the system did not fail.
+	// Denied: the configuration does not allow it; this is no failure of the
+	// system.
 	Denied
 	// Truncated: its response ended early.
 	Truncated
@@ -75,20 +77,20 @@
 
 // Pauses counts streams with long pauses by what the stream monitor did.
 type Pauses struct {
-	// Rerouted streams got another chain; for NoAlternative ones there was none
-	// at first. Unexplained means that no failure was detected, or that the
-	// chain was merely slow.
+	// Rerouted is the number of streams that got another chain, and
+	// NoAlternative of those for which there was none at first. Unexplained
+	// streams had no detected failure, or a chain that was merely slow.
 	Rerouted, NoAlternative, Unexplained int
 }
 
-// Table counts the requests of some logs.
+// Table holds the counts of the requests of some logs.
 type Table struct {
-	// Windows are time windows of equal length; Routes and Hosts show what was
-	// affected.
+	// Windows counts the requests by time window, Routes by route, and Hosts
+	// by entry host.
 	Windows, Routes, Hosts []Row
 	Pauses                 Pauses
-	// Skipped is the number of request lines that the logs left out because of
-	// their rate limit.
+	// Skipped is the number of request lines that are missing from the logs
+	// because of their rate limit.
 	Skipped int
 }
 
--- a/parts/loss/loss_test.go
+++ b/parts/loss/loss_test.go
@@ -16,9 +16,8 @@
 
 var update = flag.Bool("update", false, "rewrite the expected tables")
 
-// Without the table nobody knows when and why callers are served late: whether
-// a first event was late, a stream paused and for how long, or a request was
-// refused, truncated or failed.
+// Guards against counting requests under the wrong cause: a late first event,
+// a pause of a given length, or a refused, truncated or failed request.
 func TestClassify(t *testing.T) {
 	const path = "testdata/day.txtar"
 	archive, err := txtar.ParseFile(path)
