--- a/parts/reqlog/reqlog.go
+++ b/parts/reqlog/reqlog.go
@@ -1,10 +1,10 @@
 // Package reqlog finds the log lines of several processes that explain one
 // request.
 //
-// These are the lines with the request's ID and, from the same seconds, those
-// about the backend servers that these lines name and about the dependencies of
-// the processes that wrote them: a request may fail because a server died or a
-// store was unavailable, which only lines without its ID show.
+// These are the lines with the request's ID and, from the same seconds, lines
+// about the backend servers that these lines name and about the dependencies
+// of the processes that wrote them. A request may fail because a server failed
+// or the object API was unavailable, which only lines without its ID show.
 //
 // Logs carry the wall-clock time of their host and no logical clock, so lines
 // of hosts with different clocks may be in the wrong order.
@@ -25,7 +25,7 @@
 
 const (
 	// windowBefore and windowAfter extend the time of the request's own lines
-	// to the window in which other lines may explain it. The entry of a dead
+	// to the window in which other lines may explain it. The entry of a failed
 	// server remains for three heartbeats, about four seconds.
 	windowBefore = 4 * time.Second
 	windowAfter  = time.Second
@@ -102,7 +102,7 @@
 	return list, nil
 }
 
-// decode decodes one line. It skips what precedes the JSON object.
+// decode decodes one line, and skips any text before the JSON object.
 func decode(line []byte) (Entry, bool) {
 	start := slices.Index(line, '{')
 	if start < 0 {
@@ -112,13 +112,13 @@
 	if err := json.Unmarshal(line[start:], &attrs); err != nil {
 		return Entry{}, false
 	}
-	text := func(name string) string {
+	takeString := func(name string) string {
 		s, _ := attrs[name].(string)
 		delete(attrs, name)
 		return s
 	}
-	e := Entry{Node: text("node"), Message: text("msg"), Attrs: attrs}
-	at, err := time.Parse(time.RFC3339Nano, text("time"))
+	e := Entry{Node: takeString("node"), Message: takeString("msg"), Attrs: attrs}
+	at, err := time.Parse(time.RFC3339Nano, takeString("time"))
 	if err != nil || e.Message == "" {
 		return Entry{}, false
 	}
@@ -140,11 +140,12 @@
 	return slices.DeleteFunc(all, func(e Entry) bool { return !e.Own && !s.mayExplain(e) })
 }
 
-// scope is the time, the processes and the servers of a request.
+// scope is the time of a request, and the processes and servers that took part
+// in it.
 type scope struct {
 	first, last time.Time
-	// nodes are the processes that logged the request; names are the IDs and
-	// addresses of servers in these lines.
+	// nodes holds the processes that logged the request, and names the IDs and
+	// addresses of the servers in these lines.
 	nodes, names map[string]bool
 }
 
@@ -172,11 +173,11 @@
 	if e.At.Before(s.first.Add(-windowBefore)) || e.At.After(s.last.Add(windowAfter)) {
 		return false
 	}
-	if _, ofOther := e.Attrs["request"]; ofOther || !s.nodes[e.Node] {
+	if _, hasRequest := e.Attrs["request"]; hasRequest || !s.nodes[e.Node] {
 		return false
 	}
-	part, _, _ := strings.Cut(e.Message, ":")
-	switch part {
+	area, _, _ := strings.Cut(e.Message, ":")
+	switch area {
 	case "node", "store", "config":
 		return true
 	}
--- a/parts/reqlog/reqlog_test.go
+++ b/parts/reqlog/reqlog_test.go
@@ -22,9 +22,9 @@
 {"time":"2026-12-03T10:00:01.05Z","level":"INFO","msg":"servers: gone","node":"e3","server":"i-2"}
 `
 
-// The lines with a request's ID may not tell why it failed: the death of a
-// server in the middle of its chain is logged without the ID. All other lines
-// of the same seconds would hide the cause.
+// Guards against hiding the cause of a failure: the failure of a server in the
+// middle of the request's chain is logged without the request's ID, among many
+// unrelated lines of the same seconds.
 func TestFind(t *testing.T) {
 	found, err := reqlog.Find("r1", reqlog.Source{Name: "one", From: strings.NewReader(firstLog)}, reqlog.Source{Name: "two", From: strings.NewReader(secondLog)})
 	qt.Assert(t, err, qt.IsNil)
@@ -46,8 +46,9 @@
 	qt.Assert(t, found, qt.HasLen, 0)
 }
 
-// A line of one source exceeds the maximum length. The entries of the others
-// are still returned, and the source is named in the error.
+// Guards against losing all entries when a line of one source exceeds the
+// maximum length. The entries of the others are still returned, and the error
+// names the source.
 func TestUnreadableSourceIsNamed(t *testing.T) {
 	found, err := reqlog.Find("r1",
 		reqlog.Source{Name: "broken.log", From: strings.NewReader(strings.Repeat("x", 2<<20))},
