--- a/entry/call/call.go
+++ b/entry/call/call.go
@@ -46,7 +46,7 @@
 func (r *Request) ExpectedTokens(engine *route.Engine) int {
 	expected := r.TokensHint
 	if expected <= 0 {
-		expected = engine.MeanAnswer
+		expected = engine.MeanResponseTokens
 	}
 	if r.MaxTokens > 0 {
 		expected = min(expected, r.MaxTokens)
--- a/entry/front/front.go
+++ b/entry/front/front.go
@@ -58,8 +58,8 @@
 // timeout.
 const maxRequestTime = 10 * time.Minute
 
-// Active returns the number of requests in flight.
-func (h *Handler) Active() int64 {
+// InFlight returns the number of requests in flight.
+func (h *Handler) InFlight() int64 {
 	return h.inFlight.Load()
 }
 
--- a/entry/front/meter.go
+++ b/entry/front/meter.go
@@ -41,8 +41,8 @@
 	metrics.GetOrRegisterCounter(name, m.Registry).Inc(1)
 }
 
-// Gauge sets a gauge.
-func (m *Meter) Gauge(name string, value int64) {
+// SetGauge sets a gauge.
+func (m *Meter) SetGauge(name string, value int64) {
 	metrics.GetOrRegisterGauge(name, m.Registry).Update(value)
 }
 
@@ -69,8 +69,8 @@
 	return fmt.Sprintf("status-%d", out.Status)
 }
 
-// Write writes all metrics as text, one per line. Durations are in milliseconds.
-func (m *Meter) Write(w io.Writer) {
+// WriteText writes all metrics as text, one per line. Durations are in milliseconds.
+func (m *Meter) WriteText(w io.Writer) {
 	m.Registry.Each(func(name string, item any) {
 		switch item := item.(type) {
 		case metrics.Counter:
--- a/entry/front/server.go
+++ b/entry/front/server.go
@@ -109,9 +109,9 @@
 	delete(s.idle, c)
 }
 
-// Sweep closes connections that have been idle for longer than the limit, plus
+// CloseIdle closes connections that have been idle for longer than the limit, plus
 // idleGrace.
-func (s *Server) Sweep(now time.Time) {
+func (s *Server) CloseIdle(now time.Time) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	if s.limits.Idle <= 0 {
--- a/entry/internal/edge/admission.go
+++ b/entry/internal/edge/admission.go
@@ -26,9 +26,9 @@
 	// servers, in units of their run time.
 	TargetWait float64
 
-	// RemoteUsage returns the requests per second of each team on the other entry
+	// RemoteRates returns the requests per second of each team on the other entry
 	// hosts that have reported them; nil for none.
-	RemoteUsage func() map[string]float64
+	RemoteRates func() map[string]float64
 
 	rates admit.RateLimiter
 	// controllers holds the *admit.Controller of each pool by its name.
@@ -68,8 +68,8 @@
 	return grant, nil
 }
 
-// LocalUsage returns the requests per second of each team on this entry host.
-func (a *Admission) LocalUsage() map[string]float64 {
+// LocalRates returns the requests per second of each team on this entry host.
+func (a *Admission) LocalRates() map[string]float64 {
 	return a.rates.Usage(time.Now())
 }
 
@@ -82,8 +82,8 @@
 			peers.Alive++
 		}
 	}
-	if a.RemoteUsage != nil {
-		peers.Rate = func(team string) float64 { return a.RemoteUsage()[team] }
+	if a.RemoteRates != nil {
+		peers.Rate = func(team string) float64 { return a.RemoteRates()[team] }
 	}
 	return peers
 }
--- a/entry/placer/placer_test.go
+++ b/entry/placer/placer_test.go
@@ -23,7 +23,7 @@
 
 func (d fakeDecoder) Table([]byte) (*route.Table, error) {
 	return &route.Table{Version: 1, Services: map[string]route.Service{"assist": {Name: "assist", Engine: &route.Engine{
-		Layers: 12, LayerMB: 1000, TokenBytes: 1, Step: time.Millisecond, PrefillPerSec: 1000, MeanPrompt: 10, MeanAnswer: 5,
+		Layers: 12, LayerMB: 1000, TokenBytes: 1, Step: time.Millisecond, PrefillPerSec: 1000, MeanPromptTokens: 10, MeanResponseTokens: 5,
 		Accelerators: map[string]route.Accelerator{"card": {MemoryMB: 9000, StepFactor: 1, PrefillFactor: 1}},
 	}}}}, nil
 }
--- a/entry/prog/admit.go
+++ b/entry/prog/admit.go
@@ -16,8 +16,8 @@
 	a := &edge.Admission{
 		View: publisher, Trace: recorder, TargetWait: s.TargetWait,
 		Limits:      admit.Limits{MaxWait: s.MaxWait, MaxRequests: s.MaxRequests, MaxBytes: s.MaxBytes, Headroom: s.Reserve, MaxCredit: s.Credit},
-		RemoteUsage: peers.TeamRates,
+		RemoteRates: peers.TeamRates,
 	}
-	peers.LocalRates = a.LocalUsage
+	peers.LocalRates = a.LocalRates
 	return a
 }
--- a/entry/stream/monitor.go
+++ b/entry/stream/monitor.go
@@ -213,7 +213,7 @@
 	}
 	m.Log.Warn("watch: no report", "address", address, "finding", outcome.String(), "error", err)
 	m.DropConns(address)
-	if outcome.Dead() {
+	if outcome.Failed() {
 		m.suspect(address, "no report", err)
 	}
 	m.evacuate(address, outcome)
@@ -284,7 +284,7 @@
 		}
 		if stream.firstAddress() != address {
 			affected = append(affected, stream)
-		} else if outcome.Dead() && stream.silent(now) {
+		} else if outcome.Failed() && stream.silent(now) {
 			stream.cancel(errFirstServerDead)
 		}
 	}
--- a/entry/stream/reroute.go
+++ b/entry/stream/reroute.go
@@ -162,7 +162,7 @@
 func (m *Monitor) chainQuery(job *call.Job) *router.Query {
 	return &router.Query{
 		Engine: job.Service.Engine, Servers: m.State.View().Service(job.Service.Name), LocalDomain: m.LocalDomain,
-		Prompt: job.PromptTokens, Answer: job.ExpectedTokens(job.Service.Engine), Used: m.Load.Used, Partitioned: m.State.Unreachable,
+		PromptTokens: job.PromptTokens, ResponseTokens: job.ExpectedTokens(job.Service.Engine), Used: m.Load.Used, Partitioned: m.State.Unreachable,
 	}
 }
 
--- a/parts/place/capacity.go
+++ b/parts/place/capacity.go
@@ -51,8 +51,8 @@
 // with the highest target capacity.
 func (a *accelerator) layerTime(e *route.Engine) float64 {
 	n := max(1, maxLayersWithCapacity(e, a.MemoryMB, maxTargetTokens(e)))
-	decode := a.stepTime(e, n).Seconds() * float64(e.MeanAnswer) / float64(n)
-	prefill := float64(e.MeanPrompt) / max(e.PrefillPerSec, 1) * a.PrefillFactor / float64(e.Layers)
+	decode := a.stepTime(e, n).Seconds() * float64(e.MeanResponseTokens) / float64(n)
+	prefill := float64(e.MeanPromptTokens) / max(e.PrefillPerSec, 1) * a.PrefillFactor / float64(e.Layers)
 	return decode + prefill
 }
 
@@ -65,7 +65,7 @@
 
 // maxTargetTokens returns the highest target capacity of each server, in tokens.
 func maxTargetTokens(e *route.Engine) float64 {
-	return maxTargetRequests * float64(e.MeanPrompt+e.MeanAnswer)
+	return maxTargetRequests * float64(e.MeanPromptTokens+e.MeanResponseTokens)
 }
 
 // targetCapacity returns the capacity for requests, in tokens, that each server should
--- a/parts/place/place_test.go
+++ b/parts/place/place_test.go
@@ -19,7 +19,7 @@
 func engine() *route.Engine {
 	return &route.Engine{
 		Layers: 80, LayerMB: 1750, TokenBytes: 590_000, Load: 14 * time.Second, Step: 850 * time.Microsecond, PrefillPerSec: 196_000,
-		MeanPrompt: 772, MeanAnswer: 174,
+		MeanPromptTokens: 772, MeanResponseTokens: 174,
 		Accelerators: map[string]route.Accelerator{
 			"h100": {MemoryMB: 72_000, StepFactor: 1.4, PrefillFactor: 1}, "a100s": {MemoryMB: 36_000, StepFactor: 3.1, PrefillFactor: 3.2},
 			"l4": {MemoryMB: 21_600, StepFactor: 16, PrefillFactor: 8.2}, "t4": {MemoryMB: 14_400, StepFactor: 15, PrefillFactor: 15},
@@ -311,7 +311,7 @@
 func mixedAccelerators() *route.Engine {
 	return &route.Engine{
 		Layers: 80, LayerMB: 1750, TokenBytes: 590_000, Load: 14 * time.Second, Step: 1020 * time.Microsecond, PrefillPerSec: 164_000,
-		MeanPrompt: 772, MeanAnswer: 230,
+		MeanPromptTokens: 772, MeanResponseTokens: 230,
 		Accelerators: map[string]route.Accelerator{
 			"a100": {MemoryMB: 72_000, StepFactor: 2.4, PrefillFactor: 3.2}, "v100": {MemoryMB: 14_400, StepFactor: 5.3, PrefillFactor: 7.9},
 			"l4": {MemoryMB: 21_600, StepFactor: 16, PrefillFactor: 8.2},
--- a/parts/probe/probe.go
+++ b/parts/probe/probe.go
@@ -91,9 +91,9 @@
 	return "unknown"
 }
 
-// Dead reports whether a server in this state counts as failed, so that no new
+// Failed reports whether a server in this state counts as failed, so that no new
 // attempt may start there.
-func (s State) Dead() bool {
+func (s State) Failed() bool {
 	return s == Unreachable || s == Exited
 }
 
--- a/parts/route/service.go
+++ b/parts/route/service.go
@@ -39,9 +39,9 @@
 	InterDomainMbps float64
 	// Load is the time to load all layers.
 	Load time.Duration
-	// MeanPrompt and MeanAnswer are the mean lengths of a prompt and of a
+	// MeanPromptTokens and MeanResponseTokens are the mean lengths of a prompt and of a
 	// response, in tokens.
-	MeanPrompt, MeanAnswer int
+	MeanPromptTokens, MeanResponseTokens int
 	// Accelerators holds the kinds of accelerators by name.
 	Accelerators map[string]Accelerator
 	// Model is the name of the model.
--- a/parts/router/cost.go
+++ b/parts/router/cost.go
@@ -106,7 +106,7 @@
 func (q *Query) candidate(s *fleet.Server) (candidate, bool) {
 	used := q.Used(s.ID)
 	capacity := Capacity(q.Engine, s)
-	need := float64(q.Prompt+q.Answer) * float64(s.LayerCount())
+	need := float64(q.PromptTokens+q.ResponseTokens) * float64(s.LayerCount())
 	fill := (used.TokenLayers + need) / max(capacity, 1)
 	_, cached := q.Cached[s.Address]
 	if (used.Full || fill > maxFill) && !q.Overcommit && !cached {
@@ -138,11 +138,11 @@
 	if !known {
 		accelerator = route.Accelerator{StepFactor: 1, PrefillFactor: 1}
 	}
-	context := others * float64(e.MeanPrompt+e.MeanAnswer/2) / 1000
+	context := others * float64(e.MeanPromptTokens+e.MeanResponseTokens/2) / 1000
 	step := e.Step.Seconds() + e.StepPerRequest.Seconds()*others + e.StepPerKiloToken.Seconds()*context
 	slow := max(1, s.SlowdownFactor)
-	decode = slow * busyPassFactor * step * accelerator.StepFactor * float64(q.Answer)
-	prefill = slow * float64(q.Prompt) / max(e.PrefillPerSec, 1) * accelerator.PrefillFactor
+	decode = slow * busyPassFactor * step * accelerator.StepFactor * float64(q.ResponseTokens)
+	prefill = slow * float64(q.PromptTokens) / max(e.PrefillPerSec, 1) * accelerator.PrefillFactor
 	return prefill, decode
 }
 
@@ -155,14 +155,14 @@
 // hopCost returns the cost of an additional server in the chain, over all passes of
 // the response.
 func (q *Query) hopCost() float64 {
-	passes := 1 + float64(q.Answer)/float64(max(q.Engine.StepsPerPass, 1))
+	passes := 1 + float64(q.ResponseTokens)/float64(max(q.Engine.StepsPerPass, 1))
 	return hopSeconds * passes
 }
 
 // crossingCost returns the cost of moving the prompt's activations between failure
 // domains.
 func (q *Query) crossingCost() float64 {
-	return crossingWeight * TransferTime(q.Engine, q.Prompt).Seconds()
+	return crossingWeight * TransferTime(q.Engine, q.PromptTokens).Seconds()
 }
 
 // TransferTime returns how long the activations of the given number of tokens take on
--- a/parts/router/router.go
+++ b/parts/router/router.go
@@ -58,9 +58,9 @@
 	Servers []*fleet.Server
 	// LocalDomain is the failure domain of the entry host.
 	LocalDomain domain.Name
-	// Prompt and Answer are the expected sizes of the prompt and of the response, in
+	// PromptTokens and ResponseTokens are the expected sizes of the prompt and of the response, in
 	// tokens.
-	Prompt, Answer int
+	PromptTokens, ResponseTokens int
 	// Avoid holds addresses that must not be used.
 	Avoid map[string]bool
 	// Used returns the load of a server.
--- a/parts/router/router_test.go
+++ b/parts/router/router_test.go
@@ -21,7 +21,7 @@
 	return &route.Engine{
 		Layers: layers, LayerMB: 1750, TokenBytes: 590_000, HopBytes: 29_500, InterDomainMbps: 11_000,
 		Step: 850 * time.Microsecond, StepPerRequest: 4 * time.Microsecond, StepPerKiloToken: 5 * time.Microsecond,
-		PrefillPerSec: 196_000, StepsPerPass: 2, MeanPrompt: 772, MeanAnswer: 174,
+		PrefillPerSec: 196_000, StepsPerPass: 2, MeanPromptTokens: 772, MeanResponseTokens: 174,
 		Accelerators: map[string]route.Accelerator{
 			"big":   {MemoryMB: 400_000, StepFactor: 1.4, PrefillFactor: 1},
 			"small": {MemoryMB: 400_000, StepFactor: 16, PrefillFactor: 8.2},
@@ -35,7 +35,7 @@
 
 func query(servers ...*fleet.Server) *router.Query {
 	return &router.Query{
-		Engine: engine(), Servers: servers, LocalDomain: "a", Prompt: 772, Answer: 174,
+		Engine: engine(), Servers: servers, LocalDomain: "a", PromptTokens: 772, ResponseTokens: 174,
 		Used: func(string) router.Usage { return router.Usage{} },
 	}
 }
