--- a/parts/claim/claim.go
+++ b/parts/claim/claim.go
@@ -8,10 +8,10 @@
 // while others wrote cannot overwrite changes that it has not read, and
 // correctness does not depend on clocks.
 //
-// A record is first claimed, then done. It is void instead if its holder
-// reports that it never sent the call and never will, so that another entry
-// host may claim the call again. The record of a holder that is gone stays
-// claimed until it expires.
+// A record is first claimed, then done. Instead, it is made void if its holder
+// reports that no backend server ran the call and that it will not send the
+// call again, so that another entry host may claim it. If the holder has
+// crashed, the record stays claimed until it expires.
 //
 // [Commit] is a state machine without I/O that applies a batch of changes to
 // one shard. [Table] holds what an entry host knows about its own claims.
@@ -87,12 +87,12 @@
 	return fmt.Sprintf("claim/%03d", shard)
 }
 
-// Holder identifies one process run of an entry host.
+// Holder identifies one incarnation of an entry host.
 type Holder struct {
 	_ struct{} `cbor:",toarray"`
 	// Entry is the name of the entry host.
 	Entry string
-	// Incarnation distinguishes the runs of an entry host.
+	// Incarnation distinguishes the runs of the entry host's process.
 	Incarnation uint64
 }
 
@@ -116,7 +116,7 @@
 	Body Digest
 	// Nonce distinguishes this claim from other claims of the same key.
 	Nonce uint64
-	// Holder is the run of an entry host that may send the call.
+	// Holder is the incarnation of an entry host that may send the call.
 	Holder Holder
 	// Until is the expiry time of the record, in Unix milliseconds.
 	Until int64
--- a/parts/claim/claim_test.go
+++ b/parts/claim/claim_test.go
@@ -52,13 +52,13 @@
 		{"new", nil, first, Granted{}},
 		{"same nonce", []Op{first}, first, Granted{}},
 		{"resend", []Op{first}, second, Held{first.Record}},
-		{"resend after the answer", []Op{first, settleOf(first)}, second, Completed{settleOf(first).Record}},
+		{"resend after the response", []Op{first, settleOf(first)}, second, Completed{settleOf(first).Record}},
 		{"another body", []Op{first}, other, Reused{}},
-		{"another body after the answer", []Op{first, settleOf(first)}, other, Reused{}},
+		{"another body after the response", []Op{first, settleOf(first)}, other, Reused{}},
 		{"replace a void claim", []Op{first}, replacing, Granted{}},
 		{"replace a completed claim", []Op{first, settleOf(first)}, replacing, Completed{settleOf(first).Record}},
 		{"resend after void", []Op{first, Void{first.Record.Key, 1}}, second, Granted{}},
-		{"void after the answer", []Op{first, settleOf(first), Void{first.Record.Key, 1}}, second, Completed{settleOf(first).Record}},
+		{"void after the response", []Op{first, settleOf(first), Void{first.Record.Key, 1}}, second, Completed{settleOf(first).Record}},
 		{"void with another nonce", []Op{first, Void{first.Record.Key, 9}}, second, Held{first.Record}},
 	} {
 		t.Run(test.name, func(t *testing.T) {
--- a/parts/claim/commit.go
+++ b/parts/claim/commit.go
@@ -33,15 +33,15 @@
 	hasRead bool
 	// uncertain is true if a write had an unknown outcome.
 	uncertain      bool
-	attempts       int
+	writes         int
 	pendingResults []OpResult
 	results        []OpResult
 	failure        *fault.Error
 }
 
-// maxAttempts bounds the writes of one commit. A write is repeated after it
+// maxWrites bounds the writes of one commit. A write is repeated after it
 // conflicted with the write of another entry host or its reply was lost.
-const maxAttempts = 8
+const maxWrites = 8
 
 const storeUnavailable = "the object API does not take claims"
 
@@ -93,7 +93,7 @@
 		c.results = results
 		return Committed{results}
 	}
-	if c.attempts == maxAttempts {
+	if c.writes == maxWrites {
 		c.fail("the shard is written by too many at once", nil)
 		return Failed{c.failure, c.uncertain}
 	}
@@ -102,7 +102,7 @@
 		c.fail("the shard can't be encoded", err)
 		return Failed{c.failure, c.uncertain}
 	}
-	c.attempts++
+	c.writes++
 	c.pendingResults = results
 	return DoWrite{Value: value, Version: c.Version}
 }
--- a/parts/claim/model_test.go
+++ b/parts/claim/model_test.go
@@ -42,7 +42,7 @@
 	runs       map[Key][]time.Time
 }
 
-// modelHost is one run of an entry host.
+// modelHost is one incarnation of an entry host.
 type modelHost struct {
 	holder     Holder
 	table      *Table[string]
@@ -52,14 +52,14 @@
 // modelTask is a commit of one op at one host, with the call that it belongs
 // to.
 type modelTask struct {
-	host    *modelHost
-	commit  *Commit
-	flight  *Flight[string]
-	take    *Take
-	granted bool
-	claimed time.Time
-	refused bool
-	runs    int
+	host      *modelHost
+	commit    *Commit
+	flight    *Flight[string]
+	take      *Take
+	granted   bool
+	claimedAt time.Time
+	refused   bool
+	runs      int
 }
 
 // object returns the current shard object.
@@ -77,7 +77,8 @@
 
 var errLost = &fault.Error{Code: fault.StoreDown, Verdict: fault.MayHaveRun}
 
-// write applies a write, drops it, loses its reply, or delays it.
+// write applies a write ("ok"), applies it but loses the reply ("drop"), loses
+// the write itself ("lose"), delays it ("late"), or refuses it ("down").
 func (m *model) write(c *Commit, write DoWrite) {
 	switch rapid.SampledFrom([]string{"ok", "ok", "ok", "drop", "lose", "late", "down"}).Draw(m.t, "write") {
 	case "ok":
@@ -123,7 +124,7 @@
 	t := &Take{Replaces: replaces, Record: Record{
 		Key: f.Key, Nonce: f.Nonce, Holder: h.holder, Until: m.now.Add(modelExpiry).UnixMilli(),
 	}}
-	m.tasks = append(m.tasks, &modelTask{host: h, flight: f, take: t, claimed: m.now, commit: h.newCommit(*t)})
+	m.tasks = append(m.tasks, &modelTask{host: h, flight: f, take: t, claimedAt: m.now, commit: h.newCommit(*t)})
 }
 
 // newCommit returns a commit that starts from the cached shard of the host.
@@ -204,7 +205,7 @@
 // dispatch sends a granted call, unless its claim is no longer fresh.
 func (m *model) dispatch(task *modelTask) {
 	m.removeTask(task)
-	if !Fresh(task.claimed, m.now, modelDeadline) || !task.flight.Start() {
+	if !Fresh(task.claimedAt, m.now, modelDeadline) || !task.flight.Start() {
 		m.release(task)
 		return
 	}
@@ -244,7 +245,7 @@
 	}
 }
 
-// timeOut ends a caller's deadline before its claim is written.
+// timeOut lets the deadline of a call pass while its claim is being written.
 func (m *model) timeOut() {
 	for _, task := range m.tasks {
 		if task.take != nil && rapid.Bool().Draw(m.t, "cancel this") {
@@ -283,7 +284,7 @@
 	m.lateWrites = append(m.lateWrites[:i:i], m.lateWrites[i+1:]...)
 }
 
-// advanceClock lets time pass and sweeps the tables.
+// advanceClock lets time pass and removes expired flights from the tables.
 func (m *model) advanceClock() {
 	m.now = m.now.Add(rapid.SampledFrom([]time.Duration{
 		modelDeadline / 4, modelDeadline, modelExpiry / 2, modelExpiry,
--- a/parts/claim/op.go
+++ b/parts/claim/op.go
@@ -17,14 +17,15 @@
 	Replaces uint64
 }
 
-// Settle records that a claimed call has been answered.
+// Settle records that the response to a claimed call has arrived.
 type Settle struct {
 	// Record is the claim with Done and, if the response is small, Outcome. It
 	// is written as a whole, so that a store that lost the claim gets it back.
 	Record Record
 }
 
-// Void withdraws the claim of a call that was never sent and never will be.
+// Void withdraws the claim of a call that no backend server ran and that its
+// holder will not send again.
 type Void struct {
 	Key   Key
 	Nonce uint64
@@ -49,7 +50,7 @@
 // Held means that the call is claimed and has no recorded response.
 type Held struct{ Record Record }
 
-// Completed means that the call was answered earlier.
+// Completed means that the response to the call arrived earlier.
 type Completed struct{ Record Record }
 
 // Reused means that the ID belongs to a call with different content.
--- a/parts/claim/queue.go
+++ b/parts/claim/queue.go
@@ -34,9 +34,11 @@
 	busy         bool
 	batch        []*pendingOp
 	commit       Commit
-	writes       int
-	lastCommit   time.Time
-	commitTime   time.Duration
+	// writes, lastCommit and commitTime are the number of writes, the end and
+	// the duration of the last commit.
+	writes     int
+	lastCommit time.Time
+	commitTime time.Duration
 	// deferred holds outcomes that could not be written, until the scheduled
 	// retry.
 	deferred       []*pendingOp
@@ -47,7 +49,7 @@
 // rejects every Take except the one that probes the store.
 func (w *Writer) enqueue(p *pendingOp) {
 	q := w.queues[p.op.key().Shard()]
-	if _, take := p.op.(Take); take && w.hangErr != nil {
+	if _, isTake := p.op.(Take); isTake && w.hangErr != nil {
 		if w.probe != nil {
 			w.reject(p, nil, w.hangErr)
 			return
@@ -65,7 +67,7 @@
 	if q.busy || q.inUrgent || len(q.waiting) == 0 {
 		return
 	}
-	if slices.ContainsFunc(q.waiting, func(p *pendingOp) bool { _, take := p.op.(Take); return take }) {
+	if slices.ContainsFunc(q.waiting, func(p *pendingOp) bool { _, isTake := p.op.(Take); return isTake }) {
 		q.inUrgent = true
 		w.urgent = append(w.urgent, q)
 		return
@@ -199,7 +201,7 @@
 // handleFailure replies to a Take with the error of its commit. Any other op
 // is kept for a retry: no caller waits for it, and the store may recover.
 func (w *Writer) handleFailure(q *shardQueue, p *pendingOp) {
-	if _, take := p.op.(Take); take {
+	if _, isTake := p.op.(Take); isTake {
 		var result OpResult
 		if q.commit.uncertain {
 			result = Unknown{}
--- a/parts/claim/table.go
+++ b/parts/claim/table.go
@@ -18,7 +18,8 @@
 	Running
 	// Finished: the call has an outcome, or is known to have none.
 	Finished
-	// NotSent: the call was not sent and never will be with this nonce.
+	// NotSent: the call was not sent, or its backend server reported that it did
+	// not run it. It will not be sent with this nonce again.
 	NotSent
 )
 
@@ -66,8 +67,8 @@
 	return f.result
 }
 
-// Table holds the flights of one run of an entry host. The zero value is
-// ready to use. The flight of a call that was sent stays in the table until
+// Table holds the flights of one incarnation of an entry host. The zero value
+// is ready to use. The flight of a call that was sent stays in the table until
 // its outcome is in the store, so that an entry host that finds the claim can
 // query its holder.
 type Table[R any] struct {
--- a/parts/claim/writer.go
+++ b/parts/claim/writer.go
@@ -126,8 +126,7 @@
 	return w.submitAsync(s)
 }
 
-// Release withdraws the claim of a call that was never sent, in the
-// background.
+// Release withdraws a claim in the background; see Void.
 func (w *Writer) Release(v Void) <-chan struct{} {
 	return w.submitAsync(v)
 }
@@ -191,9 +190,9 @@
 // queues are empty, or until drainTimeout after ctx ended. workCtx is the
 // context of the commits and outlives ctx.
 func (w *Writer) loop(ctx, workCtx context.Context) {
-	tick := time.NewTimer(time.Hour)
-	defer tick.Stop()
-	var end <-chan time.Time
+	limitTimer := time.NewTimer(time.Hour)
+	defer limitTimer.Stop()
+	var drainEnd <-chan time.Time
 	done := ctx.Done()
 	for {
 		select {
@@ -204,17 +203,17 @@
 		case q := <-w.retryDue:
 			q.retryScheduled = false
 			w.requeueDeferred(q)
-		case <-tick.C:
+		case <-limitTimer.C:
 		case <-done:
 			done = nil
 			timer := time.NewTimer(drainTimeout)
 			defer timer.Stop()
-			end = timer.C
-		case <-end:
+			drainEnd = timer.C
+		case <-drainEnd:
 			return
 		}
 		if wait := w.startCommits(workCtx); wait > 0 {
-			tick.Reset(wait)
+			limitTimer.Reset(wait)
 		}
 		if done == nil && w.idle() {
 			return
