--- a/parts/peer/digest.go
+++ b/parts/peer/digest.go
@@ -26,7 +26,7 @@
 type LocalState struct {
 	// Revision is the configuration revision in use.
 	Revision uint64
-	// Drains holds the servers that are being drained.
+	// Drains holds the requests in flight on servers that are being drained.
 	Drains []Drain
 	// Usages holds the request rate of each team on this member.
 	Usages []Usage
@@ -36,7 +36,8 @@
 const maxDrains = 64
 
 // embeddedSize returns the encoded size of a message as a field of another
-// message.
+// message: its own size, and one byte each for the tag and the length, as long
+// as it is shorter than 128 bytes.
 func embeddedSize(m proto.Message) int {
 	return proto.Size(m) + 2
 }
--- a/parts/peer/member.go
+++ b/parts/peer/member.go
@@ -12,9 +12,11 @@
 // A member is one entry host. Its incarnation distinguishes the runs of its
 // process, and its heartbeat is incremented each round. It is alive, suspect
 // (it did not respond), dead (suspect for suspectTimeout) or left (it
-// announced that it leaves). These states only decide which members to talk
-// to. A member is gone only when the platform's host list no longer has it or
-// when it has left, never because it did not respond.
+// announced that it leaves). The first three states only decide which members
+// to exchange digests with: a member that does not respond may still have
+// requests in flight. It is removed when the platform's host list drops it. A
+// member that the host list never had is removed forgetAfter after it became
+// dead or left.
 //
 // [Table], [Marks] and [RemoteUsage] do no I/O; Peer runs them over drpc.
 package peer
@@ -64,8 +66,9 @@
 
 // Record is the versioned state of a member that is merged from digests.
 type Record struct {
-	// Incarnation distinguishes the runs of a member. It is the start time in
-	// Unix milliseconds.
+	// Incarnation distinguishes the runs of a member's process. It is the start
+	// time in Unix milliseconds, raised if another member has a newer record
+	// of this one.
 	Incarnation uint64
 	// Heartbeat is incremented in each round of the member.
 	Heartbeat uint64
--- a/parts/peer/peer.go
+++ b/parts/peer/peer.go
@@ -67,10 +67,14 @@
 	table       *Table
 	marks       Marks
 	remoteUsage RemoteUsage
+	// usageCursor is the position of the next team in the round-robin order of
+	// digests.
 	usageCursor int
-	exchanging  map[ID]bool
-	lastLookup  map[uint64]time.Time
-	lookups     []lookup
+	// exchanging holds the members with an exchange in progress.
+	exchanging map[ID]bool
+	// lastLookup holds the time of the last lookup of each ID.
+	lastLookup map[uint64]time.Time
+	lookups    []lookup
 }
 
 const (
--- a/parts/peer/table.go
+++ b/parts/peer/table.go
@@ -11,8 +11,8 @@
 // Timing and sizes of the gossip protocol.
 const (
 	// suspectTimeout is how long a suspect has to refute the suspicion before
-	// it counts as dead. A garbage collection or a short pause of a host is
-	// far shorter.
+	// it counts as dead. It is far longer than a garbage collection or a short
+	// pause of a host.
 	suspectTimeout = 5 * time.Second
 	// forgetAfter is how long a dead or left member that is not in the host
 	// list is kept. It is far longer than the host list can lag behind.
@@ -42,12 +42,13 @@
 type Table struct {
 	// Self is this member.
 	Self Member
-	// NameConflicts counts records of a later run under the name of this
-	// member: another host has the same name, or the local clock was set
-	// back.
+	// NameConflicts counts records of this member with a later incarnation:
+	// another host has the same name, or the local clock was set back.
 	NameConflicts int
 
 	others map[ID]*Member
+	// order holds the IDs of others in ascending order. cursor is the position
+	// of the next member in the round-robin order of digests.
 	order  []ID
 	cursor int
 	// localView and remoteView are the members that partners are drawn from.
--- a/parts/peer/table_test.go
+++ b/parts/peer/table_test.go
@@ -92,7 +92,7 @@
 
 // A second host uses the same name, or the clock of a host was set back
 // before a restart. The member must detect it and raise its incarnation, so
-// that it is not mistaken for the other run.
+// that its records are not mistaken for those of the other incarnation.
 func TestSelfRefutesNewerRecord(t *testing.T) {
 	c := qt.New(t)
 	table := NewTable(Member{Name: "e1", Record: Record{Incarnation: 10, Heartbeat: 3}})
@@ -163,9 +163,9 @@
 	c.Assert(usage.Rates(2, 2, start.Add(usageTTL+1)), qt.HasLen, 0)
 }
 
-// An entry host stops cleanly and restarts at the same address. Its new run
-// must be alive although the old run left, and a late record of the old run
-// must not change that.
+// An entry host stops cleanly and restarts at the same address. Its new
+// incarnation must be alive although the old one left, and a late record of the
+// old one must not change that.
 func TestRestartAfterLeave(t *testing.T) {
 	c := qt.New(t)
 	table := NewTable(Member{Name: "e1"})
