--- a/parts/ticket/ticket.go
+++ b/parts/ticket/ticket.go
@@ -34,7 +34,7 @@
 	_ struct{} `cbor:",toarray"`
 	// Entry is the name of the issuing entry host.
 	Entry string
-	// Incarnation distinguishes the runs of the entry host.
+	// Incarnation distinguishes the runs of the entry host's process.
 	Incarnation uint64
 	// Serial is unique within the incarnation.
 	Serial uint64
--- a/parts/ticket/ticket_test.go
+++ b/parts/ticket/ticket_test.go
@@ -9,6 +9,7 @@
 
 var signer = Signer{Secret: "secret"}
 
+// issue returns a valid ticket of team cantata.
 func issue(t testing.TB) string {
 	text, err := signer.Issue(Ticket{Entry: "e1", Incarnation: 7, Serial: 3, Issued: time.Second}, "cantata")
 	qt.Assert(t, err, qt.IsNil)
