--- a/parts/lease/lease.go
+++ b/parts/lease/lease.go
@@ -5,10 +5,10 @@
 // version of the object is the fencing number: it grows with each write, so
 // an order with a lower number is an older order. Clocks of different hosts
 // are never compared. The holder counts its term from before it sent the
-// write that started it. A contender counts from after it read that version,
-// and waits for a longer term. The holder's term thus ends before that of the
-// next holder starts, as long as the clock rates of the two hosts differ by
-// less than the additional wait allows.
+// write that started it. Any other candidate counts from after it read that
+// version, and waits for longer than the term. The holder's term thus ends before
+// that of the next holder starts, as long as the clock rates of the two hosts
+// differ by less than the additional wait allows.
 //
 // [Candidate] does no I/O: read values, results of writes and the time are
 // arguments. Times must have a monotonic clock reading, which advances while
@@ -58,11 +58,11 @@
 }
 
 const (
-	// writesPerTerm is the number of renewals per term, so that one of them
-	// may fail.
+	// writesPerTerm is the number of writes that fit into a term: the lease is
+	// renewed after a third of it, so that a renewal may fail and be repeated.
 	writesPerTerm = 3
-	// A contender waits for 5/4 of the holder's term. The additional quarter
-	// allows for clocks that run at different rates.
+	// A candidate waits for 5/4 of the term of the current holder. The
+	// additional quarter allows for clocks that run at different rates.
 	waitNumerator, waitDenominator = 5, 4
 )
 
@@ -100,8 +100,8 @@
 	case c.seenVersion == c.number && now.Before(c.until):
 		return c.renewNow || c.until.Sub(now) < c.Term*(writesPerTerm-1)/writesPerTerm
 	}
-	// The lease belongs to another holder, or to an earlier run of this entry
-	// host, whose orders may still be in flight. Wait until it has expired.
+	// The lease belongs to another holder, or to an earlier incarnation of this
+	// entry host, whose orders may still be in flight. Wait until it has expired.
 	term := time.Duration(c.seenValue.TermMs) * time.Millisecond
 	return now.Sub(c.seenAt) >= term*waitNumerator/waitDenominator
 }
--- a/parts/lease/lease_test.go
+++ b/parts/lease/lease_test.go
@@ -59,9 +59,9 @@
 // time.
 type modelHost struct {
 	Candidate
-	// read and wrote are replies that have not arrived yet.
-	read  *reply
-	wrote *reply
+	// readReply and writeReply are replies that have not arrived yet.
+	readReply  *reply
+	writeReply *reply
 }
 
 // reply is the result of a read or write of the object.
@@ -88,40 +88,40 @@
 		anyHost := func(t *rapid.T) *modelHost { return rapid.SampledFrom(hosts).Draw(t, "host") }
 		t.Repeat(map[string]func(*rapid.T){
 			"read": func(t *rapid.T) {
-				if c := anyHost(t); c.read == nil {
-					c.read = &reply{version: version, value: object}
+				if h := anyHost(t); h.readReply == nil {
+					h.readReply = &reply{version: version, value: object}
 				}
 			},
 			"read arrives": func(t *rapid.T) {
-				if c := anyHost(t); c.read != nil && c.wrote == nil {
-					c.OnRead(c.read.version, c.read.value, now)
-					c.read = nil
+				if h := anyHost(t); h.readReply != nil && h.writeReply == nil {
+					h.OnRead(h.readReply.version, h.readReply.value, now)
+					h.readReply = nil
 				}
 			},
 			"write": func(t *rapid.T) {
-				c := anyHost(t)
-				if c.wrote != nil || c.read != nil {
+				h := anyHost(t)
+				if h.writeReply != nil || h.readReply != nil {
 					return
 				}
 				writes++
-				value, replaces, due := c.Write(fmt.Sprint(writes), nil, now)
+				value, replaces, due := h.Write(fmt.Sprint(writes), nil, now)
 				if !due {
 					return
 				}
-				c.wrote = &reply{err: errConflict}
+				h.writeReply = &reply{err: errConflict}
 				if replaces == version {
 					version++
 					object = value
-					c.wrote = &reply{version: version}
+					h.writeReply = &reply{version: version}
 				}
 				if rapid.Bool().Draw(t, "lost") {
-					c.wrote.err = errLost
+					h.writeReply.err = errLost
 				}
 			},
 			"write arrives": func(t *rapid.T) {
-				if c := anyHost(t); c.wrote != nil {
-					c.OnWrite(c.wrote.version, c.wrote.err, now)
-					c.wrote = nil
+				if h := anyHost(t); h.writeReply != nil {
+					h.OnWrite(h.writeReply.version, h.writeReply.err, now)
+					h.writeReply = nil
 				}
 			},
 			"time": func(t *rapid.T) {
@@ -129,11 +129,11 @@
 			},
 			"": func(t *rapid.T) {
 				holders := 0
-				for _, c := range hosts {
-					if number, _, held := c.Held(now, 0); held {
+				for _, h := range hosts {
+					if number, _, held := h.Held(now, 0); held {
 						holders++
 						if number < lastNumber {
-							t.Fatalf("%s holds the lease with number %d after %d", c.Self, number, lastNumber)
+							t.Fatalf("%s holds the lease with number %d after %d", h.Self, number, lastNumber)
 						}
 						lastNumber = number
 					}
