--- a/parts/engine/client_test.go
+++ b/parts/engine/client_test.go
@@ -10,7 +10,7 @@
 	"github.com/frankban/quicktest"
 )
 
-func stream(lines ...string) *Stream {
+func newStream(lines ...string) *Stream {
 	body := io.NopCloser(strings.NewReader(strings.Join(lines, "\n")))
 	return &Stream{body: body, scanner: bufio.NewScanner(body)}
 }
@@ -19,7 +19,7 @@
 // stale span or token would be passed on as new.
 func TestFramesDoNotShareFields(t *testing.T) {
 	c := quicktest.New(t)
-	s := stream(
+	s := newStream(
 		`{"request":"r1","attempt":1,"index":0,"token":"t0","spans":[{"server":"a1","end":8,"runUs":5,"linkUs":7},{"server":"a2","first":8,"end":16}]}`,
 		`{"request":"r2","attempt":2,"index":1,"token":"t1","spans":[{"server":"b1","end":4}]}`,
 		`{"request":"r2","attempt":2,"end":true,"count":2}`,
@@ -44,7 +44,7 @@
 
 func TestBadFrame(t *testing.T) {
 	for _, line := range []string{`{"request":`, `[]`, `{"index":"x"}`, `nothing`} {
-		_, err := stream(line).Next()
+		_, err := newStream(line).Next()
 		quicktest.Check(t, err, quicktest.ErrorMatches, "(?s)engine: bad frame: .*", quicktest.Commentf(line))
 	}
 }
@@ -59,7 +59,7 @@
 		}
 		var want Frame
 		wantErr := json.Unmarshal([]byte(line), &want)
-		got, gotErr := stream(line).Next()
+		got, gotErr := newStream(line).Next()
 		if wantErr != nil || gotErr != nil {
 			return
 		}
--- a/parts/engine/wire.go
+++ b/parts/engine/wire.go
@@ -56,7 +56,7 @@
 type Failure struct {
 	Server  string `json:"server"`
 	Message string `json:"what"`
-	// Refused is true if the server did not accept the request.
+	// Refused is true if the server refused the request and did not run it.
 	Refused bool `json:"refused,omitempty"`
 }
 
@@ -64,10 +64,11 @@
 type Frame struct {
 	Request string `json:"request"`
 	Attempt int    `json:"attempt"`
-	Index   int    `json:"index,omitempty"`
-	Token   string `json:"token,omitempty"`
-	Spans   []Span `json:"spans,omitempty"`
-	End     bool   `json:"end,omitempty"`
+	// Index is the position of Token in the response, including Request.Sent.
+	Index int    `json:"index,omitempty"`
+	Token string `json:"token,omitempty"`
+	Spans []Span `json:"spans,omitempty"`
+	End   bool   `json:"end,omitempty"`
 	// Count is the total number of tokens in the response. It is set with End.
 	Count int      `json:"count,omitempty"`
 	Fail  *Failure `json:"fail,omitempty"`
@@ -75,15 +76,19 @@
 
 // Status is what an engine reports about itself.
 type Status struct {
-	Name     string     `json:"name"`
-	Model    string     `json:"model"`
-	First    int        `json:"first"`
-	End      int        `json:"end"`
-	Kind     string     `json:"kind"`
-	State    host.State `json:"state"`
-	InFlight int        `json:"inFlight"`
-	Waiting  int        `json:"waiting"`
-	Capacity int        `json:"capacity"`
+	Name  string `json:"name"`
+	Model string `json:"model"`
+	First int    `json:"first"`
+	End   int    `json:"end"`
+	// Kind is the kind of accelerator.
+	Kind  string     `json:"kind"`
+	State host.State `json:"state"`
+	// InFlight is the number of requests in flight.
+	InFlight int `json:"inFlight"`
+	// Waiting is the number of tokens that wait for a step.
+	Waiting int `json:"waiting"`
+	// Capacity is the number of tokens that one step processes.
+	Capacity int `json:"capacity"`
 	// TokenUs is the duration of one step, in microseconds. A step runs up to
 	// Capacity tokens as a batch, so the maximum throughput is Capacity/TokenUs.
 	TokenUs int64 `json:"tokenUs"`
