--- a/parts/view/acquire.go
+++ b/parts/view/acquire.go
@@ -2,8 +2,9 @@
 
 // Acquire counts a request as in flight on the backend servers that it is about
 // to be sent to, and reports whether all of them still take new work. If it
-// returns false, nothing is counted and the request has to choose again; if it
-// returns true, the request calls Release with the same names when it ends.
+// returns false, nothing is counted and the request has to choose other servers;
+// if it returns true, the request calls Release with the same names when it
+// ends.
 //
 // A request chooses its servers from a snapshot that may be older than a stop
 // which has since come into force. If it checked for the stop before it was
--- a/parts/view/cordon_test.go
+++ b/parts/view/cordon_test.go
@@ -39,6 +39,8 @@
 	c.Assert(before.SuspectedServers, quicktest.HasLen, 1)
 }
 
+// Guards against caches that are rebuilt although nothing changed, or kept
+// although the set of cordoned servers changed.
 func TestEpoch(t *testing.T) {
 	c := quicktest.New(t)
 	p := New("e1", "a")
--- a/parts/view/view.go
+++ b/parts/view/view.go
@@ -20,7 +20,8 @@
 	"fuchsiashelf.dev/parts/team"
 )
 
-// Reason says why a backend server gets no new work.
+// Reason says why a backend server gets no new work. It also identifies the
+// source that cordoned the server.
 type Reason string
 
 const (
@@ -44,14 +45,14 @@
 	Address string
 	// Domain is its failure domain.
 	Domain domain.Name
-	// Incarnation distinguishes successive runs of the entry host.
+	// Incarnation distinguishes the runs of the entry host's process.
 	Incarnation uint64
 	// Revision is the revision of the configuration in force on it.
 	Revision uint64
-	// Alive reports whether it has recently answered this entry host or another
-	// peer.
+	// Alive reports whether it has recently exchanged digests with this entry
+	// host or another peer.
 	Alive bool
-	// Left reports whether it announced its own departure.
+	// Left reports whether it announced that it leaves.
 	Left bool
 }
 
