--- a/parts/conf/conf.go
+++ b/parts/conf/conf.go
@@ -59,8 +59,8 @@
 type Config struct {
 	// Revision grows by one with each accepted line.
 	Revision uint64 `json:"revision"`
-	// Epoch grows each time that a configuration overwrites a stored one that
-	// lacks some of its lines, which ends the history that the object API held.
+	// Epoch is incremented whenever a configuration in force overwrites a stored
+	// one that lacks some of its lines, which ends the history of the stored one.
 	Epoch uint64 `json:"epoch,omitempty"`
 	// Services holds the services by name.
 	Services map[string]rule.Service `json:"services"`
--- a/parts/conf/explore_test.go
+++ b/parts/conf/model_test.go
@@ -11,17 +11,17 @@
 	"fuchsiashelf.dev/parts/fault"
 )
 
-// exploreSteps is the mean number of steps of an exploration. A restore that
-// matters takes a dozen steps in the right order.
+// exploreSteps is the mean number of steps of an exploration. A restore that can
+// undo a line takes a dozen steps in the right order.
 const exploreSteps = "120"
 
 // fixSeed makes explorations reproducible. Use -rapid.checks=N -rapid.seed=S to
 // run others.
 func fixSeed(t *testing.T) {
-	for _, set := range []struct{ name, standard, value string }{
+	for _, set := range []struct{ name, defaultValue, value string }{
 		{"rapid.seed", "0", "1"}, {"rapid.steps", "30", exploreSteps},
 	} {
-		if f := flag.Lookup(set.name); f.Value.String() != set.standard {
+		if f := flag.Lookup(set.name); f.Value.String() != set.defaultValue {
 			continue
 		}
 		if err := flag.Set(set.name, set.value); err != nil {
@@ -38,26 +38,26 @@
 
 // pendingWrite is a copy of a write that has not reached the object API yet.
 type pendingWrite struct {
-	base  uint64
-	value *conf.Config
+	baseVersion uint64
+	value       *conf.Config
 }
 
 // entryHost is an entry host that may be applying an operator's line.
 type entryHost struct {
 	inForce *conf.Config
-	// highest is the highest revision that was ever in force.
-	highest      uint64
-	inProgress   bool
-	lineID       string
-	seen         uint64
-	peers        uint64
-	unresponsive bool
-	write        conf.Write
-	built        *conf.Config
+	// highestRevision is the highest revision that was ever in force.
+	highestRevision uint64
+	inProgress      bool
+	lineID          string
+	seenRevision    uint64
+	peerRevision    uint64
+	unresponsive    bool
+	write           conf.Write
+	built           *conf.Config
 }
 
-// take puts a configuration in force if it supersedes the current one.
-func (h *entryHost) take(c *conf.Config) {
+// adopt puts a configuration in force if it supersedes the current one.
+func (h *entryHost) adopt(c *conf.Config) {
 	if c.Supersedes(h.inForce) {
 		h.inForce = c
 	}
@@ -100,13 +100,13 @@
 		t.Skip("busy")
 	}
 	m.lineCount++
-	*h = entryHost{inForce: h.inForce, highest: h.highest, inProgress: true, lineID: fmt.Sprint("line-", m.lineCount), seen: h.inForce.Revision}
+	*h = entryHost{inForce: h.inForce, highestRevision: h.highestRevision, inProgress: true, lineID: fmt.Sprint("line-", m.lineCount), seenRevision: h.inForce.Revision}
 	for _, other := range m.hosts {
 		if other == h {
 			continue
 		}
 		if rapid.Bool().Draw(t, "answers") {
-			h.peers = max(h.peers, other.inForce.Revision)
+			h.peerRevision = max(h.peerRevision, other.inForce.Revision)
 			continue
 		}
 		h.unresponsive = true
@@ -114,7 +114,7 @@
 }
 
 // read lets an entry host read the object, sometimes from a stale replica, and
-// take the next step.
+// do the next step of its write.
 func (m *model) read(t *rapid.T) {
 	h := m.pickHost(t)
 	if !h.inProgress {
@@ -142,7 +142,7 @@
 
 func (m *model) build(t *rapid.T, h *entryHost, object storedObject) {
 	var base *conf.Config
-	switch conf.ChooseBasis(object.config, h.inForce, h.peers, h.unresponsive) {
+	switch conf.ChooseBasis(object.config, h.inForce, h.peerRevision, h.unresponsive) {
 	case conf.Stored:
 		base = object.config
 	case conf.Local:
@@ -161,7 +161,7 @@
 		return
 	}
 	resource := rapid.SampledFrom([]string{"pool a", "pool b"}).Draw(t, "resource")
-	if _, conflict, complete := base.Conflict(resource, h.seen); conflict || !complete || h.seen > base.Revision {
+	if _, conflict, complete := base.Conflict(resource, h.seenRevision); conflict || !complete || h.seenRevision > base.Revision {
 		m.end(h)
 		return
 	}
@@ -171,31 +171,31 @@
 	m.send(t, h, object)
 }
 
-// send gives a copy of the write one of the possible outcomes.
+// send sends a copy of the write, with one of the possible outcomes.
 func (m *model) send(t *rapid.T, h *entryHost, object storedObject) {
-	write := pendingWrite{base: object.version, value: h.built}
+	write := pendingWrite{baseVersion: object.version, value: h.built}
 	switch rapid.SampledFrom([]string{"answered", "reply lost", "lost", "late", "never left"}).Draw(t, "outcome") {
 	case "answered":
 		if m.deliver(write) {
 			m.accept(h, h.built.Revision)
 			return
 		}
-		h.write.Sent(write.base, object.config, fault.NotRun)
+		h.write.Sent(write.baseVersion, object.config, fault.NotRun)
 	case "reply lost":
 		m.deliver(write)
-		h.write.Sent(write.base, object.config, fault.MayHaveRun)
+		h.write.Sent(write.baseVersion, object.config, fault.MayHaveRun)
 	case "lost":
-		h.write.Sent(write.base, object.config, fault.MayHaveRun)
+		h.write.Sent(write.baseVersion, object.config, fault.MayHaveRun)
 	case "late":
 		m.pending = append(m.pending, write)
-		h.write.Sent(write.base, object.config, fault.MayHaveRun)
+		h.write.Sent(write.baseVersion, object.config, fault.MayHaveRun)
 	case "never left":
-		h.write.Sent(write.base, object.config, fault.NotRun)
+		h.write.Sent(write.baseVersion, object.config, fault.NotRun)
 	}
 }
 
 func (m *model) deliver(write pendingWrite) bool {
-	if write.base != m.store.version {
+	if write.baseVersion != m.store.version {
 		return false
 	}
 	m.former = append(m.former, m.store)
@@ -216,7 +216,7 @@
 	m.accepted[h.lineID] = revision
 	h.inProgress = false
 	if h.built != nil {
-		h.take(h.built)
+		h.adopt(h.built)
 	}
 }
 
@@ -238,16 +238,16 @@
 
 func (m *model) watch(t *rapid.T) {
 	h := m.pickHost(t)
-	h.take(m.store.config)
+	h.adopt(m.store.config)
 }
 
 func (m *model) gossip(t *rapid.T) {
 	to, from := m.pickHost(t), m.pickHost(t)
-	to.take(from.inForce)
+	to.adopt(from.inForce)
 }
 
-// restart lets an entry host start afresh: it takes the newest configuration of
-// the object API and of at least one other entry host, in either order.
+// restart restarts an entry host without its configuration. It adopts the newest
+// one of the object API and of at least one other entry host, in either order.
 func (m *model) restart(t *rapid.T) {
 	h := m.pickHost(t)
 	if h.inProgress {
@@ -256,7 +256,7 @@
 	*h = entryHost{inForce: (*conf.Config)(nil).Clone()}
 	storeFirst := rapid.Bool().Draw(t, "store first")
 	if storeFirst {
-		h.take(m.store.config)
+		h.adopt(m.store.config)
 	}
 	queried := false
 	for _, other := range m.hosts {
@@ -268,11 +268,12 @@
 		}
 	}
 	if !storeFirst {
-		h.take(m.store.config)
+		h.adopt(m.store.config)
 	}
 }
 
-// confirm marks accepted lines as done that are in force on every entry host.
+// confirm marks the accepted lines that are in force on every entry host as
+// done.
 func (m *model) confirm(*rapid.T) {
 	for lineID, revision := range m.accepted {
 		all := true
@@ -307,10 +308,10 @@
 // check verifies the invariants after every step.
 func (m *model) check(t *rapid.T) {
 	for _, h := range m.hosts {
-		if h.inForce.Revision < h.highest {
-			t.Fatalf("revision went back from %d to %d", h.highest, h.inForce.Revision)
+		if h.inForce.Revision < h.highestRevision {
+			t.Fatalf("revision went back from %d to %d", h.highestRevision, h.inForce.Revision)
 		}
-		h.highest = h.inForce.Revision
+		h.highestRevision = h.inForce.Revision
 		for lineID := range m.done {
 			if _, found := h.inForce.Find(lineID); !found {
 				t.Fatalf("%s was done and is not in force", lineID)
@@ -325,7 +326,7 @@
 		counts := map[string]int{}
 		for _, line := range h.inForce.History {
 			counts[line.ID]++
-			if _, is := m.refused[line.ID]; is {
+			if _, refused := m.refused[line.ID]; refused {
 				t.Fatalf("%s was refused and is in force", line.ID)
 			}
 			if counts[line.ID] > 1 {
@@ -355,8 +356,8 @@
 	explore(t, false)
 }
 
-// The same when the object API is also restored from older copies: lines that
-// were in force on every entry host stay in force.
+// Guards against the same failures while the object API is also restored from
+// older copies: lines that were in force on every entry host must stay in force.
 func TestExploreRestores(t *testing.T) {
 	explore(t, true)
 }
--- a/parts/conf/write.go
+++ b/parts/conf/write.go
@@ -3,7 +3,7 @@
 import "fuchsiashelf.dev/parts/fault"
 
 // Write is the state of the write of one line to the object API. It decides,
-// without I/O, what to do after each answer of the object API.
+// without I/O, what to do after each reply of the object API.
 //
 // The reply to a write can be lost after the write took effect. Then the object
 // is read again. If it contains the line's ID, the write took effect. If its
@@ -55,16 +55,17 @@
 	case !w.uncertain:
 		return Build{}
 	case version < w.baseVersion:
-		// A stale replica answered. If its version counted as a later one, a
-		// line that is in force would be reported as refused.
+		// A stale replica answered. Its version says nothing about the write: if
+		// it were taken for a later one, a line that is in force would be
+		// reported as refused.
 		return Reread{}
 	case version > w.baseVersion && stored.Epoch == w.baseEpoch:
 		w.uncertain = false
 		return Build{}
 	case version > w.baseVersion:
-		// The object API was restored, and what it held after that was
-		// replaced: the line may have been in it, and be in force on an entry
-		// host that read it.
+		// The object API was restored, and its configuration has since been
+		// replaced by that of an entry host. The line may have been in the
+		// replaced configuration, and be in force on an entry host that read it.
 		return Reread{}
 	case stored.lastID() != w.baseLineID:
 		// The version is the same but stands for another configuration: the
@@ -85,8 +86,8 @@
 
 // Sent takes the outcome of a write: the version it was conditional on, the
 // configuration that the object held at that version, and the verdict of the
-// error. A copy that certainly had no effect says nothing about an earlier copy
-// of the same write.
+// error. The verdict NotRun of one copy says nothing about an earlier copy of the
+// same write, so it does not clear uncertain.
 func (w *Write) Sent(version uint64, stored *Config, verdict fault.Verdict) {
 	w.baseVersion, w.baseEpoch, w.baseLineID = version, stored.Epoch, stored.lastID()
 	if verdict != fault.NotRun {
--- a/parts/conf/write_test.go
+++ b/parts/conf/write_test.go
@@ -79,7 +79,7 @@
 	abc, ab, abx := lines("a", "b", "c"), lines("a", "b"), lines("a", "b", "x")
 	for _, test := range []struct {
 		stored, local *conf.Config
-		peers         uint64
+		peerRevision  uint64
 		unresponsive  bool
 		want          conf.Basis
 	}{
@@ -94,7 +94,7 @@
 		{abx, abc, 3, false, conf.Local},
 		{abx, abc, 3, true, conf.None},
 	} {
-		got := conf.ChooseBasis(test.stored, test.local, test.peers, test.unresponsive)
+		got := conf.ChooseBasis(test.stored, test.local, test.peerRevision, test.unresponsive)
 		quicktest.Assert(t, got, quicktest.Equals, test.want, quicktest.Commentf("%+v", test))
 	}
 }
@@ -120,7 +120,7 @@
 }
 
 // An entry host starts after a restore, and reads the object API before it
-// hears from the other entry hosts.
+// queries the other entry hosts. The lines in force there must not be undone.
 func TestSupersedesAtStart(t *testing.T) {
 	c := quicktest.New(t)
 	inForce, fork := lines("a", "b"), lines("a", "x", "y")
