--- a/parts/lang/apply.go
+++ b/parts/lang/apply.go
@@ -50,8 +50,8 @@
 }
 
 // errorAt returns an error that points to a word.
-func errorAt(at Word, format string, args ...any) *Error {
-	return &Error{Column: at.Pos.Column, Message: fmt.Sprintf(format, args...)}
+func errorAt(word Word, format string, args ...any) *Error {
+	return &Error{Column: word.Pos.Column, Message: fmt.Sprintf(format, args...)}
 }
 
 func (e *edit) apply(l *Line) error {
@@ -202,14 +202,14 @@
 	return nil
 }
 
-func (e *edit) deletePool(at Word) error {
-	p, err := e.findPool(at)
+func (e *edit) deletePool(name Word) error {
+	p, err := e.findPool(name)
 	if err != nil {
 		return err
 	}
 	for _, r := range e.Rules {
 		if r.Pool == p.Name {
-			return errorAt(at, "pool %s is in use by the rule for %s", p.Name, ruleLabel(r))
+			return errorAt(name, "pool %s is in use by the rule for %s", p.Name, ruleLabel(r))
 		}
 	}
 	delete(e.Pools, p.Name)
--- a/parts/lang/check.go
+++ b/parts/lang/check.go
@@ -31,9 +31,8 @@
 }
 
 // checkCoverage checks the coverage of all pools. It rejects the line only if
-// the line itself reduces the coverage: hosts come and go, and a pool that
-// loses coverage that way must not keep the operators from changing anything
-// else.
+// the line itself reduces the coverage. A pool may also lose coverage because
+// hosts leave, and that must not keep the operators from changing anything else.
 func (e *edit) checkCoverage() error {
 	if e.force {
 		return nil
@@ -57,9 +56,9 @@
 	noServers bool
 	// missing reports for each layer whether no server is left for it.
 	missing []bool
-	// disjoint reports whether every layer has a server, but the ranges do not
-	// form a chain.
-	disjoint bool
+	// noChain reports whether every layer has a server, but the ranges of the
+	// servers do not form a chain.
+	noChain bool
 }
 
 func findCoverageGap(p pool.Pool, stops map[string]conf.Stop, hosts map[string]host.Host) coverageGap {
@@ -81,7 +80,7 @@
 		})
 	}
 	_, err := chain.New(p.Layers, usable)
-	gap.disjoint = err != nil && !slices.Contains(gap.missing, true)
+	gap.noChain = err != nil && !slices.Contains(gap.missing, true)
 	return gap
 }
 
@@ -93,8 +92,8 @@
 			return true
 		}
 	}
-	hadGap := before.noServers || before.disjoint || slices.Contains(before.missing, true)
-	return (gap.noServers || gap.disjoint) && !hadGap
+	hadGap := before.noServers || before.noChain || slices.Contains(before.missing, true)
+	return (gap.noServers || gap.noChain) && !hadGap
 }
 
 // String describes everything that is lacking.
@@ -102,7 +101,7 @@
 	if gap.noServers {
 		return "no server is left"
 	}
-	if gap.disjoint {
+	if gap.noChain {
 		return fmt.Sprintf("the servers' layers do not join up from 0 to %d", len(gap.missing))
 	}
 	var ranges []string
--- a/parts/lang/lang.go
+++ b/parts/lang/lang.go
@@ -73,7 +73,7 @@
 	Text string `parser:"@Path"`
 }
 
-// Options holds the options of a service, all of which can be omitted.
+// Options holds the options of a service. Each of them can be omitted.
 type Options struct {
 	Pos     lexer.Position
 	Repeat  string   `parser:"( 'repeat' @( 'yes' | 'no' ) )?"`
@@ -83,6 +83,7 @@
 }
 
 // Guarded says whether the backend servers themselves refuse repeated calls.
+// Without a value, it means yes.
 type Guarded struct {
 	Value string `parser:"'guarded' @( 'yes' | 'no' )?"`
 }
--- a/parts/lang/lang_test.go
+++ b/parts/lang/lang_test.go
@@ -24,9 +24,10 @@
 // now is the time at which the lines of all tables are applied.
 var now = time.Date(2026, 12, 3, 21, 30, 0, 0, time.UTC)
 
-// hosts returns three engines of each of two domains that hold layers 0-8, 8-16
-// and 16-24, an engine that holds layers 0-12, one of another model, two plain
-// services, an entry host and a leaving engine.
+// hosts returns the host list of the tests: in each of two failure domains, three
+// engines that hold layers 0-8, 8-16 and 16-24; an engine that holds layers 0-12;
+// an engine of another model; a leaving engine; two hosts that run a plain
+// service; and an entry host.
 func hosts() map[string]host.Host {
 	all := map[string]host.Host{
 		"p1": {Name: "p1", Role: host.Plain, State: host.Live},
--- a/parts/lang/service.go
+++ b/parts/lang/service.go
@@ -56,16 +56,16 @@
 // entry hosts themselves. One prefix may extend another: a call goes to the
 // service with the longest matching prefix.
 func (e *edit) checkPath(p *PathWord) error {
-	at := Word{Pos: p.Pos, Text: p.Text}
+	word := Word{Pos: p.Pos, Text: p.Text}
 	trimmed := strings.TrimSuffix(p.Text, "/")
 	for _, prefix := range reservedPaths {
 		if trimmed == prefix || strings.HasPrefix(trimmed, prefix+"/") {
-			return errorAt(at, "path %s is kept for the entry hosts", p.Text)
+			return errorAt(word, "path %s is kept for the entry hosts", p.Text)
 		}
 	}
 	for _, s := range e.Services {
 		if s.Path != "" && strings.TrimSuffix(s.Path, "/") == trimmed {
-			return errorAt(at, "path %s is taken by service %s", p.Text, s.Name)
+			return errorAt(word, "path %s is taken by service %s", p.Text, s.Name)
 		}
 	}
 	return nil
@@ -103,29 +103,29 @@
 	return nil
 }
 
-// checkDeadline rejects a deadline longer than the time for which claims are
-// kept. The entry hosts would shorten it, and callers would get less time than
-// the line says.
+// checkDeadline rejects a deadline longer than Environment.MaxDeadline, on
+// which the expiry of claims is based. The entry hosts would shorten it, and
+// callers would get less time than the line says.
 func (e *edit) checkDeadline(s rule.Service, o *Options) error {
 	if s.Retryable || e.env.MaxDeadline == 0 || s.EffectiveDeadline() <= e.env.MaxDeadline {
 		return nil
 	}
-	at := Word{Pos: o.Pos}
+	word := Word{Pos: o.Pos}
 	if o.Within != nil {
-		at = *o.Within
+		word = *o.Within
 	}
-	return errorAt(at, "within: calls that may not be repeated have at most %s here, not %s",
+	return errorAt(word, "within: calls that may not be repeated have at most %s here, not %s",
 		e.env.MaxDeadline, s.EffectiveDeadline())
 }
 
-func (e *edit) deleteService(at Word) error {
-	s, ok := e.Services[at.Text]
+func (e *edit) deleteService(name Word) error {
+	s, ok := e.Services[name.Text]
 	if !ok {
-		return errorAt(at, "there is no service %s", at.Text)
+		return errorAt(name, "there is no service %s", name.Text)
 	}
 	for _, r := range e.Rules {
 		if r.Service == s.Name {
-			return errorAt(at, "service %s is in use by the rule for %s", s.Name, ruleLabel(r))
+			return errorAt(name, "service %s is in use by the rule for %s", s.Name, ruleLabel(r))
 		}
 	}
 	delete(e.Services, s.Name)
