--- a/parts/store/client.go
+++ b/parts/store/client.go
@@ -152,7 +152,8 @@
 // status. The platform's interface specification (docs/design/wire.md) says
 // that a write answered with 4xx or 503 was not applied. Any other status may
 // come after the write took effect, for example from a load balancer that lost
-// the reply; with NotRun, a line that is in force would be reported as refused.
+// the reply. If it were NotRun, a line of the operators that is in force would be
+// reported as refused.
 func writeVerdict(status int) fault.Verdict {
 	refused := status >= http.StatusBadRequest && status < http.StatusInternalServerError
 	if refused || status == http.StatusServiceUnavailable {
@@ -182,7 +183,8 @@
 }
 
 // singleRead is a body that cannot be rewound. It keeps net/http from resending
-// a call by itself; whether a write is repeated is decided by its version.
+// a call on its own: only the caller can decide, from the object's version,
+// whether to repeat a write.
 type singleRead struct{ io.Reader }
 
 func (c *Client) do(ctx context.Context, method, path string, body []byte, version *uint64) (response, error) {
--- a/parts/store/store.go
+++ b/parts/store/store.go
@@ -4,8 +4,9 @@
 // The object API holds small objects with versions. All objects take their
 // versions from one counter, so versions of different objects can be compared,
 // and a watch resumes from the last version seen. Conditional writes are the
-// only fencing that the system relies on: a writer that was paused or cut off
-// while others wrote is stopped by the version, independent of any clock.
+// only fencing that the system relies on: the write of a process that was paused or
+// partitioned while others wrote fails because of the version, independent of
+// any clock.
 package store
 
 import (
