--- a/parts/mirror/mirror.go
+++ b/parts/mirror/mirror.go
@@ -1,8 +1,9 @@
 // Package mirror keeps a copy of objects of the platform's object API, updated
 // by this entry host's own watches and by other entry hosts.
 //
-// A single counter numbers all changes of the object API. The mirror of a kind
-// is complete up to its cursor: it reflects every change of the kind up to that
+// A single counter numbers all changes of the object API. Objects are grouped by
+// kind, for example servers, and each kind has a mirror. The mirror of a kind is
+// complete up to its cursor: it reflects every change of the kind up to that
 // revision. So changes after the cursor that another entry host has seen can be
 // merged as if they had come from the object API, in any order and more than
 // once; changes up to the cursor are ignored. An entry host that has lost its
@@ -37,8 +38,8 @@
 	Items         []Object
 }
 
-// maxDeletions bounds the remembered deletions. A mirror that needs an older
-// one gets a complete list.
+// maxDeletions bounds the remembered deletions. A mirror that needs older ones
+// gets a complete list.
 const maxDeletions = 4096
 
 // Mirror is the copy of one kind. The zero value is empty.
@@ -135,9 +136,9 @@
 	return exists
 }
 
-// Since returns the changes that a mirror lacks which is complete up to the
-// given revision. Complete reports that the batch is a complete list, because
-// not all deletions since that revision are remembered.
+// Since returns the changes that a mirror with the given cursor lacks. complete
+// reports whether the batch is a list of all objects instead, because not all
+// deletions after that cursor are remembered.
 func (m *Mirror) Since(after uint64) (b Batch, complete bool) {
 	m.mu.Lock()
 	defer m.mu.Unlock()
--- a/parts/mirror/mirror_test.go
+++ b/parts/mirror/mirror_test.go
@@ -45,9 +45,9 @@
 	qt.Assert(t, m.Cursor(), qt.Equals, uint64(10))
 }
 
-// Guards against entry hosts that serve with different configurations: however
-// they exchange changes, late, repeated or out of order, all end with the state
-// of the object API.
+// Guards against entry hosts that serve with different configurations. They
+// exchange changes late, repeatedly and out of order, and all of them must end
+// with the state of the object API.
 func TestConverges(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		source := &mirror.Mirror{Kind: "k"}
