--- a/parts/fleet/fleet.go
+++ b/parts/fleet/fleet.go
@@ -14,9 +14,9 @@
 	"fuchsiashelf.dev/parts/domain"
 )
 
-// Server is one run of a backend server.
+// Server is one incarnation of a backend server.
 type Server struct {
-	// ID identifies the run; it changes with most restarts.
+	// ID identifies the incarnation; it changes with most restarts.
 	ID string
 	// Service is the name of the service, and Address the address to connect
 	// to.
@@ -25,7 +25,7 @@
 	Domain  domain.Name
 	// Accelerator is the kind of accelerator, if it has one.
 	Accelerator string
-	// Slots is the number of requests that it processes concurrently.
+	// Slots is the number of requests that it runs concurrently.
 	Slots int
 	// First and End are the range [First, End) of the layers that it holds;
 	// both are zero if it holds none.
@@ -40,7 +40,7 @@
 	// yet and has to wait for requests that use the layers it unloads.
 	AwaitsReload bool
 	// StartedAt is its start time. A server with a known ID and a later start
-	// time is a new run.
+	// time is a new incarnation.
 	StartedAt time.Time
 	// Leaving servers get no new requests.
 	Leaving bool
