--- a/parts/route/route.go
+++ b/parts/route/route.go
@@ -1,5 +1,5 @@
-// Package route matches requests to the configuration: which route a request
-// takes, which service it goes to, and which team its key belongs to.
+// Package route matches requests to the configuration: which route applies to a
+// request, which service it goes to, and which team its key belongs to.
 //
 // A [Table] is one accepted configuration. It is built once, never changed
 // afterwards, and replaced as a whole, so a request sees a single version of
@@ -18,7 +18,7 @@
 
 // The kinds of routes.
 const (
-	// AtMostOnce requests run at most once for each attempt of the caller.
+	// AtMostOnce requests run at most once each time that the caller sends them.
 	AtMostOnce Kind = iota
 	// Idempotent requests may run more than once.
 	Idempotent
--- a/parts/route/service.go
+++ b/parts/route/service.go
@@ -32,7 +32,7 @@
 	// PrefillPerSec is the number of prompt tokens that the reference
 	// accelerator processes per second.
 	PrefillPerSec float64
-	// StepsPerPass is the number of steps in one pass.
+	// StepsPerPass is the number of token steps in one pass through a chain.
 	StepsPerPass int
 	// InterDomainMbps is the bandwidth of the link that all backend servers of
 	// two failure domains share.
