--- a/parts/fault/verdict.go
+++ b/parts/fault/verdict.go
@@ -3,7 +3,7 @@
 // Every error carries a [Verdict], which says whether the request may have run
 // on a backend server. A verdict starts as [NotRun] and only weakens: once the
 // first byte of a request could have been sent to a backend server, only a
-// reply of that backend server can make it [NotRun] again.
+// response of that backend server can make it [NotRun] again.
 package fault
 
 import "fmt"
