--- a/parts/order/order.go
+++ b/parts/order/order.go
@@ -1,11 +1,11 @@
 // Package order plans the orders that engines are to get.
 //
-// An engine whose planned stop has begun is told to drain, so that it takes no
-// new work from any other client either; one whose stop was taken back is told
-// to load again. Engines are recorded in the lease before they are told to
-// drain: if the holder of the lease failed right after the order, an engine
-// would otherwise stay drained with nobody to tell it to load. The next holder
-// repeats the order, which is idempotent.
+// An engine whose planned stop has begun is ordered to drain, so that it takes no
+// new work from any other client either. An engine whose stop was cancelled is
+// ordered to load again. Engines are recorded in the lease before they are ordered
+// to drain: otherwise, if the holder of the lease failed right after the order,
+// the next holder would not know that the engine has to load again once the stop
+// is cancelled. The next holder repeats the order to drain, which is idempotent.
 package order
 
 import (
@@ -31,8 +31,8 @@
 }
 
 // Plan returns the pending orders, sorted by the name of the engine. Recorded
-// holds the engines that may have been told to drain and not to load since;
-// ordered holds those that this holder of the lease has told to drain itself.
+// holds the engines that may have been ordered to drain and not to load since;
+// ordered holds those that this holder of the lease has itself ordered to drain.
 func Plan(c *conf.Config, hosts map[string]host.Host, recorded, ordered []string, now time.Time) []Pending {
 	var pending []Pending
 	if c == nil {
--- a/parts/order/order_test.go
+++ b/parts/order/order_test.go
@@ -10,8 +10,8 @@
 	"fuchsiashelf.dev/parts/host"
 )
 
-// An engine is told to drain once its stop begins, and to load once the stop is
-// taken back.
+// An engine is ordered to drain once its stop begins, and to load once the stop is
+// cancelled.
 func TestPlanFollowsStops(t *testing.T) {
 	c := qt.New(t)
 	now := time.UnixMilli(1_800_000_000_000)
