--- a/parts/host/host.go
+++ b/parts/host/host.go
@@ -1,6 +1,6 @@
 // Package host models the platform's host list: which hosts exist, what runs on
-// each, and which are leaving. The list lags behind reality, so a host that it
-// shows as live may be gone.
+// each, and which are leaving. The list lags behind, so a host that it shows
+// as live may no longer exist.
 package host
 
 import "fuchsiashelf.dev/parts/domain"
