--- a/parts/link/link.go
+++ b/parts/link/link.go
@@ -31,8 +31,9 @@
 }
 
 // baseAvoidTime is how long a link is avoided after its first failure.
-// Detecting that a link still drops everything costs a request at least a
-// second, so the time is longer than for a server, whose crash shows at once.
+// A request loses at least a second on a link that still drops everything before
+// that is detected, so the time is longer than for a server, whose crash is
+// detected at once.
 const baseAvoidTime = 5 * time.Second
 
 // maxDoublings bounds the time that a link is avoided to a few minutes.
