--- a/parts/logs/bench_test.go
+++ b/parts/logs/bench_test.go
@@ -9,17 +9,17 @@
 	"fuchsiashelf.dev/parts/logs"
 )
 
-// The line that ends each request, logged fast enough that nearly all lines
-// exceed the limit per second: about 0.8 us and 1 allocation per line on an
-// eight-core machine under other load.
+// BenchmarkLimitedLine logs the line that ends each request so fast that nearly
+// all lines exceed the limit per second: about 0.8 us and 1 allocation per line on
+// an eight-core machine under other load.
 func BenchmarkLimitedLine(b *testing.B) {
 	w := &logs.Writer{Out: io.Discard}
 	go w.Run(b.Context())
 	benchmarkLine(b, logs.New(w))
 }
 
-// The same line without the limit, which is the cost of a line that is written:
-// about 2.5 us and 2 allocations.
+// BenchmarkWrittenLine logs the same line without the limit, so that each line is
+// written: about 2.5 us and 2 allocations per line.
 func BenchmarkWrittenLine(b *testing.B) {
 	w := &logs.Writer{Out: io.Discard}
 	go w.Run(b.Context())
--- a/parts/logs/logs.go
+++ b/parts/logs/logs.go
@@ -1,7 +1,7 @@
 // Package logs writes structured logs without delaying requests.
 //
 // Lines are JSON objects of log/slog. They go into a bounded queue, and one
-// goroutine writes them out. If the queue is full because nobody reads standard
+// goroutine writes them out. If the queue is full because nothing reads standard
 // output, lines are dropped and counted. The lines with the same message are
 // also limited per second, so that a fault which affects every request leaves
 // the log readable; the next line of that message reports how many were
--- a/parts/logs/logs_test.go
+++ b/parts/logs/logs_test.go
@@ -14,17 +14,17 @@
 
 // buffer is an output that is safe for concurrent writes.
 type buffer struct {
-	mu sync.Mutex
-	b  bytes.Buffer
+	mu   sync.Mutex
+	data bytes.Buffer
 }
 
 func (b *buffer) Write(line []byte) (int, error) {
 	b.mu.Lock()
 	defer b.mu.Unlock()
-	return b.b.Write(line)
+	return b.data.Write(line)
 }
 
-// Guards against requests that block on the log when nobody reads standard
+// Guards against requests that block on the log when nothing reads standard
 // output.
 func TestWriteNeverBlocks(t *testing.T) {
 	w := &logs.Writer{Out: &buffer{}}
@@ -52,8 +52,8 @@
 	log.Info("config: taken")
 	end()
 	<-w.Done()
-	qt.Assert(t, strings.Count(out.b.String(), "request: ended") < 300, qt.IsTrue)
-	qt.Assert(t, strings.Count(out.b.String(), "config: taken"), qt.Equals, 1)
+	qt.Assert(t, strings.Count(out.data.String(), "request: ended") < 300, qt.IsTrue)
+	qt.Assert(t, strings.Count(out.data.String(), "config: taken"), qt.Equals, 1)
 }
 
 func BenchmarkLine(b *testing.B) {
