--- a/parts/quota/quota.go
+++ b/parts/quota/quota.go
@@ -4,7 +4,7 @@
 
 // Quota is the share and the rate limit of a team.
 type Quota struct {
-	// Share is the team's weight when the system is saturated; at least 1.
+	// Share is the team's weight when the system is at capacity; at least 1.
 	Share int `json:"share"`
 	// Rate is the maximum number of requests per second over all entry hosts;
 	// zero means no limit.
