--- a/parts/pool/pool.go
+++ b/parts/pool/pool.go
@@ -1,5 +1,5 @@
 // Package pool models a pool: the backend servers that together serve one
-// model, or one plain service.
+// model, or that run plain services.
 package pool
 
 // Pool is a set of backend servers. It is never changed in place.
