--- a/parts/certs/certs.go
+++ b/parts/certs/certs.go
@@ -3,8 +3,8 @@
 // One certificate authority, run by the users, signs a certificate for each
 // process. Both sides of a connection present theirs. A certificate carries a
 // role, [Entry] or [Desk], as its DNS name rather than an address, since hosts
-// are replaced all the time and connect by IP address. So the holder of a desk
-// certificate can send commands but cannot impersonate an entry host.
+// are replaced often and connect by IP address. The holder of a desk certificate
+// can therefore send commands but cannot impersonate an entry host.
 //
 // Without TLS, the secrets of peers and operators cross the network in clear
 // text, and anyone who reads them can change the configuration. Hosts store no
--- a/parts/certs/certs_test.go
+++ b/parts/certs/certs_test.go
@@ -21,9 +21,9 @@
 
 // connects connects to an entry host's listener for one role and reports
 // whether a byte was received.
-func connects(t *testing.T, server certs.Bundle, from certs.Role, client certs.Bundle) bool {
+func connects(t *testing.T, server certs.Bundle, clientRole certs.Role, client certs.Bundle) bool {
 	t.Helper()
-	config, err := server.Server(from)
+	config, err := server.Server(clientRole)
 	qt.Assert(t, err, qt.IsNil)
 	listener, err := tls.Listen("tcp", "127.0.0.1:0", config)
 	qt.Assert(t, err, qt.IsNil)
@@ -60,11 +60,11 @@
 	forged := issue(t, theirs, certs.Entry)
 	forged.CA = entry.CA
 	for _, test := range []struct {
-		name   string
-		server certs.Bundle
-		from   certs.Role
-		client certs.Bundle
-		want   bool
+		name       string
+		server     certs.Bundle
+		clientRole certs.Role
+		client     certs.Bundle
+		want       bool
 	}{
 		{"entry to entry", entry, certs.Entry, issue(t, ours, certs.Entry), true},
 		{"desk to entry", entry, certs.Desk, issue(t, ours, certs.Desk), true},
@@ -76,7 +76,7 @@
 		{"server is no entry host", issue(t, ours, certs.Desk), certs.Entry, entry, false},
 	} {
 		t.Run(test.name, func(t *testing.T) {
-			qt.Assert(t, connects(t, test.server, test.from, test.client), qt.Equals, test.want)
+			qt.Assert(t, connects(t, test.server, test.clientRole, test.client), qt.Equals, test.want)
 		})
 	}
 }
--- a/parts/certs/issue.go
+++ b/parts/certs/issue.go
@@ -63,11 +63,11 @@
 	if err != nil {
 		return Bundle{}, err
 	}
-	private, err := x509.MarshalPKCS8PrivateKey(key)
+	keyDER, err := x509.MarshalPKCS8PrivateKey(key)
 	if err != nil {
 		return Bundle{}, err
 	}
-	return Bundle{Cert: encodePEM("CERTIFICATE", der), Key: encodePEM("PRIVATE KEY", private), CA: a.pem}, nil
+	return Bundle{Cert: encodePEM("CERTIFICATE", der), Key: encodePEM("PRIVATE KEY", keyDER), CA: a.pem}, nil
 }
 
 func newTemplate(name string, valid time.Duration) (*x509.Certificate, error) {
@@ -79,8 +79,8 @@
 	return &x509.Certificate{
 		SerialNumber: serial,
 		Subject:      pkix.Name{CommonName: name},
-		// The clocks of hosts differ; the certificate is valid on a host with a
-		// slow clock too.
+		// The clocks of hosts differ. The certificate must also be valid on a
+		// host whose clock is behind.
 		NotBefore: now.Add(-time.Hour),
 		NotAfter:  now.Add(valid),
 	}, nil
