--- a/parts/httpd/drain_test.go
+++ b/parts/httpd/drain_test.go
@@ -44,10 +44,10 @@
 	}
 	status, _ := get("/short")
 	c.Assert(status, quicktest.Equals, 200)
-	answer := make(chan string, 1)
+	bodies := make(chan string, 1)
 	go func() {
 		_, body := get("/long")
-		answer <- body
+		bodies <- body
 	}()
 	<-started
 	stop()
@@ -55,7 +55,7 @@
 		status, _ = get("/short")
 	}
 	close(finish)
-	c.Assert(<-answer, quicktest.Equals, "whole")
+	c.Assert(<-bodies, quicktest.Equals, "whole")
 	c.Assert(<-ended, quicktest.IsNil)
 }
 
--- a/parts/httpd/httpd.go
+++ b/parts/httpd/httpd.go
@@ -94,8 +94,9 @@
 	c.Abort()
 }
 
-// Run serves until the context ends. It then accepts requests for DrainDelay,
-// rejects new ones, and waits for those in flight for at most the grace period.
+// Run serves until the context ends. It still accepts requests for DrainDelay
+// after that, then rejects new ones and waits for those in flight, at most for
+// the grace period.
 func (s *Server) Run(ctx context.Context, grace time.Duration) error {
 	failed := make(chan error, 1)
 	go func() { failed <- s.Hertz.Run() }()
