--- a/parts/frame/frame.go
+++ b/parts/frame/frame.go
@@ -55,12 +55,12 @@
 	}
 	if f.End {
 		if f.Count != v.Index {
-			return Invalid, invalidAnswer("the end counts %d tokens, %d came", f.Count, v.Index)
+			return Invalid, invalidResponse("the end counts %d tokens, %d came", f.Count, v.Index)
 		}
 		return End, nil
 	}
 	if f.Index != v.Index {
-		return Invalid, invalidAnswer("token %d came in place of %d", f.Index, v.Index)
+		return Invalid, invalidResponse("token %d came in place of %d", f.Index, v.Index)
 	}
 	if e := v.checkSpans(f.Spans); e != nil {
 		return Invalid, e
@@ -94,14 +94,14 @@
 	next := 0
 	for _, s := range spans {
 		if s.First != next || s.End <= s.First || s.End > v.Layers {
-			e := invalidAnswer("layers %d to %d ran where layer %d was due", s.First, s.End, next)
+			e := invalidResponse("layers %d to %d ran where layer %d was due", s.First, s.End, next)
 			e.Server = s.Server
 			return e
 		}
 		next = s.End
 	}
 	if next != v.Layers {
-		return invalidAnswer("layers ran up to %d of %d", next, v.Layers)
+		return invalidResponse("layers ran up to %d of %d", next, v.Layers)
 	}
 	return nil
 }
@@ -114,12 +114,12 @@
 		return nil
 	}
 	if len(spans) != len(v.Chain) {
-		return invalidAnswer("%d servers ran, not the %d of the chain", len(spans), len(v.Chain))
+		return invalidResponse("%d servers ran, not the %d of the chain", len(spans), len(v.Chain))
 	}
 	for i, s := range spans {
 		want := &v.Chain[i]
 		if s.Server != want.Server || s.First != want.First || s.End != want.End {
-			e := invalidAnswer("server %s ran layers %d to %d, not %s %d to %d",
+			e := invalidResponse("server %s ran layers %d to %d, not %s %d to %d",
 				s.Server, s.First, s.End, want.Server, want.First, want.End)
 			e.Server = want.Server
 			return e
@@ -128,7 +128,7 @@
 	return nil
 }
 
-func invalidAnswer(format string, args ...any) *fault.Error {
+func invalidResponse(format string, args ...any) *fault.Error {
 	return &fault.Error{
 		Code: fault.BrokenAnswer, Verdict: fault.MayHaveRun,
 		Message: fmt.Sprintf(format, args...),
--- a/parts/frame/frame_test.go
+++ b/parts/frame/frame_test.go
@@ -30,7 +30,8 @@
 
 // Guards against a response with a token of another response, or one that did
 // not run through all layers: frames can be late, belong to another request or
-// an older attempt, or come from servers that ran other layers than ordered.
+// an older attempt, or come from servers that ran other layers than the chain
+// says.
 func TestNext(t *testing.T) {
 	for _, test := range []struct {
 		name   string
