--- a/parts/trace/trace.go
+++ b/parts/trace/trace.go
@@ -3,7 +3,7 @@
 // timeline.
 //
 // Events carry a hybrid logical clock: wall time in nanoseconds, advanced
-// whenever a message with a later clock arrives. So an effect never sorts
+// whenever a message with a later clock arrives. An effect therefore never sorts
 // before its cause, even if the clocks of two hosts differ.
 package trace
 
@@ -18,7 +18,7 @@
 type Event struct {
 	// Clock is the reading of the hybrid logical clock, in nanoseconds.
 	Clock uint64 `json:"clock"`
-	// Process is the name of the entry host.
+	// Process is the name of the process that recorded the event.
 	Process string `json:"process"`
 	// Component is the part of the program, as in the logs.
 	Component string `json:"part"`
@@ -39,7 +39,9 @@
 	clock  atomic.Uint64
 	mu     sync.Mutex
 	events []Event
-	next   int
+	// next is the position of the oldest event, which the next one replaces once
+	// events holds RingSize events.
+	next int
 }
 
 // Now returns the next reading of the clock.
--- a/parts/trace/trace_test.go
+++ b/parts/trace/trace_test.go
@@ -9,9 +9,8 @@
 	"fuchsiashelf.dev/parts/trace"
 )
 
-// Guards against a timeline that shows an answer before its question: the clock
-// of one host is an hour ahead, and its message reaches a host with a slower
-// clock.
+// Guards against a timeline that shows an effect before its cause: the clock of
+// one host is an hour ahead of the clock of the host that gets its message.
 func TestEffectSortsAfterCause(t *testing.T) {
 	ahead := &trace.Recorder{Process: "e1"}
 	behind := &trace.Recorder{Process: "e2"}
