--- a/load/internal/call/call_test.go
+++ b/load/internal/call/call_test.go
@@ -36,7 +36,7 @@
 // stream. The load run must not count it as goodput, or its report would hide
 // failures.
 func TestIncorrectAnswersAreDetected(t *testing.T) {
-	correct := token.Answer("p", layers, 2)
+	correct := token.Expected("p", layers, 2)
 	tokens := []string{}
 	for i, text := range correct {
 		tokens = append(tokens, event("token", fmt.Sprintf(`{"index":%d,"token":%q}`, i, text)))
--- a/sess/procs/calls.go
+++ b/sess/procs/calls.go
@@ -184,7 +184,7 @@
 // gives for the prompt. It describes the result in one line: whole, wrong, cut,
 // short, or the error.
 func (a *Answer) Check(prompt string, layers, max int) string {
-	want := token.Answer(prompt, layers, max)
+	want := token.Expected(prompt, layers, max)
 	for i, got := range a.Tokens {
 		if i >= len(want) || got != want[i] || a.Indexes[i] != i {
 			return fmt.Sprintf("wrong at token %d", i)
--- a/soak/cluster.go
+++ b/soak/cluster.go
@@ -238,7 +238,7 @@
 		p.SetMode(proxy.Forward)
 	}
 	for _, s := range c.servers {
-		s.DropAnswers(0)
+		s.DropResponses(0)
 		s.RefuseNext(0)
 		s.TruncateAfter(0)
 	}
--- a/soak/faults.go
+++ b/soak/faults.go
@@ -138,7 +138,7 @@
 	r.cluster.mu.Unlock()
 	switch r.rand.IntN(3) {
 	case 0:
-		s.DropAnswers(3)
+		s.DropResponses(3)
 		return s.ID + ": drops three answers", nil, nil
 	case 1:
 		s.RefuseNext(5)
--- a/stand/fakes/caller.go
+++ b/stand/fakes/caller.go
@@ -24,7 +24,7 @@
 	Body    string
 	// Timeout is the caller's deadline, sent as X-Deadline-Ms.
 	Timeout time.Duration
-	// Events is the number of events asked for; zero calls a plain service.
+	// Events is the requested number of events; zero calls a plain service.
 	Events int
 }
 
--- a/stand/fakes/order.go
+++ b/stand/fakes/order.go
@@ -33,7 +33,8 @@
 	})
 }
 
-// serveOrder serves orders to hold a range of layers or to change a chain.
+// serveOrder accepts or refuses an order to hold a range of layers or to change a
+// chain.
 func (s *Server) serveOrder(w http.ResponseWriter, req *http.Request) {
 	var order struct {
 		Operation string  `json:"operation"`
@@ -58,7 +59,7 @@
 	w.WriteHeader(s.assign(order.First, order.End, order.Expected))
 }
 
-// assign begins to load a range of layers and returns the HTTP status.
+// assign starts to load a range of layers and returns the HTTP status.
 func (s *Server) assign(first, end int, expected *uint64) int {
 	s.mu.Lock()
 	defer s.mu.Unlock()
@@ -85,7 +86,7 @@
 	return http.StatusAccepted
 }
 
-// reroute changes the chain of a stream in progress and returns the HTTP status.
+// reroute changes the chain of a stream in flight and returns the HTTP status.
 func (s *Server) reroute(id, path string) int {
 	stages, err := parseChain(path)
 	if err != nil {
@@ -143,8 +144,8 @@
 	}
 }
 
-// unavailableStage returns the address of the first stage whose server is down or
-// does not hold the layers, or "".
+// unavailableStage returns the address of the first stage whose server has crashed
+// or does not hold the layers, or "".
 func (s *Server) unavailableStage(stages []stage) string {
 	for _, st := range stages {
 		other := s.platform.liveServer(st.address)
--- a/stand/fakes/platform.go
+++ b/stand/fakes/platform.go
@@ -96,8 +96,8 @@
 	return slices.Clone(p.executions)
 }
 
-// Violations returns what must never happen: chains that omit or repeat layers,
-// and assignments that exceed a server's memory.
+// Violations returns errors of the entry hosts that must never occur: chains that
+// omit or repeat layers, and assignments that exceed a server's memory.
 func (p *Platform) Violations() []string {
 	p.mu.Lock()
 	defer p.mu.Unlock()
--- a/stand/fakes/port.go
+++ b/stand/fakes/port.go
@@ -22,8 +22,8 @@
 	next int
 }
 
-// FreeAddress returns a loopback address that nothing listens on. A process gets
-// each address only once until the range wraps around.
+// FreeAddress returns a loopback address that nothing listens on. Within a process
+// an address repeats only after the whole range has been used.
 func FreeAddress() (string, error) {
 	ports.Lock()
 	defer ports.Unlock()
--- a/stand/fakes/server.go
+++ b/stand/fakes/server.go
@@ -67,7 +67,7 @@
 	return s.first, s.end
 }
 
-// Crash stops the server without notice; its registration stays.
+// Crash stops the server at once; its entry stays in the store.
 func (s *Server) Crash() {
 	s.mu.Lock()
 	alreadyCrashed := s.crashed
@@ -92,9 +92,9 @@
 	return s.register()
 }
 
-// DropAnswers makes the server run the next n requests and close their
-// connections without an answer.
-func (s *Server) DropAnswers(n int) {
+// DropResponses makes the server run the next n requests and close their
+// connections without a response.
+func (s *Server) DropResponses(n int) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	s.dropNext = n
@@ -107,8 +107,9 @@
 	s.refuseNext = n
 }
 
-// TruncateAfter makes the server close the connection of its next stream in the
-// middle of the event that follows the given number of events.
+// TruncateAfter makes the server close the connection of its next longer stream
+// after the given number of events, in the middle of the event that follows. Zero
+// disables this.
 func (s *Server) TruncateAfter(events int) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
@@ -154,7 +155,7 @@
 	}
 }
 
-// serveRequest runs a request that an entry host forwards.
+// serveRequest serves a request that an entry host forwards.
 func (s *Server) serveRequest(w http.ResponseWriter, req *http.Request) {
 	id := req.Header.Get("X-Attempt-Id")
 	w.Header().Set("X-Attempt-Id", id)
--- a/stand/fakes/store.go
+++ b/stand/fakes/store.go
@@ -1,8 +1,8 @@
 // Package fakes implements fakes of the users' platform for tests: the object
 // API with the operator's configuration, engines that hold a range of layers
 // and serve as a stage of a chain, and plain services. They speak the platform's
-// protocol over HTTP on loopback and reproduce the failures that the platform
-// documents when a test asks for them.
+// protocol over HTTP on loopback. Tests can make them fail in the ways that the
+// platform documents.
 //
 // A [Platform] runs the fakes and records which server ran which request, for
 // tests to check.
@@ -65,9 +65,10 @@
 	changed           chan struct{}
 	failureMode       FailureMode
 	calls             int
-	// muteCounts counts the MuteWatches calls by kind.
+	// muteCounts counts the MuteWatches calls by kind. A watch is muted if the
+	// count has changed since it started.
 	muteCounts map[string]int
-	// longestWaits holds the longest wait that a watch of each kind asked for.
+	// longestWaits holds the longest wait that a watch of each kind requested.
 	longestWaits map[string]time.Duration
 }
 
@@ -92,14 +93,14 @@
 	s.changed = make(chan struct{})
 }
 
-// LongestWait returns the longest wait that a watch of a kind asked for.
+// LongestWait returns the longest wait that a watch of a kind requested.
 func (s *Store) LongestWait(kind string) time.Duration {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	return s.longestWaits[kind]
 }
 
-// Put writes an object. A spec equal to the stored one changes nothing.
+// Put writes an object. If the spec equals the stored one, nothing changes.
 func (s *Store) Put(kind, name string, spec any) error {
 	encoded, err := json.Marshal(spec)
 	if err != nil {
--- a/stand/fakes/stream.go
+++ b/stand/fakes/stream.go
@@ -7,8 +7,8 @@
 	"time"
 )
 
-// serveStream answers with the number of events that the request asks for. After
-// Last-Event-Id it continues with the next event.
+// serveStream streams the requested number of events. With Last-Event-Id it
+// starts with the event after that.
 func (s *Server) serveStream(w http.ResponseWriter, req *http.Request, id string) {
 	path := req.Header.Get("X-Hop-Count")
 	stages, err := parseChain(path)
@@ -69,9 +69,9 @@
 	return true
 }
 
-// waitStep waits until the next event is due and returns the stages of the
-// chain, or nil if the client closed the connection. While a stage is unavailable,
-// the request stalls until its chain is changed.
+// waitStep waits until the next event is due and returns the current stages of the
+// chain, or nil if the client closed the connection. While the server of a stage
+// is unavailable, the request stalls until its chain is changed.
 func (s *Server) waitStep(req *http.Request, id string, stages []stage, updates chan []stage) []stage {
 	for {
 		unavailable := s.unavailableStage(stages)
@@ -94,8 +94,8 @@
 	}
 }
 
-// setStalled records which unavailable stage a request waits for; an empty address
-// clears it.
+// setStalled records the address of the unavailable server that a request waits
+// for; an empty address clears it.
 func (s *Server) setStalled(id, address string) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
--- a/stand/inject/inject.go
+++ b/stand/inject/inject.go
@@ -1,4 +1,5 @@
-// Package inject keeps the faults that a test injects into a running stand-in.
+// Package inject holds the faults that a test injects into a running stand-in, a
+// process that replaces a dependency of the system.
 package inject
 
 import (
@@ -93,7 +94,8 @@
 	}
 }
 
-// channel returns the channel that the next broadcast closes.
+// channel returns the channel that the next broadcast closes, and creates it if
+// needed.
 func channel(c *chan struct{}) <-chan struct{} {
 	if *c == nil {
 		*c = make(chan struct{})
@@ -101,7 +103,7 @@
 	return *c
 }
 
-// broadcast wakes the receivers of a channel.
+// broadcast closes the channel, if there is one, to wake its receivers.
 func broadcast(c *chan struct{}) {
 	if *c != nil {
 		close(*c)
@@ -126,8 +128,7 @@
 	return s.TriggerIf(kind, func(string) bool { return true })
 }
 
-// TriggerIf is Trigger for a fault whose value meets a condition; any other stays
-// unchanged.
+// TriggerIf triggers the fault only if its value meets a condition.
 func (s *Set) TriggerIf(kind Kind, meets func(value string) bool) (Fault, bool) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
--- a/stand/internal/engine/batch.go
+++ b/stand/internal/engine/batch.go
@@ -9,7 +9,8 @@
 	"fuchsiashelf.dev/parts/wait"
 )
 
-// batch runs tokens in steps. The zero value is ready to use.
+// batch runs queued tokens in steps, several tokens in each. The zero value is
+// ready to use.
 type batch struct {
 	mu      sync.Mutex
 	queue   []*batchItem
@@ -18,7 +19,8 @@
 
 // batchItem is one token that waits for a step.
 type batchItem struct {
-	// prefillTime is the time that the token adds to its step for reading a prompt.
+	// prefillTime is the time that the token adds to its step for the prefill of a
+	// prompt.
 	prefillTime time.Duration
 	// priority is the priority of the request; a step takes the highest first.
 	priority int
@@ -28,8 +30,8 @@
 	canceled  bool
 }
 
-// run waits until a step with the item has run and returns when the step started.
-// step returns the length of a step without prefill.
+// run waits until a step with the item has run and returns the start time of the
+// step. step returns the duration of a step without prefill.
 func (b *batch) run(ctx context.Context, capacity int, item *batchItem, step func() time.Duration) (time.Time, error) {
 	item.done = make(chan struct{})
 	b.mu.Lock()
@@ -70,18 +72,18 @@
 		if len(items) == 0 {
 			return
 		}
-		length := step()
+		duration := step()
 		for _, item := range items {
-			length += item.prefillTime
+			duration += item.prefillTime
 		}
-		wait.For(context.Background(), time.Until(startedAt.Add(length)))
+		wait.For(context.Background(), time.Until(startedAt.Add(duration)))
 		for _, item := range items {
 			item.startedAt = startedAt
 			close(item.done)
 		}
-		startedAt = startedAt.Add(length)
-		if now := time.Now(); now.Sub(startedAt) > length {
-			// The process was paused; missed steps are not made up for.
+		startedAt = startedAt.Add(duration)
+		if now := time.Now(); now.Sub(startedAt) > duration {
+			// The process was paused; missed steps are skipped.
 			startedAt = now
 		}
 	}
--- a/stand/internal/engine/batch_test.go
+++ b/stand/internal/engine/batch_test.go
@@ -41,8 +41,8 @@
 	c.Assert(b.queued(), quicktest.Equals, 0)
 }
 
-// A client disconnects while its token waits for a step. The token must not take
-// up capacity, or abandoned requests would slow down the others.
+// Guards against running a token whose client disconnected while the token was
+// queued: abandoned requests would slow down the others.
 func TestBatchOmitsCanceledItems(t *testing.T) {
 	c := quicktest.New(t)
 	b := &batch{running: true}
@@ -64,8 +64,8 @@
 	}
 }
 
-// A load report states its age. A router that took an old report for a current one
-// would send all requests to the server that was idle at the time of the report.
+// Guards against a load report without its age: a router that took an old report
+// for a current one would send all requests to the server that was idle then.
 func TestReportStatesItsAge(t *testing.T) {
 	c := quicktest.New(t)
 	history := &reportHistory{}
--- a/stand/internal/engine/engine.go
+++ b/stand/internal/engine/engine.go
@@ -31,7 +31,7 @@
 	// PrefillTime is the time to read one word of a prompt, or one token that
 	// the client already has, before the first new token.
 	PrefillTime time.Duration
-	// Capacity is the most tokens that one step runs; the rest wait.
+	// Capacity is the most tokens that one step runs; further ones are queued.
 	Capacity int
 	// LinkDelay is the one-way delay of links that are not in Links.
 	LinkDelay time.Duration
@@ -59,11 +59,11 @@
 type counts struct {
 	// runs counts the tokens that the engine ran its layers for.
 	runs atomic.Int64
-	// accepted counts the chains that the engine accepted as any stage of them.
+	// accepted counts the chains that the engine accepted, whichever its stage.
 	accepted atomic.Int64
 	// refused counts the requests that the engine refused.
 	refused atomic.Int64
-	// cancelled counts the answers whose client disconnected before the end.
+	// cancelled counts the streams whose client disconnected before the end.
 	cancelled atomic.Int64
 	// inFlight counts the calls in progress.
 	inFlight atomic.Int64
--- a/stand/internal/engine/faults.go
+++ b/stand/internal/engine/faults.go
@@ -44,8 +44,8 @@
 	OmitLastLayer inject.Kind = "wrongrange"
 )
 
-// The exit statuses of the exit faults. A session tells by the status which kind of
-// fault ended the engine.
+// The exit statuses of the exit faults. They show tests which fault ended the
+// engine.
 const (
 	exitFault       = 3
 	exitCrashPrompt = 4
@@ -93,8 +93,8 @@
 	return e.TokenTime
 }
 
-// applyFaults exits if a fault says so for this step, and waits while the engine is
-// frozen.
+// applyFaults exits if an exit fault applies to this step, and waits while the
+// engine is frozen.
 func (e *Engine) applyFaults(ctx context.Context, s *step) error {
 	if f, active := e.Faults.Active(CrashOnPrompt); active && f.Value == s.Prompt {
 		slog.Error("engine: exit by injected crash on prompt", "server", e.Name, "request", s.Request, "prompt", s.Prompt)
--- a/stand/internal/engine/order_test.go
+++ b/stand/internal/engine/order_test.go
@@ -9,9 +9,10 @@
 	wire "fuchsiashelf.dev/parts/engine"
 )
 
-// A lease holder that was paused past the end of its lease sends orders again. An
-// engine with fencing refuses them by their number, one without by their deadline.
-// Otherwise it would load a model that the current holder never ordered.
+// Guards against loading a model that the current lease holder never ordered: an
+// earlier holder was paused past the end of its lease and then sends its orders.
+// An engine with fencing refuses them by their number, one without by their
+// deadline.
 func TestStaleOrderIsRefused(t *testing.T) {
 	c := quicktest.New(t)
 	now := time.UnixMilli(10_000)
--- a/stand/internal/engine/serve.go
+++ b/stand/internal/engine/serve.go
@@ -71,7 +71,7 @@
 	peer *swapPeer
 }
 
-// run streams the answer. It fails only if the client disconnected.
+// run streams the response. It fails only if the client disconnected.
 func (s *tokenStream) run(ctx context.Context) error {
 	if _, active := s.Faults.Active(SwapStreams); active {
 		s.peer = s.swap.join(ctx)
@@ -107,7 +107,7 @@
 	return s.send(ctx, wire.Frame{End: true, Count: s.req.Max})
 }
 
-// send writes a frame of this stream, changed by the faults of streams.
+// send writes a frame of this stream after applying the faults that affect frames.
 func (s *tokenStream) send(ctx context.Context, f wire.Frame) error {
 	f.Request, f.Attempt = s.req.RequestID, s.req.Attempt
 	if s.peer != nil {
--- a/stand/internal/engine/step.go
+++ b/stand/internal/engine/step.go
@@ -23,8 +23,8 @@
 	MaxIdleConnsPerHost: maxIdle,
 }}
 
-// step is one token on its way through a chain. Each stage sends it to the next,
-// and the last one returns it.
+// step is the state of one token as it passes through a chain. Each stage sends it
+// to the next, and the last one returns it.
 type step struct {
 	Request string `json:"request"`
 	Attempt int    `json:"attempt"`
@@ -60,8 +60,8 @@
 	return &stepFailure{Server: e.Name, Message: err.Error()}
 }
 
-// admit accepts the chain of a step, unless the fault Refuse triggers for a new
-// chain.
+// admit accepts the chain of a step. It fails for a new chain if the fault Refuse
+// triggers.
 func (e *Engine) admit(s *step) error {
 	key := chainKey{s.Request, s.Attempt}
 	now := time.Now()
--- a/stand/internal/engine/swap.go
+++ b/stand/internal/engine/swap.go
@@ -7,7 +7,7 @@
 	wire "fuchsiashelf.dev/parts/engine"
 )
 
-// streamSwap pairs streams that send each other's frames.
+// streamSwap pairs streams so that each sends the frames of the other.
 type streamSwap struct {
 	mu      sync.Mutex
 	waiting *swapPeer
--- a/stand/internal/object/fault.go
+++ b/stand/internal/object/fault.go
@@ -13,8 +13,9 @@
 	"fuchsiashelf.dev/stand/inject"
 )
 
-// The faults of the store. The faults of writes apply only to keys that start with
-// the fault's value, so that a test can lose one write among many.
+// The faults of the store. DropReply, DropWrite and HoldReply apply only to writes
+// of keys that start with the fault's value, so that a test can affect one write
+// among many.
 const (
 	// Outage: every call is answered with 503.
 	Outage inject.Kind = "outage"
@@ -28,8 +29,8 @@
 	// HoldReply: the write takes effect and its response waits until the faults
 	// are cleared. GET /counts counts held responses as "held".
 	HoldReply inject.Kind = "hold"
-	// StaleReads: reads return the value before the newest, like a replica that
-	// was restored from an older copy.
+	// StaleReads: reads return the value before the newest write, like a replica
+	// that was restored from an older copy.
 	StaleReads inject.Kind = "old"
 	// BreakWatches: the connections of pending watches are closed.
 	BreakWatches inject.Kind = "break"
@@ -38,8 +39,8 @@
 	Disconnect inject.Kind = "cut"
 )
 
-// wrap returns a handler that counts a call, and applies the rate limit and the
-// faults of all calls before next.
+// wrap returns a handler that counts a call and applies the rate limit and the
+// faults that affect all calls, before it calls next.
 func (s *Server) wrap(kind string, limit *rateLimit, next app.HandlerFunc) app.HandlerFunc {
 	return func(ctx context.Context, c *app.RequestContext) {
 		s.Store.CountCall(kind, entryHost(c))
@@ -77,13 +78,13 @@
 	return active && slices.Contains(strings.Split(disconnect.Value, ","), entryHost(c))
 }
 
-// triggerFor triggers a fault of writes if it applies to the key.
+// triggerFor triggers a fault that affects writes if it applies to the key.
 func (s *Server) triggerFor(kind inject.Kind, key string) bool {
 	_, triggered := s.Faults.TriggerIf(kind, func(value string) bool { return strings.HasPrefix(key, value) })
 	return triggered
 }
 
-// breaksWatch reports whether the connection of a pending watch is to be closed.
+// breaksWatch reports whether a fault closes the connection of a pending watch.
 func (s *Server) breaksWatch(c *app.RequestContext) bool {
 	if s.isDisconnected(c) {
 		return true
--- a/stand/internal/object/object.go
+++ b/stand/internal/object/object.go
@@ -79,7 +79,7 @@
 }
 
 // Previous returns an object as it was before its newest write, or as it is now if
-// there was one write only.
+// it was written only once.
 func (s *Store) Previous(key string) store.Object {
 	s.mu.Lock()
 	defer s.mu.Unlock()
@@ -207,7 +207,7 @@
 	return list, s.changed
 }
 
-// notify wakes all that wait for a change. The caller holds the mutex.
+// notify wakes all watches. The caller holds the mutex.
 func (s *Store) notify() {
 	close(s.changed)
 	s.changed = make(chan struct{})
--- a/stand/internal/object/serve.go
+++ b/stand/internal/object/serve.go
@@ -97,7 +97,7 @@
 	})
 }
 
-// write applies a conditional write and the faults of writes.
+// write applies a conditional write and the faults that affect writes.
 func (s *Server) write(ctx context.Context, c *app.RequestContext, apply func(uint64) (uint64, bool)) {
 	version, err := strconv.ParseUint(string(c.GetHeader("If-Match")), 10, 64)
 	if err != nil {
@@ -172,9 +172,9 @@
 	c.JSON(200, list)
 }
 
-// wait polls until there is something new, waitMs is over or the caller closed the
-// connection. It reports false if a fault ends the wait, and the connection is to
-// be closed.
+// wait polls until there is a change, waitMs is over or the client has closed the
+// connection. It reports false if a fault ends the wait; the caller then closes
+// the connection.
 func (s *Server) wait(ctx context.Context, c *app.RequestContext, poll func() (bool, <-chan struct{})) bool {
 	ms, _ := strconv.Atoi(c.Query("waitMs"))
 	timeout := time.NewTimer(time.Duration(ms) * time.Millisecond)
--- a/stand/internal/object/serve_test.go
+++ b/stand/internal/object/serve_test.go
@@ -34,8 +34,8 @@
 	return &store.Client{Address: listener.Addr().String(), Entry: "e1"}
 }
 
-// A failed write may have taken effect. The verdict of the client's error must not
-// claim more than the client can know.
+// Guards against an error whose verdict says that a write did not take effect,
+// although the client cannot know that.
 func TestWriteFaults(t *testing.T) {
 	for _, test := range []struct {
 		fault   inject.Fault
@@ -58,8 +58,8 @@
 	}
 }
 
-// A fault of writes applies to the keys with its prefix only. Writes of other keys
-// succeed and don't decrement its count.
+// A fault that affects writes applies only to keys with its prefix. Writes of other
+// keys succeed and don't decrement its count.
 func TestWriteFaultAppliesToItsPrefixOnly(t *testing.T) {
 	s := &Server{}
 	client := serve(t, s)
--- a/stand/internal/plain/fault.go
+++ b/stand/internal/plain/fault.go
@@ -11,8 +11,7 @@
 	"fuchsiashelf.dev/stand/inject"
 )
 
-// The faults of a plain service. Where nothing else is said, they apply when a
-// call arrives.
+// The faults of a plain service.
 const (
 	// Refuse: the call is refused with the Not-Run header; the value is the reason.
 	Refuse inject.Kind = "refuse"
@@ -36,8 +35,8 @@
 // exitStatus is the status that the fault Exit exits with.
 const exitStatus = 3
 
-// beforeCall applies the faults that come before the call takes effect. It reports
-// whether the call ends there.
+// beforeCall applies the faults that act before the call takes effect. It reports
+// whether the call is finished.
 func (s *Service) beforeCall(ctx context.Context, c *app.RequestContext) bool {
 	if f, triggered := s.Faults.Trigger(Refuse); triggered {
 		reason := f.Value
@@ -59,8 +58,8 @@
 	return false
 }
 
-// afterCall applies the faults that come between the effect of the call and its
-// response. It reports whether the call ends there.
+// afterCall applies the faults that act between the effect of the call and its
+// response. It reports whether the call is finished.
 func (s *Service) afterCall(ctx context.Context, c *app.RequestContext) bool {
 	released := s.Faults.Cleared()
 	if _, triggered := s.Faults.Trigger(HoldReply); triggered {
--- a/stand/internal/plain/plain.go
+++ b/stand/internal/plain/plain.go
@@ -34,7 +34,7 @@
 	Count  int    `json:"count"`
 }
 
-// Routes makes the service answer every path.
+// Routes adds a route for every path.
 func (s *Service) Routes(h *server.Hertz) {
 	h.Any("/*path", s.call)
 }
--- a/stand/prog/prog.go
+++ b/stand/prog/prog.go
@@ -65,7 +65,7 @@
 	return []ff.Option{ff.WithEnvVarPrefix("FSSTAND")}
 }
 
-// common holds the settings that all roles have.
+// common holds the settings that all roles share.
 type common struct {
 	name, listen, control string
 	stdout                io.Writer
--- a/stand/token/token.go
+++ b/stand/token/token.go
@@ -2,7 +2,7 @@
 //
 // Each layer hashes its number into a running state, and the state after the
 // last layer is the token. A layer that is omitted, repeated, out of order or
-// wrong changes the token, and a test compares answers with [Answer].
+// wrong changes the token, so that tests find it by comparing with [Expected].
 package token
 
 import (
@@ -34,8 +34,8 @@
 	return fmt.Sprintf("%016x", uint64(s))
 }
 
-// Answer returns the tokens of a complete answer.
-func Answer(prompt string, layers, count int) []string {
+// Expected returns the tokens of a complete and correct response.
+func Expected(prompt string, layers, count int) []string {
 	tokens := make([]string, count)
 	for i := range tokens {
 		tokens[i] = Start(prompt, i).Apply(0, layers).Token()
