--- a/soak/cluster.go
+++ b/soak/cluster.go
@@ -33,7 +33,7 @@
 	Settings
 	platform fakes.Platform
 	entries  []*entryHost
-	// serverProxies has the proxies in front of backend servers.
+	// serverProxies are the proxies in front of backend servers.
 	serverProxies []*proxy.Proxy
 
 	mu            sync.Mutex
@@ -42,15 +42,15 @@
 	serversAdded  int
 }
 
-// entryHost is the process of an entry host and the proxy between it and the
-// store.
+// entryHost is the process of an entry host, with the proxy through which it
+// reaches the store.
 type entryHost struct {
 	cluster                       *cluster
 	name, zone                    string
 	callerAddr, opsAddr, peerAddr string
 	storeProxy                    *proxy.Proxy
 	seedAddr                      string
-	// restartMu is held while the process is replaced by a new one.
+	// restartMu is held during a restart of the process.
 	restartMu sync.Mutex
 
 	mu     sync.Mutex
@@ -173,14 +173,14 @@
 	if e.cluster.OnStart != nil {
 		e.cluster.OnStart(cmd.Process)
 	}
-	done := make(chan struct{})
+	exited := make(chan struct{})
 	go func() {
-		// The exit status is ignored; the checks of the callers detect a crash.
+		// The exit status is ignored; callers detect a crash by their checks.
 		_ = cmd.Wait()
-		close(done)
+		close(exited)
 	}()
 	e.mu.Lock()
-	e.cmd, e.exited = cmd, done
+	e.cmd, e.exited = cmd, exited
 	e.mu.Unlock()
 	return nil
 }
@@ -196,12 +196,13 @@
 // wait waits until the process has exited.
 func (e *entryHost) wait() {
 	e.mu.Lock()
-	done := e.exited
+	exited := e.exited
 	e.mu.Unlock()
-	<-done
+	<-exited
 }
 
-// shutDown asks the process to drain and exit, and waits until it has.
+// shutDown sends SIGTERM, upon which the process drains and exits, and waits until
+// it has exited.
 func (e *entryHost) shutDown() {
 	e.signal(syscall.SIGTERM)
 	e.wait()
--- a/soak/cmd/fssoak/main.go
+++ b/soak/cmd/fssoak/main.go
@@ -72,8 +72,8 @@
 }
 
 // killOnSignal kills all processes when the soak receives a termination signal.
-// Otherwise they would keep sending to the addresses of their peers, and a later
-// run whose entry hosts got these addresses would receive servers and
+// Otherwise they would keep sending gossip to the addresses of their peers, and
+// entry hosts of a later run that got these addresses would take over servers and
 // configurations of the earlier run.
 func (p *processes) killOnSignal() {
 	signals := make(chan os.Signal, 1)
--- a/soak/faults.go
+++ b/soak/faults.go
@@ -21,8 +21,8 @@
 // injectFaults injects random faults for FaultDuration and then waits until the
 // active ones have ended.
 func (r *run) injectFaults() error {
-	// Wait for restarts as well: a process that starts after the run has ended
-	// would never be killed.
+	// Restarts count as active faults, because a process that started after the
+	// end of the run would never be killed.
 	defer r.activeFaults.Wait()
 	for time.Since(r.start) < r.FaultDuration {
 		time.Sleep(r.randomDuration(minPause, maxPause))
@@ -119,7 +119,7 @@
 }
 
 // replaceServer crashes a backend server and starts a new one. undo deletes the
-// store's entry of the crashed server.
+// entry of the crashed server from the store.
 func (r *run) replaceServer() (string, func(), error) {
 	r.cluster.mu.Lock()
 	i := r.rand.IntN(len(r.cluster.servers))
@@ -131,7 +131,8 @@
 	return old.ID + ": crashed and replaced", func() { r.cluster.platform.Store.Delete("servers", old.ID) }, err
 }
 
-// injectServerFault makes a backend server drop, refuse or truncate answers.
+// injectServerFault makes a backend server drop responses, refuse requests or
+// truncate a stream.
 func (r *run) injectServerFault() (string, func(), error) {
 	r.cluster.mu.Lock()
 	s := r.cluster.servers[r.rand.IntN(len(r.cluster.servers))]
--- a/soak/proxy/proxy.go
+++ b/soak/proxy/proxy.go
@@ -126,7 +126,7 @@
 }
 
 // forward copies data in one direction until either side closes its connection.
-// reply says that the data comes from the target.
+// reply is true for data from the target.
 func (p *Proxy) forward(dst, src net.Conn, reply bool) {
 	buffer := make([]byte, 16<<10)
 	for {
--- a/soak/soak.go
+++ b/soak/soak.go
@@ -2,7 +2,7 @@
 // platform, injects seeded random faults from outside, and checks the system's
 // guarantees from what callers and backend servers observe.
 //
-// During the faults it checks that an answer that ends without an error is
+// During the faults it checks that a response that ends without an error is
 // complete and belongs to the request, that a payment runs at most once, that a
 // refused payment has not run, and that each chain runs every layer once and in
 // order. After the last fault it checks that all entry hosts recover, that
@@ -38,7 +38,7 @@
 // Report is the result of a run.
 type Report struct {
 	Seed uint64
-	// Requests counts all requests, Succeeded those with a successful answer.
+	// Requests counts all requests, Succeeded those with a successful response.
 	Requests, Succeeded int
 	// Faults describes the injected faults, each with its time since the start.
 	Faults []string
@@ -58,7 +58,7 @@
 
 	mu     sync.Mutex
 	report Report
-	// refusedPayments has the IDs of payments whose status says that they have
+	// refusedPayments holds the IDs of payments whose status says that they did
 	// not run.
 	refusedPayments map[string]bool
 	requestCount    int
@@ -71,12 +71,12 @@
 		Settings: s, rand: rand.New(rand.NewPCG(s.Seed, s.Seed)), start: time.Now(),
 		report: Report{Seed: s.Seed}, refusedPayments: map[string]bool{},
 	}
-	cl, err := newCluster(s)
+	c, err := newCluster(s)
 	if err != nil {
 		return r.report, err
 	}
-	r.cluster = cl
-	defer func() { _ = cl.close() }()
+	r.cluster = c
+	defer func() { _ = c.close() }()
 	stop := make(chan struct{})
 	var callers sync.WaitGroup
 	for i := range s.Callers {
@@ -140,7 +140,7 @@
 	}
 }
 
-// sendPayment sends a request that may run at most once, and checks its answer.
+// sendPayment sends a request that may run at most once, and checks its response.
 // It reports whether the request succeeded.
 func (r *run) sendPayment(e int) bool {
 	id := r.newID("pay")
@@ -159,7 +159,7 @@
 	return ok
 }
 
-// sendLookup sends a request that may be retried, and checks its answer. It
+// sendLookup sends a request that may be retried, and checks its response. It
 // reports whether the request succeeded.
 func (r *run) sendLookup(e int) bool {
 	id := r.newID("look")
@@ -172,7 +172,7 @@
 	return ok
 }
 
-// sendStream sends a streaming request, and checks its answer. It reports
+// sendStream sends a streaming request, and checks its response. It reports
 // whether the request succeeded.
 func (r *run) sendStream(e, events int) bool {
 	id := r.newID("ask")
@@ -237,7 +237,8 @@
 	}
 }
 
-// checkExecutions checks the executions that the backend servers recorded.
+// checkExecutions checks that the backend servers ran no payment twice or after
+// it was refused, and adds the violations that they recorded.
 func (r *run) checkExecutions() {
 	executions := map[string]int{}
 	for _, execution := range r.cluster.platform.Executions() {
--- a/soak/soak_test.go
+++ b/soak/soak_test.go
@@ -19,9 +19,9 @@
 	return program
 }
 
-// Overlapping crashes, pauses, restarts and link, store and server failures may
-// fail requests, but must never lead to a wrong or truncated answer that looks
-// complete, nor to a payment that runs twice or after it was refused.
+// Guards against wrong or truncated responses that look complete, and against
+// payments that run twice or after they were refused, while crashes, pauses,
+// restarts and failures of links, store and servers overlap.
 func TestSeeds(t *testing.T) {
 	program := build(t)
 	for _, seed := range []uint64{1, 7} {
@@ -29,9 +29,9 @@
 	}
 }
 
-// Identical requests of all callers must not be blocked as poisoned when three
-// links and servers fail within a minute: each request in flight on one of them
-// counted as a cause of the failure, so all callers were refused for a minute.
+// Guards against blocking the identical requests of all callers as poisoned for a
+// minute when three links and servers fail within a minute. Each request in
+// flight on one of them counts as a possible cause of the failure.
 func TestFailuresDoNotBlockIdenticalRequests(t *testing.T) {
 	runSeed(t, soak.Settings{Seed: 131, FaultDuration: 10 * time.Second, EntryHosts: 4, Callers: 16, Program: build(t)})
 }
