--- a/load/internal/call/call.go
+++ b/load/internal/call/call.go
@@ -1,4 +1,4 @@
-// Package call makes the calls of a load run and checks their answers.
+// Package call makes the calls of a load run and checks the responses.
 package call
 
 import (
@@ -15,15 +15,15 @@
 
 // The results of calls.
 const (
-	// Complete: the caller got its own complete and correct answer.
+	// Complete: the caller got its own complete and correct response.
 	Complete Result = iota
-	// Refused: an error came instead of an answer.
+	// Refused: the response is an error.
 	Refused
-	// Failed: an error event came in the stream of an answer.
+	// Failed: the stream contains an error event.
 	Failed
-	// Lost: the connection ended without a complete answer or an error.
+	// Lost: the connection ended without a complete response or an error.
 	Lost
-	// Wrong: the answer is incorrect, too short or another caller's.
+	// Wrong: the response is incorrect, too short or another caller's.
 	Wrong
 )
 
@@ -63,8 +63,8 @@
 	ID bool
 }
 
-// maxIdle is the most idle connections kept to one entry host. It is the default of
-// -max-open, so that a call seldom has to dial.
+// maxIdle is the most idle connections kept to one entry host. It equals the default
+// of -max-open, so that calls seldom need a new connection.
 const maxIdle = 4096
 
 var client = &http.Client{Transport: &http.Transport{
@@ -74,7 +74,7 @@
 	DisableCompression:  true,
 }}
 
-// Do makes the call of an arrival and checks the answer.
+// Do makes the call of an arrival and checks the response.
 func (c *Caller) Do(ctx context.Context, arrival plan.Arrival, observer TokenObserver) Outcome {
 	ctx, cancel := context.WithTimeout(ctx, c.Timeout)
 	defer cancel()
--- a/load/internal/call/call_test.go
+++ b/load/internal/call/call_test.go
@@ -32,10 +32,10 @@
 	return "event: " + kind + "\ndata: " + data
 }
 
-// A truncated answer, or one with wrong or repeated tokens, looks like a valid
-// stream. The load run must not count it as goodput, or its report would hide
+// Guards against counting truncated responses, or responses with wrong or repeated
+// tokens, as goodput: they look like valid streams, and the report would hide
 // failures.
-func TestIncorrectAnswersAreDetected(t *testing.T) {
+func TestIncorrectResponsesAreDetected(t *testing.T) {
 	correct := token.Expected("p", layers, 2)
 	tokens := []string{}
 	for i, text := range correct {
--- a/load/internal/call/generate.go
+++ b/load/internal/call/generate.go
@@ -51,7 +51,7 @@
 	if resp.StatusCode != http.StatusOK {
 		return readRefusal(resp)
 	}
-	r := &answerReader{arrival: arrival, layers: c.Layers, observer: observer}
+	r := &responseReader{arrival: arrival, layers: c.Layers, observer: observer}
 	return r.read(resp.Body)
 }
 
@@ -65,8 +65,8 @@
 	return Outcome{Result: Refused, Code: e.Code, Verdict: e.Verdict}
 }
 
-// answerReader reads and checks one streamed answer.
-type answerReader struct {
+// responseReader reads and checks one streamed response.
+type responseReader struct {
 	arrival  plan.Arrival
 	layers   int
 	observer TokenObserver
@@ -76,8 +76,8 @@
 	outcome Outcome
 }
 
-// read reads events until the answer ends.
-func (r *answerReader) read(stream io.Reader) Outcome {
+// read reads events until the response ends.
+func (r *responseReader) read(stream io.Reader) Outcome {
 	resp := &protocol.Response{}
 	resp.Header.SetContentType("text/event-stream")
 	resp.SetBodyStream(stream, -1)
@@ -97,7 +97,7 @@
 }
 
 // handle checks one event. Events after the end are not read.
-func (r *answerReader) handle(e *sse.Event) {
+func (r *responseReader) handle(e *sse.Event) {
 	var data event
 	if err := json.Unmarshal(e.Data, &data); err != nil {
 		r.end(Outcome{Result: Wrong})
@@ -121,15 +121,15 @@
 	}
 }
 
-// isCorrect compares a token with the token that all layers compute.
-func (r *answerReader) isCorrect(data event) bool {
+// isCorrect reports whether a token is the one that all layers compute.
+func (r *responseReader) isCorrect(data event) bool {
 	if r.layers == 0 {
 		return true
 	}
 	return token.Start(r.arrival.Prompt, data.Index).Apply(0, r.layers).Token() == data.Token
 }
 
-func (r *answerReader) end(o Outcome) {
+func (r *responseReader) end(o Outcome) {
 	r.done = true
 	r.outcome = o
 }
--- a/load/internal/call/plain.go
+++ b/load/internal/call/plain.go
@@ -12,7 +12,7 @@
 	"fuchsiashelf.dev/load/internal/plan"
 )
 
-// echo is the part of a plain response that shows whose request it answers.
+// echo is the part of a plain response that identifies the request it belongs to.
 type echo struct {
 	Body string `json:"body"`
 }
--- a/load/internal/chaos/fault.go
+++ b/load/internal/chaos/fault.go
@@ -63,8 +63,8 @@
 	"CONT": syscall.SIGCONT, "TERM": syscall.SIGTERM,
 }
 
-// Inject injects the fault. A stand-in that exits because of it may not answer, so
-// an error need not mean that the fault failed.
+// Inject injects the fault. A stand-in that exits because of the fault may not
+// respond, so an error does not always mean that the injection failed.
 func (f Fault) Inject(ctx context.Context) error {
 	if pid, found := strings.CutPrefix(f.Control, processPrefix); found {
 		return f.signal(pid)
--- a/load/internal/plan/mix.go
+++ b/load/internal/plan/mix.go
@@ -7,7 +7,7 @@
 	"strings"
 )
 
-// Choice is one alternative of a mix.
+// Choice is one element of a mix, with its weight.
 type Choice struct {
 	Name   string
 	Weight float64
@@ -48,7 +48,7 @@
 	return m[len(m)-1].Name
 }
 
-// Sizes is a mix of answer lengths, in tokens.
+// Sizes is a mix of response lengths, in tokens.
 type Sizes struct {
 	mix    Mix
 	tokens map[string]int
--- a/load/internal/plan/plan.go
+++ b/load/internal/plan/plan.go
@@ -1,9 +1,9 @@
 // Package plan decides what a load run sends and when.
 //
 // Arrivals are open loop: their times follow a Poisson process and don't depend on
-// earlier answers, like the requests of independent callers of a public service.
-// So a slow system gets a growing queue, and the results show it. All random draws
-// come from one seed, so that a run can be repeated.
+// earlier responses, like the requests of independent callers of a public service.
+// So the queue of a system that is too slow grows, and the results show it. All
+// random draws come from one seed, so that a run can be repeated.
 package plan
 
 import (
@@ -21,11 +21,11 @@
 	At time.Duration
 	// Team is the team that sends it.
 	Team string
-	// Plain sends it to the plain service instead of a model.
+	// Plain selects the plain service instead of a model.
 	Plain bool
 	// Prompt is the prompt of a model request.
 	Prompt string
-	// Tokens is the requested length of the answer.
+	// Tokens is the requested length of the response.
 	Tokens int
 }
 
@@ -41,7 +41,7 @@
 	Limit int
 	// Teams are drawn by weight.
 	Teams Mix
-	// Sizes are answer lengths that are drawn by weight.
+	// Sizes are response lengths that are drawn by weight.
 	Sizes Sizes
 	// PlainShare is the share of plain calls, from 0 to 1.
 	PlainShare float64
--- a/load/internal/plan/plan_test.go
+++ b/load/internal/plan/plan_test.go
@@ -66,8 +66,8 @@
 			at += time.Duration(rapid.IntRange(1, 1e9).Draw(t, "step"))
 		}
 		got := r.Rate(time.Duration(rapid.Int64Range(0, 7e9).Draw(t, "at")))
-		const slack = 1e-6
-		if got < low-slack || got > high+slack {
+		const tolerance = 1e-6
+		if got < low-tolerance || got > high+tolerance {
 			t.Fatalf("rate %v outside %v to %v", got, low, high)
 		}
 	})
--- a/load/internal/runner/runner.go
+++ b/load/internal/runner/runner.go
@@ -39,7 +39,7 @@
 	startedAt time.Time
 }
 
-// Do executes the run and returns its report. It ends once all calls are answered,
+// Do executes the run and returns its report. It ends once all calls have ended,
 // Drain is over or the context ends.
 func (r *Run) Do(ctx context.Context) (*stats.Report, error) {
 	pool, err := ants.NewPool(r.MaxOpen, ants.WithNonblocking(true), ants.WithPreAlloc(false))
@@ -99,7 +99,7 @@
 		if !sleepUntil(ctx, r.startedAt.Add(f.At)) {
 			return
 		}
-		r.Recorder.Fault(f.String(), time.Now())
+		r.Recorder.RecordFault(f.String(), time.Now())
 		if err := f.Inject(ctx); err != nil {
 			fmt.Fprintf(r.Log, "fsload: fault %s: %v\n", f, err)
 		}
--- a/load/internal/stats/recorder.go
+++ b/load/internal/stats/recorder.go
@@ -2,8 +2,8 @@
 //
 // Latencies are measured from the scheduled send time of a call, not from the
 // actual one: a sender that falls behind would otherwise omit the longest waits
-// (coordinated omission). The delay of the sender itself is reported separately,
-// so that a reader can tell its share.
+// (coordinated omission). The delay of the sender is also reported separately, to
+// show its share of the latencies.
 package stats
 
 import (
@@ -97,14 +97,14 @@
 	}
 }
 
-// Fault records that a fault is injected.
-func (r *Recorder) Fault(name string, now time.Time) {
+// RecordFault records that a fault is injected.
+func (r *Recorder) RecordFault(name string, now time.Time) {
 	r.mu.Lock()
 	defer r.mu.Unlock()
 	r.faults = append(r.faults, &openFault{name: name, at: now})
 }
 
-// Skip records an arrival that was not sent because too many calls were open.
+// Skip records that an arrival was not sent because too many calls were open.
 func (r *Recorder) Skip() {
 	r.mu.Lock()
 	defer r.mu.Unlock()
@@ -230,9 +230,9 @@
 	}
 }
 
-// countTokens counts the tokens of a complete answer, each at its time of arrival.
-// So an answer that extends past the end of the run counts in part, and an answer
-// that turns out wrong does not count.
+// countTokens counts the tokens of a complete response, each at its time of
+// arrival. So a response that extends past the end of the run counts in part, and
+// one that turns out wrong does not count.
 func (s *Stream) countTokens() {
 	if s.arrival.Plain {
 		return
@@ -247,7 +247,7 @@
 	}
 }
 
-// recordEnded counts the stream for each fault after which it got no token.
+// recordEnded counts a failed stream for each fault after which it got no token.
 func (s *Stream) recordEnded(now time.Time) {
 	for _, f := range s.recorder.faults {
 		if !s.lastToken.IsZero() && f.at.After(s.lastToken) && !f.at.After(now) {
--- a/load/internal/stats/recorder_test.go
+++ b/load/internal/stats/recorder_test.go
@@ -19,17 +19,17 @@
 }
 
 func newRecorder() *stats.Recorder {
-	t := &stats.Recorder{Warmup: time.Second, Duration: 3 * time.Second, Tick: 500 * time.Millisecond}
-	t.Start(startedAt)
-	return t
+	r := &stats.Recorder{Warmup: time.Second, Duration: 3 * time.Second, Tick: 500 * time.Millisecond}
+	r.Start(startedAt)
+	return r
 }
 
 func arrival(ms int) plan.Arrival {
 	return plan.Arrival{At: time.Duration(ms) * time.Millisecond, Team: "cantata", Tokens: 2}
 }
 
-// When the sender falls behind, a call is sent late. Its latency must include that
-// delay, or the report would omit the longest waits (coordinated omission).
+// Guards against coordinated omission: when the sender falls behind and sends a call
+// late, the latency of the call must include that delay.
 func TestLatencyCountsFromScheduledSend(t *testing.T) {
 	c := qt.New(t)
 	recorder := newRecorder()
@@ -45,9 +45,9 @@
 	c.Assert(r.TokensPerSecond, qt.Equals, 1.0)
 }
 
-// An answer that fails after some tokens is useless to its caller, so its tokens
-// must not count as goodput.
-func TestOnlyCompleteAnswersAreGoodput(t *testing.T) {
+// Guards against counting tokens of a response that fails later as goodput: such a
+// response is useless to its caller.
+func TestOnlyCompleteResponsesAreGoodput(t *testing.T) {
 	c := qt.New(t)
 	recorder := newRecorder()
 	s := recorder.Open(arrival(1500), at(1500))
@@ -83,7 +83,7 @@
 		recorder.Open(arrival(2100), at(2100))
 	open.Token(at(1990))
 	ended.Token(at(1990))
-	recorder.Fault("2s kill", at(2000))
+	recorder.RecordFault("2s kill", at(2000))
 	open.Token(at(2080))
 	open.Token(at(2090))
 	ended.Close(call.Outcome{Result: call.Lost}, at(2200))
--- a/load/internal/stats/report.go
+++ b/load/internal/stats/report.go
@@ -28,7 +28,7 @@
 	Lost     int `json:"lost"`
 	Wrong    int `json:"wrong"`
 	// CompletePerSecond and TokensPerSecond are the goodput: complete and correct
-	// answers, and the tokens of such answers.
+	// responses, and their tokens.
 	CompletePerSecond float64 `json:"wholePerSecond"`
 	TokensPerSecond   float64 `json:"tokensPerSecond"`
 	// First is the time from the scheduled send to the first token.
@@ -37,7 +37,7 @@
 	Gap Quantiles `json:"gap"`
 	// Plain is the time to the response of a plain call.
 	Plain Quantiles `json:"plain"`
-	// Total is the time to the end of a complete answer.
+	// Total is the time to the end of a complete response.
 	Total Quantiles `json:"total"`
 	// Refusal is the time to a refusal.
 	Refusal Quantiles `json:"refusal"`
@@ -45,7 +45,8 @@
 	Codes map[string]int `json:"codes,omitempty"`
 }
 
-// FaultImpact is the effect of a fault on the streams that were open.
+// FaultImpact is the effect of a fault on the streams that were open when it was
+// injected.
 type FaultImpact struct {
 	// Fault is the fault as chaos.Fault prints it.
 	Fault string `json:"what"`
@@ -65,7 +66,7 @@
 	Tokens   int     `json:"tokens"`
 	Complete int     `json:"whole"`
 	Refused  int     `json:"refused"`
-	// Bad counts failed, lost and wrong answers.
+	// Bad counts the calls that failed, were lost or got a wrong response.
 	Bad int `json:"bad"`
 	// FirstP50 and FirstP95 are quantiles of the time to the first token of the
 	// calls scheduled in this row, in milliseconds.
--- a/load/prog/prog.go
+++ b/load/prog/prog.go
@@ -1,5 +1,5 @@
 // Package prog implements the program fsload, an open-loop load generator that
-// checks and measures every answer.
+// checks and measures every response.
 package prog
 
 import (
@@ -16,8 +16,8 @@
 	"fuchsiashelf.dev/parts/boot"
 )
 
-// Main runs the program and returns its exit status. The status is 1 if any answer
-// was wrong, whatever the load.
+// Main runs the program and returns its exit status. The status is 1 if any
+// response was wrong, since no load excuses that.
 func Main(ctx context.Context, args []string, _ io.Reader, stdout, stderr io.Writer) int {
 	if boot.PrintVersion("fsload", args, stdout) {
 		return 0
--- a/load/prog/prog_test.go
+++ b/load/prog/prog_test.go
@@ -16,7 +16,7 @@
 	"fuchsiashelf.dev/load/prog"
 )
 
-// One run reports every invalid flag, not only the first.
+// Guards against an error that reports only the first of several invalid flags.
 func TestAllInvalidSettingsAreReported(t *testing.T) {
 	c := qt.New(t)
 	var stderr strings.Builder
@@ -30,8 +30,8 @@
 	}
 }
 
-// Refusals don't make the run fail; each is counted in the report by code and
-// verdict.
+// Guards against a run that fails because requests were refused. The report must
+// count the refusals by code and verdict.
 func TestRunWritesReportAndSeries(t *testing.T) {
 	c := qt.New(t)
 	server := httptest.NewServer(http.HandlerFunc(func(w http.ResponseWriter, _ *http.Request) {
--- a/load/prog/settings.go
+++ b/load/prog/settings.go
@@ -87,7 +87,8 @@
 // maxTicks is the most rows of a time series.
 const maxTicks = 100_000
 
-// check parses and validates the flags. Its error lists all invalid flags.
+// check parses the flags whose values are lists and validates all flags. Its error
+// lists all invalid flags.
 func (s *settings) check() error {
 	var errs []error
 	addError := func(name, format string, args ...any) {
