--- a/desk/prog/desk.go
+++ b/desk/prog/desk.go
@@ -16,7 +16,7 @@
 	"fuchsiashelf.dev/parts/wire"
 )
 
-// Outcomes of a command, as entry hosts report them.
+// Outcomes of a command on the wire.
 const (
 	outcomeDone    = "done"
 	outcomeRefused = "refused"
@@ -29,9 +29,9 @@
 	stdout io.Writer
 }
 
-// sendAll sends the commands in order and returns the exit status. It stops at
-// the first that is not done, because later commands of a script depend on it;
-// -continue disables this.
+// sendAll sends the commands in order and returns the exit status. Without
+// -continue it stops at the first command that is not done, because later commands
+// of a script may depend on it.
 func (c *client) sendAll(ctx context.Context, lines []string) int {
 	status := 0
 	seen := c.seenRevision
@@ -55,7 +55,7 @@
 
 // sendUntilAnswered tries the entry hosts in order until one answers the
 // command. A command that was sent and not answered may have taken effect, so
-// every attempt carries the same ID, by which entry hosts recognize a repeat.
+// every attempt carries the same ID, by which entry hosts recognize duplicates.
 func (c *client) sendUntilAnswered(ctx context.Context, text string, seen uint64) *wire.Answer {
 	line := &wire.Line{Secret: c.secret, Id: c.id, Operator: c.operator, Text: text, Seen: seen}
 	if line.Id == "" {
@@ -96,8 +96,8 @@
 // dial connects to an entry host. With TLS it completes the handshake first, so
 // that no command is sent to a host without a certificate of the configured
 // authority. The entry host verifies the client certificate only after that: a
-// command that fails for the client certificate has the outcome unknown,
-// although it changed nothing.
+// command that it rejects for this certificate has the outcome unknown, although
+// it changed nothing.
 func (c *client) dial(ctx context.Context, entry string) (net.Conn, error) {
 	ctx, cancel := context.WithTimeout(ctx, dialTimeout)
 	defer cancel()
--- a/desk/prog/logs.go
+++ b/desk/prog/logs.go
@@ -18,7 +18,7 @@
 	lossesLine     = "show losses"
 )
 
-// lossWindow is the time that one row of the table of losses covers.
+// lossWindow is the duration that one row of the table of lost requests covers.
 const lossWindow = 2 * time.Second
 
 // answerFromLogs answers commands from log files of entry hosts, without
@@ -66,8 +66,8 @@
 	return err
 }
 
-// openLogs opens the log files. The returned function closes them; it must be
-// called also after an error.
+// openLogs opens the log files. The returned function closes them; the caller must
+// call it after an error as well.
 func (c *client) openLogs() ([]reqlog.Source, func(), error) {
 	var files []*os.File
 	closeAll := func() {
--- a/desk/prog/print.go
+++ b/desk/prog/print.go
@@ -40,8 +40,8 @@
 	fmt.Fprintln(c.stdout, summary(text, a))
 }
 
-// summary returns the answer as one line. For a command with an unknown
-// outcome it names the command that queries it later.
+// summary returns the answer as one line. If the outcome of a command is unknown,
+// the line names the command that queries it later.
 func summary(text string, a *wire.Answer) string {
 	out := a.Outcome
 	if a.Revision > 0 {
--- a/desk/prog/prog_test.go
+++ b/desk/prog/prog_test.go
@@ -18,8 +18,8 @@
 	"fuchsiashelf.dev/parts/wire"
 )
 
-// fakeEntryHost answers commands with the answers of a list, in order, and
-// returns an error without an answer where the list holds nil.
+// fakeEntryHost answers commands with the elements of answers, in order. For nil
+// it returns an error without an answer.
 type fakeEntryHost struct {
 	wire.DRPCDeskUnimplementedServer
 	mu      sync.Mutex
@@ -59,7 +59,7 @@
 	return status, out.String(), errs.String()
 }
 
-func TestInvalidSettings(t *testing.T) {
+func TestAllInvalidSettingsAreReported(t *testing.T) {
 	c := quicktest.New(t)
 	status, _, errs := runMain("", "-entry", "nowhere,10.0.0.1:7", "-operator", "", "-o", "xml", "-id", "a b", "-timeout", "-1s", "show", "pools")
 	c.Assert(status, quicktest.Equals, 2)
@@ -78,9 +78,8 @@
 	c.Assert(out, quicktest.Equals, "fsdesk 0.1.0\n")
 }
 
-// A script must stop at a refused command, because later commands depend on
-// it: a server could otherwise be removed although its replacement was never
-// added.
+// Guards against a script that continues after a refused command: a server could
+// be removed although its replacement was never added.
 func TestScriptStopsAtRefusedCommand(t *testing.T) {
 	c := quicktest.New(t)
 	script := filepath.Join(t.TempDir(), "script")
@@ -112,26 +111,26 @@
 	c.Assert(out, quicktest.Contains, `"outcome":"refused"`)
 }
 
-// An entry host disconnects after it received a command. The command may have
-// taken effect, so it must be neither reported as refused nor sent again under
-// a new ID.
+// Guards against reporting a command as refused, or sending it again under a new
+// ID, when an entry host disconnects after it received the command: the command
+// may have taken effect.
 func TestLostAnswerIsResentWithSameID(t *testing.T) {
 	c := quicktest.New(t)
-	first, one := startEntryHost(c, nil)
-	second, two := startEntryHost(c, &wire.Answer{Outcome: "done", Revision: 3})
-	status, out, _ := runMain("", "-entry", one+","+two, "-secret", "s", "stop", "server", "a1")
+	first, firstAddr := startEntryHost(c, nil)
+	second, secondAddr := startEntryHost(c, &wire.Answer{Outcome: "done", Revision: 3})
+	status, out, _ := runMain("", "-entry", firstAddr+","+secondAddr, "-secret", "s", "stop", "server", "a1")
 	c.Assert(status, quicktest.Equals, 0)
 	c.Assert(out, quicktest.Equals, "> stop server a1\ndone at revision 3\n")
 	c.Assert(second.lines[0].Id, quicktest.Equals, first.lines[0].Id)
-	_, one = startEntryHost(c, nil)
-	status, out, _ = runMain("stop server a1", "-entry", one, "-secret", "s", "-id", "step-4")
+	_, firstAddr = startEntryHost(c, nil)
+	status, out, _ = runMain("stop server a1", "-entry", firstAddr, "-secret", "s", "-id", "step-4")
 	c.Assert(status, quicktest.Equals, 1)
 	c.Assert(out, quicktest.Contains, "unknown: ")
 	c.Assert(out, quicktest.Contains, "; ask: show command step-4")
 }
 
-// A command that could not be sent to any entry host is reported as refused, not
-// as unknown.
+// Guards against reporting a command as unknown although it could not be sent to
+// any entry host: it is refused.
 func TestUnreachableEntryHost(t *testing.T) {
 	c := quicktest.New(t)
 	listener, err := net.Listen("tcp", "127.0.0.1:0")
@@ -142,9 +141,9 @@
 	c.Assert(out, quicktest.Contains, "refused: ")
 }
 
-// With -logs, the timeline of a request and the losses are read from log files,
-// without a connection to any entry host.
-func TestTimelineFromFiles(t *testing.T) {
+// Guards against -logs needing a connection to an entry host: the timeline of a
+// request and the losses must be read from the log files alone.
+func TestAnswersFromLogFiles(t *testing.T) {
 	c := quicktest.New(t)
 	dir := t.TempDir()
 	write := func(name, text string) string {
@@ -152,20 +151,20 @@
 		c.Assert(os.WriteFile(path, []byte(text), 0o600), quicktest.IsNil)
 		return path
 	}
-	one := write("e1.log", `{"time":"2026-12-03T10:00:02Z","msg":"request: ended","node":"e1","request":"9c41","server":"i-1"}`+"\n")
-	two := write("e2.log", `{"time":"2026-12-03T10:00:01Z","msg":"stream: tried again","node":"e2","request":"9c41"}`+"\n")
-	status, out, _ := runMain("", "-logs", one+","+two, "show", "timeline", "request", "9c41")
+	log1 := write("e1.log", `{"time":"2026-12-03T10:00:02Z","msg":"request: ended","node":"e1","request":"9c41","server":"i-1"}`+"\n")
+	log2 := write("e2.log", `{"time":"2026-12-03T10:00:01Z","msg":"stream: tried again","node":"e2","request":"9c41"}`+"\n")
+	status, out, _ := runMain("", "-logs", log1+","+log2, "show", "timeline", "request", "9c41")
 	c.Assert(status, quicktest.Equals, 0)
 	c.Assert(out, quicktest.Equals, "> show timeline request 9c41\n"+
 		"* 10:00:01.000000 e2 stream: tried again\n"+
 		"* 10:00:02.000000 e1 request: ended server=i-1\n")
-	status, out, _ = runMain("", "-logs", one+","+two, "show", "losses")
+	status, out, _ = runMain("", "-logs", log1+","+log2, "show", "losses")
 	c.Assert(status, quicktest.Equals, 0)
 	c.Assert(out, quicktest.Contains, "entry host")
-	status, out, _ = runMain("", "-logs", one, "show", "timeline", "request", "unknown")
+	status, out, _ = runMain("", "-logs", log1, "show", "timeline", "request", "unknown")
 	c.Assert(status, quicktest.Not(quicktest.Equals), 0)
 	c.Assert(out, quicktest.Contains, "no line names the request unknown")
-	status, out, _ = runMain("", "-logs", one, "stop", "server", "a1")
+	status, out, _ = runMain("", "-logs", log1, "stop", "server", "a1")
 	c.Assert(status, quicktest.Not(quicktest.Equals), 0)
 	c.Assert(out, quicktest.Contains, "show timeline request ID")
 }
