--- a/entry/internal/edge/handler.go
+++ b/entry/internal/edge/handler.go
@@ -30,8 +30,8 @@
 	View *view.Publisher
 	// Relay forwards model requests.
 	Relay *relay.Forwarder
-	// Forwarder forwards calls of plain services.
-	Forwarder *invoke.Forwarder
+	// PlainForwarder forwards calls of plain services.
+	PlainForwarder *invoke.Forwarder
 	// Admission queues or refuses requests whose pool is full; nil admits all.
 	Admission *Admission
 	Trace     *trace.Recorder
--- a/entry/internal/edge/plain.go
+++ b/entry/internal/edge/plain.go
@@ -57,7 +57,7 @@
 		return
 	}
 	defer grant.Release()
-	response, e := h.Forwarder.Call(ctx, &invoke.Call{
+	response, e := h.PlainForwarder.Call(ctx, &invoke.Call{
 		RequestID: requestID, Team: tm.Name, ID: id,
 		Service: s, Pool: p, Method: string(c.Method()),
 		URI: string(c.Request.URI().RequestURI()), Header: forwardedHeader(c),
--- a/entry/internal/edge/ticket.go
+++ b/entry/internal/edge/ticket.go
@@ -20,7 +20,7 @@
 		writeError(c, e)
 		return
 	}
-	ticket, err := h.Forwarder.Issue(tm.Name)
+	ticket, err := h.PlainForwarder.Issue(tm.Name)
 	if err != nil {
 		writeError(c, &fault.Error{Code: fault.Internal, Verdict: fault.NotRun, Cause: err})
 		return
--- a/entry/internal/invoke/attempt.go
+++ b/entry/internal/invoke/attempt.go
@@ -126,7 +126,7 @@
 		return
 	}
 	switch e.Code {
-	case fault.ServerFailed, fault.ServerRefused, fault.BrokenAnswer:
+	case fault.ServerFailed, fault.ServerRefused, fault.InvalidResponse:
 		now := time.Now()
 		// All calls on a server fail with it at once; they count as one
 		// failure.
--- a/entry/internal/invoke/claim.go
+++ b/entry/internal/invoke/claim.go
@@ -19,12 +19,12 @@
 	// The nonce must not be zero, which stands for no nonce.
 	nonce := rand.Uint64() | 1
 	now := time.Now()
-	flight, own, voidNonce := f.flights.Begin(key, body, nonce, now.Add(f.ClaimTerms.Expiry))
+	flight, own, voidNonce := f.flights.Begin(key, body, nonce, now.Add(f.ClaimTiming.Expiry))
 	if !own {
 		return f.joinFlight(ctx, callCtx, call, flight, body)
 	}
 	c := &claimedCall{Forwarder: f, call: call, flight: flight, claimedAt: now, voidNonce: voidNonce, record: claim.Record{
-		Key: key, Body: body, Nonce: nonce, Holder: f.Holder, Until: f.ClaimTerms.Until(now),
+		Key: key, Body: body, Nonce: nonce, Holder: f.Holder, Until: f.ClaimTiming.Until(now),
 	}}
 	c.run(callCtx)
 	result := flight.Result()
--- a/entry/internal/invoke/forwarder.go
+++ b/entry/internal/invoke/forwarder.go
@@ -31,8 +31,8 @@
 	Log   *slog.Logger
 	// Claims writes claims to the object API.
 	Claims *claim.Writer
-	// ClaimTerms holds the longest deadline of a call and the expiry of claims.
-	ClaimTerms claim.Timing
+	// ClaimTiming holds the longest deadline of a call and the expiry of claims.
+	ClaimTiming claim.Timing
 	// Holder identifies this incarnation of this entry host.
 	Holder claim.Holder
 	// Started is when this incarnation started.
@@ -139,7 +139,7 @@
 		return f.callRetryable(ctx, call)
 	}
 	// The expiry of claims is safe only for calls within MaxDeadline.
-	if latest := time.Now().Add(f.ClaimTerms.MaxDeadline); call.Deadline.After(latest) {
+	if latest := time.Now().Add(f.ClaimTiming.MaxDeadline); call.Deadline.After(latest) {
 		call.Deadline = latest
 	}
 	// A call that was sent continues after its caller disconnects, so that its
--- a/entry/internal/invoke/send.go
+++ b/entry/internal/invoke/send.go
@@ -127,7 +127,7 @@
 	}
 	responseBody, err := io.ReadAll(io.LimitReader(resp.Body, maxResponseBytes+1))
 	if err != nil || len(responseBody) > maxResponseBytes {
-		return nil, &fault.Error{Code: fault.BrokenAnswer, Server: to.Name, Message: "half an answer came", Cause: err}
+		return nil, &fault.Error{Code: fault.InvalidResponse, Server: to.Name, Message: "half an answer came", Cause: err}
 	}
 	return &Response{Status: resp.StatusCode, Header: resp.Header, Body: responseBody}, nil
 }
--- a/entry/internal/invoke/ticket.go
+++ b/entry/internal/invoke/ticket.go
@@ -59,7 +59,7 @@
 func (f *Forwarder) callWithOwnTicket(ctx, callCtx context.Context, call *Call, t ticket.Ticket, usable func() bool) (*Response, *fault.Error) {
 	key := claim.KeyOf(call.Team, fmt.Sprintf("%s%d", ticket.Prefix, t.Serial))
 	body := claim.DigestOf(call.Method, call.URI, call.Body)
-	until := f.Started.Add(t.Issued + ticket.TTL + f.ClaimTerms.MaxDeadline)
+	until := f.Started.Add(t.Issued + ticket.TTL + f.ClaimTiming.MaxDeadline)
 	flight, own, _ := f.flights.Begin(key, body, t.Serial, until)
 	if !own {
 		return f.joinFlight(ctx, callCtx, call, flight, body)
--- a/entry/internal/mesh/mesh.go
+++ b/entry/internal/mesh/mesh.go
@@ -243,9 +243,9 @@
 	return others
 }
 
-// TeamRates returns the reported requests per second of each team, summed over
+// RemoteRates returns the reported requests per second of each team, summed over
 // all other entry hosts. The map must not be changed.
-func (m *Mesh) TeamRates() map[string]float64 {
+func (m *Mesh) RemoteRates() map[string]float64 {
 	return m.peer.Rates()
 }
 
--- a/entry/internal/owner/client.go
+++ b/entry/internal/owner/client.go
@@ -23,8 +23,8 @@
 	Secret string
 	// Forwarder runs the calls of this entry host.
 	Forwarder *invoke.Forwarder
-	// Client returns a client of another entry host.
-	Client func(ctx context.Context, h host.Host) (wire.DRPCEntryClient, error)
+	// NewClient returns a client of another entry host.
+	NewClient func(ctx context.Context, h host.Host) (wire.DRPCEntryClient, error)
 }
 
 var _ invoke.Peers = (*Client)(nil)
@@ -49,7 +49,7 @@
 	ctx, cancel := context.WithCancel(ctx)
 	defer cancel()
 	go c.cancelWhenDead(ctx, cancel, h.Name)
-	client, err := c.Client(ctx, h)
+	client, err := c.NewClient(ctx, h)
 	if err != nil {
 		return nil, err
 	}
--- a/entry/internal/owner/handler.go
+++ b/entry/internal/owner/handler.go
@@ -70,7 +70,7 @@
 func encodeResponse(response *invoke.Response) *wire.CallReply {
 	if len(response.Body) > maxForwardBytes {
 		return encodeError(&fault.Error{
-			Code: fault.BrokenAnswer, Verdict: fault.Ran, Message: "the answer is too large to be handed on",
+			Code: fault.InvalidResponse, Verdict: fault.Ran, Message: "the answer is too large to be handed on",
 		})
 	}
 	return &wire.CallReply{
--- a/entry/internal/relay/attempt.go
+++ b/entry/internal/relay/attempt.go
@@ -62,7 +62,7 @@
 	if e.Verdict == fault.NotRun || errors.Is(e.Cause, errSilent) {
 		return e
 	}
-	if e.Code != fault.ServerFailed && e.Code != fault.BrokenAnswer {
+	if e.Code != fault.ServerFailed && e.Code != fault.InvalidResponse {
 		return e
 	}
 	for i := range d.stages {
@@ -120,7 +120,7 @@
 	for {
 		f, err := stream.Next()
 		if errors.Is(err, io.EOF) {
-			return &fault.Error{Code: fault.BrokenAnswer, Message: "the stream ended without an end frame"}
+			return &fault.Error{Code: fault.InvalidResponse, Message: "the stream ended without an end frame"}
 		}
 		if err != nil {
 			return &fault.Error{Code: fault.ServerFailed, Cause: err}
--- a/entry/internal/relay/suspect.go
+++ b/entry/internal/relay/suspect.go
@@ -16,7 +16,7 @@
 	switch e.Code {
 	case fault.ServerRefused:
 		d.handleRefusal(e)
-	case fault.ServerFailed, fault.BrokenAnswer:
+	case fault.ServerFailed, fault.InvalidResponse:
 		if unresponsive := m.unresponsive(); len(unresponsive) > 0 {
 			e.Server = unresponsive[0]
 			d.suspectServers(unresponsive...)
--- a/entry/internal/setup/admission.go
+++ b/entry/internal/setup/admission.go
@@ -15,12 +15,12 @@
 	TargetWait float64
 	// MaxRequests and MaxBytes bound the requests that wait for one pool.
 	MaxRequests, MaxBytes int
-	// Reserve is the capacity above a pool's limit for teams below their share,
+	// Headroom is the capacity above a pool's limit for teams below their share,
 	// as a fraction of the limit.
-	Reserve float64
-	// Credit is the number of tokens, for each unit of its share, that a team may
+	Headroom float64
+	// MaxCredit is the number of tokens, for each unit of its share, that a team may
 	// accumulate while it uses less than its share.
-	Credit float64
+	MaxCredit float64
 }
 
 func (a *AdmissionSettings) flags(fs *flag.FlagSet) {
@@ -28,8 +28,8 @@
 	fs.IntVar(&a.MaxRequests, "queue-requests", 1024, "most requests that wait for one pool")
 	fs.IntVar(&a.MaxBytes, "queue-bytes", 16<<20, "most memory that requests waiting for one pool hold, in bytes")
 	fs.Float64Var(&a.TargetWait, "queue-target", 4, "wait of a token at engines to aim at, in steps of the engine")
-	fs.Float64Var(&a.Credit, "queue-credit", 500, "tokens that a team may save up, for each unit of its share, while it uses less than its share")
-	fs.Float64Var(&a.Reserve, "queue-reserve", 1, "part above a pool's limit for teams below their share")
+	fs.Float64Var(&a.MaxCredit, "queue-credit", 500, "tokens that a team may save up, for each unit of its share, while it uses less than its share")
+	fs.Float64Var(&a.Headroom, "queue-reserve", 1, "part above a pool's limit for teams below their share")
 }
 
 func (a *AdmissionSettings) check() []error {
@@ -46,11 +46,11 @@
 	if a.TargetWait <= 0 {
 		errs = append(errs, fmt.Errorf("-queue-target: %v is not above 0", a.TargetWait))
 	}
-	if a.Reserve < 0 || a.Reserve > 4 {
-		errs = append(errs, fmt.Errorf("-queue-reserve: %v is not from 0 to 4", a.Reserve))
+	if a.Headroom < 0 || a.Headroom > 4 {
+		errs = append(errs, fmt.Errorf("-queue-reserve: %v is not from 0 to 4", a.Headroom))
 	}
-	if a.Credit < 0 {
-		errs = append(errs, fmt.Errorf("-queue-credit: %v is below 0", a.Credit))
+	if a.MaxCredit < 0 {
+		errs = append(errs, fmt.Errorf("-queue-credit: %v is below 0", a.MaxCredit))
 	}
 	return errs
 }
--- a/entry/prog/admit.go
+++ b/entry/prog/admit.go
@@ -15,8 +15,8 @@
 	s := &d.settings.Admit
 	a := &edge.Admission{
 		View: publisher, Trace: recorder, TargetWait: s.TargetWait,
-		Limits:      admit.Limits{MaxWait: s.MaxWait, MaxRequests: s.MaxRequests, MaxBytes: s.MaxBytes, Headroom: s.Reserve, MaxCredit: s.Credit},
-		RemoteRates: peers.TeamRates,
+		Limits:      admit.Limits{MaxWait: s.MaxWait, MaxRequests: s.MaxRequests, MaxBytes: s.MaxBytes, Headroom: s.Headroom, MaxCredit: s.MaxCredit},
+		RemoteRates: peers.RemoteRates,
 	}
 	peers.LocalRates = a.LocalRates
 	return a
--- a/entry/prog/calls.go
+++ b/entry/prog/calls.go
@@ -17,18 +17,18 @@
 // newForwarder creates the components that forward calls to plain services, or to
 // the entry host that owns a call.
 func (d *daemon) newForwarder(publisher *view.Publisher, recorder *trace.Recorder, api store.API, peers *mesh.Mesh) *invoke.Forwarder {
-	owners := &owner.Client{View: publisher, Secret: d.settings.PeerSecret, Client: peers.Client}
+	owners := &owner.Client{View: publisher, Secret: d.settings.PeerSecret, NewClient: peers.Client}
 	forwarder := &invoke.Forwarder{
 		View: publisher, Trace: recorder, Log: d.log,
 		Claims: &claim.Writer{
 			Store: api, Log: d.log, WriteRate: d.settings.Claims.WriteRate, Done: make(chan struct{}),
 		},
-		ClaimTerms: d.settings.Claims.Timing,
-		Holder:     claim.Holder{Entry: d.settings.Name, Incarnation: rand.Uint64()},
-		Started:    time.Now(),
-		Signer:     ticket.Signer{Secret: d.settings.PeerSecret},
-		Peers:      owners,
-		Done:       make(chan struct{}),
+		ClaimTiming: d.settings.Claims.Timing,
+		Holder:      claim.Holder{Entry: d.settings.Name, Incarnation: rand.Uint64()},
+		Started:     time.Now(),
+		Signer:      ticket.Signer{Secret: d.settings.PeerSecret},
+		Peers:       owners,
+		Done:        make(chan struct{}),
 	}
 	owners.Forwarder = forwarder
 	peers.Calls = owners
--- a/entry/prog/prog.go
+++ b/entry/prog/prog.go
@@ -109,9 +109,9 @@
 	models.forwarder.Guard = d.newGuard(publisher, recorder, peers)
 	calls := d.newForwarder(publisher, recorder, api, peers)
 	handler := &edge.Handler{
-		View:      publisher,
-		Relay:     models.forwarder,
-		Forwarder: calls, Admission: d.newAdmission(publisher, recorder, peers),
+		View:           publisher,
+		Relay:          models.forwarder,
+		PlainForwarder: calls, Admission: d.newAdmission(publisher, recorder, peers),
 		Trace: recorder, Log: d.log, MaxBody: d.settings.MaxBody,
 		Ready: d.readyFunc(watcher),
 	}
--- a/entry/stream/failure.go
+++ b/entry/stream/failure.go
@@ -75,7 +75,7 @@
 		err = errors.New("an event is missing")
 	}
 	e := &fault.Error{
-		Code: fault.BrokenAnswer, Verdict: fault.MayHaveRun, Message: "the answer broke off",
+		Code: fault.InvalidResponse, Verdict: fault.MayHaveRun, Message: "the answer broke off",
 		Server: r.out.Server, Cause: err,
 	}
 	if cause := context.Cause(ctx); cause != nil {
--- a/entry/stream/forwarder.go
+++ b/entry/stream/forwarder.go
@@ -147,7 +147,7 @@
 		return r.handleServerError(resp, reply)
 	}
 	failure := r.relayEvents(attemptCtx, resp, stream, pending)
-	if failure == nil || failure.Code == fault.BrokenAnswer && context.Cause(attemptCtx) == nil {
+	if failure == nil || failure.Code == fault.InvalidResponse && context.Cause(attemptCtx) == nil {
 		r.Failures.Record(first.ID, failure != nil, time.Now())
 	}
 	return failure
--- a/entry/unary/unary.go
+++ b/entry/unary/unary.go
@@ -192,13 +192,13 @@
 	a.body, err = io.ReadAll(io.LimitReader(resp, maxBufferedBody))
 	if err != nil {
 		resp.Close()
-		a.err = &fault.Error{Code: fault.BrokenAnswer, Verdict: fault.MayHaveRun, Message: "the answer broke off", Server: server.ID, Cause: err}
+		a.err = &fault.Error{Code: fault.InvalidResponse, Verdict: fault.MayHaveRun, Message: "the answer broke off", Server: server.ID, Cause: err}
 		return a
 	}
 	if len(a.body) == maxBufferedBody && j.Route.Kind != route.Idempotent {
 		a.rest = resp
 	} else if len(a.body) == maxBufferedBody {
-		a.err = &fault.Error{Code: fault.BrokenAnswer, Verdict: fault.MayHaveRun, Message: "the answer is too large", Server: server.ID}
+		a.err = &fault.Error{Code: fault.InvalidResponse, Verdict: fault.MayHaveRun, Message: "the answer is too large", Server: server.ID}
 		resp.Close()
 		return a
 	} else {
--- a/parts/fault/error.go
+++ b/parts/fault/error.go
@@ -12,28 +12,28 @@
 
 // The error codes.
 const (
-	BadRequest    Code = "bad-request"
-	TooLarge      Code = "too-large"
-	Unauthorized  Code = "unauthorized"
-	NoRoute       Code = "no-route"
-	NoServer      Code = "no-server"
-	NoCover       Code = "no-cover"
-	Overloaded    Code = "overloaded"
-	OverLimit     Code = "over-limit"
-	Deadline      Code = "deadline"
-	Draining      Code = "draining"
-	Poisoned      Code = "poisoned"
-	StoreDown     Code = "store-down"
-	Conflict      Code = "conflict"
-	NotFound      Code = "not-found"
-	IDNeeded      Code = "id-needed"
-	IDReused      Code = "id-reused"
-	Repeated      Code = "repeated"
-	BrokenAnswer  Code = "broken-answer"
-	ServerFailed  Code = "server-failed"
-	ServerRefused Code = "server-refused"
-	Cancelled     Code = "cancelled"
-	Internal      Code = "internal"
+	BadRequest      Code = "bad-request"
+	TooLarge        Code = "too-large"
+	Unauthorized    Code = "unauthorized"
+	NoRoute         Code = "no-route"
+	NoServer        Code = "no-server"
+	NoCover         Code = "no-cover"
+	Overloaded      Code = "overloaded"
+	OverLimit       Code = "over-limit"
+	Deadline        Code = "deadline"
+	Draining        Code = "draining"
+	Poisoned        Code = "poisoned"
+	StoreDown       Code = "store-down"
+	Conflict        Code = "conflict"
+	NotFound        Code = "not-found"
+	IDNeeded        Code = "id-needed"
+	IDReused        Code = "id-reused"
+	Repeated        Code = "repeated"
+	InvalidResponse Code = "broken-answer"
+	ServerFailed    Code = "server-failed"
+	ServerRefused   Code = "server-refused"
+	Cancelled       Code = "cancelled"
+	Internal        Code = "internal"
 )
 
 // Error is an error on the request path.
@@ -111,7 +111,7 @@
 		return http.StatusUnprocessableEntity
 	case Deadline:
 		return http.StatusGatewayTimeout
-	case BrokenAnswer, ServerFailed, ServerRefused:
+	case InvalidResponse, ServerFailed, ServerRefused:
 		return http.StatusBadGateway
 	case NoServer, NoCover, Overloaded, Draining, StoreDown:
 		return http.StatusServiceUnavailable
--- a/parts/frame/frame.go
+++ b/parts/frame/frame.go
@@ -130,7 +130,7 @@
 
 func invalidResponse(format string, args ...any) *fault.Error {
 	return &fault.Error{
-		Code: fault.BrokenAnswer, Verdict: fault.MayHaveRun,
+		Code: fault.InvalidResponse, Verdict: fault.MayHaveRun,
 		Message: fmt.Sprintf(format, args...),
 	}
 }
--- a/parts/retry/decide.go
+++ b/parts/retry/decide.go
@@ -35,7 +35,7 @@
 		return false, false
 	}
 	switch f.Error.Code {
-	case fault.ServerFailed, fault.ServerRefused, fault.BrokenAnswer:
+	case fault.ServerFailed, fault.ServerRefused, fault.InvalidResponse:
 		return true, f.Error.Verdict != fault.NotRun
 	}
 	return false, false
@@ -47,7 +47,7 @@
 	final := *f.Error
 	final.Verdict = verdict
 	switch final.Code {
-	case fault.ServerFailed, fault.ServerRefused, fault.BrokenAnswer, fault.NoCover, fault.NoServer, fault.Overloaded:
+	case fault.ServerFailed, fault.ServerRefused, fault.InvalidResponse, fault.NoCover, fault.NoServer, fault.Overloaded:
 		final.RetryAfter = max(final.RetryAfter, RetryAfter)
 	}
 	return &final
